--- a/packages/direct/src/callers.ts
+++ b/packages/direct/src/callers.ts
@@ -1,4 +1,5 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
+import { type Random } from '@eiderwind/clock'
 import { Fault } from '@eiderwind/fault'
 import { pickShare, type Route, type Team } from '@eiderwind/traffic'
 import { header, listen, readBody, refuse } from '@eiderwind/wire'
@@ -15,6 +16,8 @@
   readonly address: string
   /** How old the newest confirmation of the configuration may be for a request with a key, in ms. */
   readonly freshness: number
+  /** Draws the service of a request whose route is split between several. */
+  readonly random: Random
   /** Told the code of each request that is refused before anything is chosen for it. */
   readonly refused: (code: string) => void
   /** Told of each request's end. */
@@ -130,7 +133,7 @@
   }
 
   #exchange (request: IncomingMessage, response: ServerResponse, body: Buffer, { route, team }: Pass, arrivedAt: number): Exchange | Fault {
-    const { context, ended } = this.#options
+    const { context, random, ended } = this.#options
     const id = header(request, context.names.request)
     if (id === undefined) return new Fault('bad-request', { detail: `The header ${context.names.request} is missing.` })
     const given = header(request, context.names.deadline)
@@ -143,7 +146,7 @@
       response,
       body: body.length > 0 ? body : undefined,
       route,
-      service: pickShare(route.shares, Math.random()),
+      service: pickShare(route.shares, random()),
       team,
       arrivedAt,
       endsAt: arrivedAt + Math.min(span, route.timeout),
--- a/packages/direct/src/choice.ts
+++ b/packages/direct/src/choice.ts
@@ -1,4 +1,4 @@
-import { type Clock } from '@eiderwind/clock'
+import { type Clock, type Random } from '@eiderwind/clock'
 import { type Beat, type Peers } from '@eiderwind/peers'
 import { type Roster, type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
@@ -14,6 +14,8 @@
   readonly suspects: Suspects
   /** Where this entry is. Among equals, an upstream there is chosen. */
   readonly dataCentre: string
+  /** Breaks ties between upstreams that are equally good. */
+  readonly random: Random
 }
 
 /** Requests that a replica is sent beyond its slots, in parts of these: they wait there rather than be refused. */
@@ -80,7 +82,7 @@
     let least = Infinity
     for (const upstream of upstreams) {
       const near = upstream.dataCentre === this.#options.dataCentre ? 0 : 0.5
-      const own = cost(upstream) + near + Math.random() * 0.1
+      const own = cost(upstream) + near + this.#options.random() * 0.1
       if (own >= least) continue
       best = upstream
       least = own
--- a/packages/direct/src/direct.ts
+++ b/packages/direct/src/direct.ts
@@ -122,7 +122,7 @@
     this.#flights = new Flights(clock, () => this.#waiting.wake())
     this.#peers = new Peers({ clock, id: settings.id, address: settings.peers, beat: () => this.#beat(), interval: beatInterval, patience: beatPatience })
     const { names } = platform
-    const choice = new Choice({ clock, roster: this.#roster, flights: this.#flights, peers: this.#peers, suspects: this.#suspects, dataCentre: settings.dataCentre })
+    const choice = new Choice({ clock, roster: this.#roster, flights: this.#flights, peers: this.#peers, suspects: this.#suspects, dataCentre: settings.dataCentre, random: Math.random })
     const context: Context = {
       clock,
       log,
@@ -136,7 +136,7 @@
       waiting: this.#waiting,
       repeats: service => this.#repeatsOf(service)
     }
-    this.#callers = new Callers({ context, address: settings.callers, freshness: settings.freshness, refused: code => this.#figures.refused(code), ended: (exchange, outcome) => this.#ended(exchange, outcome) })
+    this.#callers = new Callers({ context, address: settings.callers, freshness: settings.freshness, random: Math.random, refused: code => this.#figures.refused(code), ended: (exchange, outcome) => this.#ended(exchange, outcome) })
     this.#confirmations = new Confirmations({ clock, board: this.#board, peers: this.#peers, connections: this.#connections, address: settings.peers, orders: platform.orders })
     this.#health = new Health(settings.health, () => this.ready)
     this.#stalls = new Stalls({
