--- /dev/null
+++ b/packages/direct/test/digest.test.ts
@@ -0,0 +1,168 @@
+/** What choice, queue, retry budget and failure detection give on fixed seeds, held by digests: one that moves is a change of behaviour. */
+import { createHash } from 'node:crypto'
+import { createSocket } from 'node:dgram'
+import test from 'ava'
+import { ManualClock, seeded, type Random } from '@eiderwind/clock'
+import { Log } from '@eiderwind/log'
+import { Peers } from '@eiderwind/peers'
+import { Roster, type Upstream } from '@eiderwind/roster'
+import { type Engine } from '@eiderwind/traffic'
+import { Choice, Flights, Pauses, Repeats, Stalls, Suspects, Waiting, type Flight } from '../src/index.js'
+
+function digest (lines: readonly string[]): string {
+  return createHash('sha256').update(lines.join('\n')).digest('hex').slice(0, 16)
+}
+
+const engine: Engine = { slots: 6, models: [], step: 8, stepPerRequest: 0.1, readRate: 45_000, prompt: 900, answer: 130, loadRate: 3, loadsAtOnce: 6, formTime: 300 }
+
+function upstream (index: number, random: Random): Upstream {
+  const head = index < 6
+  const state = random() < 0.85 ? 'open' : 'ready'
+  return {
+    id: `u${index}`,
+    service: head ? 'chat' : 'plain',
+    address: `u${index}:1`,
+    dataCentre: `dc${index % 3}`,
+    leaving: random() < 0.1,
+    loaded: head ? [index % 2 === 0 ? 'large' : 'small'] : [],
+    staged: [],
+    membership: head ? { replica: `r${index}`, epoch: 1, rank: 0, state } : undefined
+  }
+}
+
+function alone (clock: ManualClock): Peers {
+  const beat = { id: 'e', revision: 0, able: false, loads: {}, suspects: [], models: {}, served: false }
+  return new Peers({ clock, id: 'e', address: '127.0.0.1:1', beat: () => beat, interval: 250, patience: 1000 })
+}
+
+test('choices among heads and plain upstreams', t => {
+  const random = seeded(41)
+  const clock = new ManualClock()
+  const roster = new Roster(clock)
+  const flights = new Flights(clock, () => {})
+  const suspects = new Suspects(clock, roster)
+  const choice = new Choice({ clock, roster, flights, peers: alone(clock), suspects, dataCentre: 'dc1', random: seeded(42) })
+  const running: Flight[] = []
+  const lines: string[] = []
+  for (let step = 0; step < 2000; step++) {
+    if (step % 100 === 0) roster.replace(Array.from({ length: 10 }, (_each, index) => upstream(index, random)))
+    clock.advance(Math.floor(random() * 40))
+    const draw = random()
+    const tried = new Set(random() < 0.2 ? [`u${Math.floor(random() * 10)}`] : [])
+    const found = draw < 0.3 ? choice.head('chat', 'large', engine, tried) : draw < 0.6 ? choice.head('chat', 'small', engine, tried) : draw < 0.8 ? choice.plain('plain', tried) : undefined
+    lines.push(found?.id ?? '-')
+    if (found !== undefined) {
+      suspects.sent(found.id)
+      running.push(flights.begin(found.id, 'm'))
+    }
+    if (draw > 0.8 || running.length > 20) {
+      const [flight] = running.splice(Math.floor(random() * running.length), 1)
+      if (flight !== undefined) {
+        flights.end(flight)
+        choice.observe(flight.upstream, random() * 200, random() < 0.2)
+      }
+    }
+    if (random() < 0.02) suspects.add(`u${Math.floor(random() * 6)}`)
+    if (random() < 0.02) suspects.heard(`u${Math.floor(random() * 6)}`)
+  }
+  t.is(digest(lines), 'fb32c2f8299b26ed')
+})
+
+test('choices heed what other entries have under way', async t => {
+  const clock = new ManualClock()
+  const roster = new Roster(clock)
+  roster.replace(Array.from({ length: 6 }, (_each, index) => ({ ...upstream(index, () => 0.5), loaded: ['large'] })))
+  const flights = new Flights(clock, () => {})
+  const socket = createSocket('udp4')
+  await new Promise<void>(resolve => socket.bind(0, '127.0.0.1', resolve))
+  const { port } = socket.address()
+  socket.close()
+  const beat = { id: 'e', revision: 0, able: false, loads: {}, suspects: [], models: {}, served: false }
+  const peers = new Peers({ clock, id: 'e', address: `127.0.0.1:${port}`, beat: () => beat, interval: 250, patience: 1000 })
+  await peers.start()
+  const other = createSocket('udp4')
+  const choice = new Choice({ clock, roster, flights, peers, suspects: new Suspects(clock, roster), dataCentre: 'dc1', random: seeded(43) })
+  const loads = { u0: 1, u1: 6, u2: 3, u3: 0, u4: 6, u5: 2 }
+  other.send(JSON.stringify({ ...beat, id: 'f', loads }), port, '127.0.0.1')
+  for (let turn = 0; turn < 200 && peers.live.length === 0; turn++) await new Promise(resolve => setTimeout(resolve, 5))
+  const lines: string[] = []
+  for (let step = 0; step < 40; step++) {
+    const found = choice.head('chat', 'large', engine, new Set())
+    lines.push(found?.id ?? '-')
+    if (found !== undefined) flights.begin(found.id, 'large')
+  }
+  peers.stop()
+  other.close()
+  t.is(lines.filter(each => each === '-').length, 16)
+  t.is(digest(lines), 'c7d38a273a9e0219')
+})
+
+test('the retry budget', t => {
+  const random = seeded(44)
+  const clock = new ManualClock()
+  let entries = 4
+  const repeats = new Repeats(clock, { ratio: 0.2, window: 10_000, slack: 40, entries: () => entries })
+  const lines: string[] = []
+  for (let step = 0; step < 4000; step++) {
+    clock.advance(Math.floor(random() * 120))
+    if (random() < 0.01) entries = 1 + Math.floor(random() * 8)
+    if (random() < 0.6) repeats.request()
+    lines.push(random() < 0.4 ? String(repeats.take()) : `${repeats.left} ${repeats.used}`)
+  }
+  t.is(digest(lines), '2eaa955264e39982')
+})
+
+test('who waits is served in the same order', async t => {
+  const random = seeded(45)
+  const clock = new ManualClock()
+  const waiting = new Waiting(clock)
+  const lines: string[] = []
+  const free: number[] = []
+  const all: Array<Promise<void>> = []
+  for (let step = 0; step < 600; step++) {
+    clock.advance(Math.floor(random() * 30))
+    const found = waiting.wait(Math.floor(random() * 4), random() * 200, () => free.shift())
+    all.push(found.then(value => { lines.push(`${step} ${value ?? '-'} ${waiting.count}`) }))
+    if (random() < 0.4) free.push(step)
+    if (random() < 0.4) waiting.wake()
+    for (let turn = 0; turn < 3; turn++) await Promise.resolve()
+  }
+  clock.advance(1000)
+  await Promise.all(all)
+  t.is(digest(lines), '44f1773ea00f5a22')
+})
+
+test('stalls, suspicions, their trials, and pauses of the process itself', t => {
+  const random = seeded(46)
+  const clock = new ManualClock()
+  const roster = new Roster(clock)
+  const flights = new Flights(clock, () => {})
+  const suspects = new Suspects(clock, roster)
+  const pauses = new Pauses(clock)
+  const lines: string[] = []
+  const stalls = new Stalls({ clock, log: new Log({ sink: line => lines.push(line.replace(/"time":"[^"]*"/, '')) }), roster, flights, suspects, silence: 400, pauses, suspected: () => lines.push('suspected') })
+  pauses.start()
+  stalls.start()
+  const running: Flight[] = []
+  for (let step = 0; step < 3000; step++) {
+    if (step % 300 === 0) roster.replace(Array.from({ length: 10 }, (_each, index) => upstream(index, random)))
+    clock.advance(Math.floor(random() * 60))
+    if (random() < 0.003) clock.freeze(500 + Math.floor(random() * 2000))
+    const id = `u${Math.floor(random() * 10)}`
+    if (random() < 0.1) {
+      lines.push(`${id} ${String(suspects.passes(id))}`)
+      suspects.sent(id)
+      running.push(flights.begin(id, 'm', () => lines.push(`stalled ${id}`)))
+    }
+    for (const flight of running) {
+      if (random() < 0.03 && flight.upstream !== 'u2') {
+        flights.heard(flight)
+        suspects.heard(flight.upstream)
+      }
+    }
+    if (random() < 0.12 && running.length > 0) flights.end(running.splice(Math.floor(random() * running.length), 1)[0])
+    if (step % 50 === 0) lines.push(suspects.all.join(' '), Object.entries(flights.counts).join(' '), Object.entries(flights.models).join(' '))
+  }
+  t.true(lines.some(each => each.startsWith('stalled')))
+  t.is(digest(lines), '6642aefcdc3cf872')
+})
--- /dev/null
+++ b/packages/settings/test/forms.test.ts
@@ -0,0 +1,34 @@
+/** The sections and keys of the settings of an entry that calls its upstreams directly, as operators write them. */
+import test from 'ava'
+import { checkSettings } from '../src/index.js'
+
+const text = [
+  '[process]', 'id = entry-1', 'data_centre = dc-1', 'region = region-1', 'first = true',
+  '[listen]', 'callers = 10.0.0.1:8080', 'health = 10.0.0.1:8081', 'peers = 10.0.0.1:7340',
+  '[platform]', 'store = 10.0.9.1:8223',
+  '[bounds]', 'revoke = 5000 ms', 'grace = 8 s', 'pulse = 1200 ms', 'retry_ratio = 0.2', 'retry_slack = 160', 'retry_window = 10 s',
+  '[observe]', 'level = debug', 'metrics = 10.0.0.1:7341'
+].join('\n')
+
+test('every key is read under its name', t => {
+  t.deepEqual(checkSettings('x.ini', text, 'direct').unwrap(), {
+    role: 'direct',
+    direct: {
+      process: { id: 'entry-1', data_centre: 'dc-1', region: 'region-1', first: true },
+      listen: { callers: '10.0.0.1:8080', health: '10.0.0.1:8081', peers: '10.0.0.1:7340' },
+      platform: { store: '10.0.9.1:8223' },
+      bounds: { revoke: 5000, grace: 8000, pulse: 1200, retry_ratio: 0.2, retry_slack: 160, retry_window: 10_000 },
+      observe: { level: 'debug', metrics: '10.0.0.1:7341' }
+    }
+  })
+})
+
+test('what is left out or empty has its default', t => {
+  const short = text.split('\n').filter(each => !/^(first|revoke|grace|pulse|retry_|level|metrics)/.test(each)).join('\n')
+  const settings = checkSettings('x.ini', short.replace('[bounds]', '[bounds]\nrevoke =\ngrace =\npulse =\nretry_ratio =\nretry_slack =\nretry_window =').replace('[observe]', '[observe]\nmetrics =')).unwrap() as { direct: object }
+  t.like(settings.direct, {
+    process: { first: false },
+    bounds: { revoke: 5000, grace: 8000, pulse: 1200, retry_ratio: 0.1, retry_slack: 20, retry_window: 10_000 },
+    observe: { level: 'info', metrics: '' }
+  })
+})
