--- a/packages/direct/src/flights.ts
+++ b/packages/detect/src/inflight.ts
@@ -1,7 +1,7 @@
 import { type Clock } from '@eiderwind/clock'
 
 /** A request under way at an upstream. */
-export class Flight {
+export class InFlightRequest {
   readonly upstream: string
   readonly model: string
   /** When it was sent, on `Clock.now`. */
@@ -19,13 +19,13 @@
 
 /** What one upstream has of this entry's. */
 interface Load {
-  readonly flights: Set<Flight>
+  readonly flights: Set<InFlightRequest>
   /** When anything came from it, on `Clock.now`. */
   heardAt: number
 }
 
 /** Counts this entry's requests under way by upstream and model, and when each upstream was last heard. */
-export class Flights {
+export class InFlight {
   readonly #clock: Clock
   readonly #loads = new Map<string, Load>()
   readonly #models = new Map<string, number>()
@@ -52,9 +52,9 @@
   }
 
   /** Begins a flight. */
-  begin (upstream: string, model: string, stalled?: () => void): Flight {
-    const flight = new Flight(upstream, model, this.#clock.now(), stalled)
-    const load = this.#loads.get(upstream) ?? { flights: new Set<Flight>(), heardAt: -Infinity }
+  begin (upstream: string, model: string, stalled?: () => void): InFlightRequest {
+    const flight = new InFlightRequest(upstream, model, this.#clock.now(), stalled)
+    const load = this.#loads.get(upstream) ?? { flights: new Set<InFlightRequest>(), heardAt: -Infinity }
     load.flights.add(flight)
     this.#loads.set(upstream, load)
     this.#models.set(model, (this.#models.get(model) ?? 0) + 1)
@@ -62,12 +62,12 @@
   }
 
   /** Notes that something came from the flight's upstream. */
-  heard ({ upstream }: Flight): void {
+  heard ({ upstream }: InFlightRequest): void {
     const load = this.#loads.get(upstream)
     if (load !== undefined) load.heardAt = this.#clock.now()
   }
 
-  end (flight: Flight): void {
+  end (flight: InFlightRequest): void {
     const load = this.#loads.get(flight.upstream)
     if (load?.flights.delete(flight) !== true) return
     if (load.flights.size === 0) this.#loads.delete(flight.upstream)
@@ -75,8 +75,8 @@
     this.#freed()
   }
 
-  /** Flights at an upstream. */
-  at (upstream: string): Flight[] {
+  /** InFlight at an upstream. */
+  at (upstream: string): InFlightRequest[] {
     return [...this.#loads.get(upstream)?.flights ?? []]
   }
 
--- a/packages/forming/src/vitals.ts
+++ b/packages/detect/src/liveness.ts
@@ -1,14 +1,23 @@
 import { type Clock } from '@eiderwind/clock'
 import { type Roster } from '@eiderwind/roster'
-import { type OrderResult } from './ledger.js'
-import { type Orders } from './orders.js'
-import { type Member, type Placement } from './placement.js'
+import { type Probes } from './probes.js'
+
+/** A node of a replica, and where it answers. */
+export interface NodeAddress {
+  readonly id: string
+  readonly address: string
+}
+
+/** The nodes of a replica that was decided on, the head first. */
+export interface ReplicaNodes {
+  readonly members: readonly NodeAddress[]
+}
 
 /** What is needed to tell whether engines live. Spans are in ms. */
-export interface VitalsOptions {
+export interface LivenessOptions {
   readonly clock: Clock
   readonly roster: Roster
-  readonly orders: Orders
+  readonly probes: Probes
   /** Heads whose streams stand still, as any entry sees it. */
   readonly suspects: () => ReadonlySet<string>
   /** Time between two changes of an upstream's pulse. */
@@ -39,8 +48,8 @@
 }
 
 /** Finds out which engines are silent, and which heads have certainly ended. */
-export class Vitals {
-  readonly #options: VitalsOptions
+export class Liveness {
+  readonly #options: LivenessOptions
   readonly #silent = new Set<string>()
   readonly #ended = new Set<string>()
   /** Orders to close in a row that a head left unanswered. */
@@ -48,7 +57,7 @@
   readonly #pulses = new Map<string, Pulse>()
   readonly #askedAt = new Map<string, number>()
 
-  constructor (options: VitalsOptions) {
+  constructor (options: LivenessOptions) {
     this.#options = options
   }
 
@@ -63,21 +72,21 @@
   }
 
   /** Asks whoever is in doubt in a domain, and judges its heads. */
-  examine (placement: Placement): void {
-    this.#suspect(placement)
-    this.#bury(placement)
+  examine (replicas: readonly ReplicaNodes[]): void {
+    this.#suspect(replicas)
+    this.#bury(replicas)
   }
 
   /** Takes a head's answer to an order to close: one that is no longer listed has ended when it answers. */
-  closed (node: string, result: OrderResult): void {
-    this.#unanswered.set(node, result === 'unanswered' ? (this.#unanswered.get(node) ?? 0) + 1 : 0)
-    if (result !== 'unanswered' && this.#options.roster.find(node) === undefined) this.#ended.add(node)
+  closed (node: string, answered: boolean): void {
+    this.#unanswered.set(node, answered ? 0 : (this.#unanswered.get(node) ?? 0) + 1)
+    if (answered && this.#options.roster.find(node) === undefined) this.#ended.add(node)
   }
 
   /** Forgets what was judged of engines that are long gone and placed nowhere. */
-  sweep (placements: readonly Placement[]): void {
+  sweep (replicas: readonly ReplicaNodes[]): void {
     const { roster } = this.#options
-    const placed = new Set(placements.flatMap(each => each.replicas.flatMap(({ members }) => members.map(({ id }) => id))))
+    const placed = new Set(replicas.flatMap(({ members }) => members.map(({ id }) => id)))
     for (const judged of [this.#silent, this.#ended, this.#unanswered, this.#pulses, this.#askedAt]) {
       for (const id of judged.keys()) {
         if (!placed.has(id) && roster.find(id) === undefined && roster.departure(id) === undefined) judged.delete(id)
@@ -86,9 +95,9 @@
   }
 
   /** Asks every member of a replica whose head is suspected whether it is there. */
-  #suspect (placement: Placement): void {
+  #suspect (replicas: readonly ReplicaNodes[]): void {
     const suspects = this.#options.suspects()
-    for (const replica of placement.replicas) {
+    for (const replica of replicas) {
       const doubtful = suspects.has(replica.members[0].id) || replica.members.some(({ id }) => this.#silent.has(id))
       if (doubtful) for (const each of replica.members) this.#ask(each)
     }
@@ -100,12 +109,12 @@
   }
 
   /** Asks an engine whether it is there. Silence counts only where this process did not stand still itself meanwhile. */
-  #ask ({ id, address }: Member): void {
-    const { clock, orders, roster, wokeAt, changed, failed } = this.#options
+  #ask ({ id, address }: NodeAddress): void {
+    const { clock, probes, roster, wokeAt, changed, failed } = this.#options
     const askedAt = clock.now()
     if (roster.find(id) === undefined || askedAt - (this.#askedAt.get(id) ?? -Infinity) < askInterval) return
     this.#askedAt.set(id, askedAt)
-    orders.answers(address).then(there => {
+    probes.answers(address).then(there => {
       if (there) this.#silent.delete(id)
       else if (wokeAt() < askedAt) this.#silent.add(id)
       changed()
@@ -113,7 +122,7 @@
   }
 
   /** Heads that answer nobody and of which the platform hears nothing have ended. Their pulse is felt from the first suspicion on. */
-  #bury ({ replicas }: Placement): void {
+  #bury (replicas: readonly ReplicaNodes[]): void {
     const suspects = this.#options.suspects()
     for (const { members: [{ id }] } of replicas) {
       const unanswered = this.#unanswered.get(id) ?? 0
@@ -125,12 +134,12 @@
 
   /** Looks whether the pulse of a head stands still. */
   #feel (id: string): void {
-    const { clock, orders, pulseTime, changed, failed } = this.#options
+    const { clock, probes, pulseTime, changed, failed } = this.#options
     const known = this.#pulses.get(id)
     const lookedAt = clock.now()
     if (known !== undefined && lookedAt - known.lookedAt < pulseInterval) return
     this.#pulses.set(id, { value: known?.value, since: known?.since ?? Infinity, lookedAt })
-    orders.pulse(id).then(value => {
+    probes.pulse(id).then(value => {
       const since = value !== undefined && value === known?.value ? Math.min(known.since, lookedAt) : clock.now()
       this.#pulses.set(id, { value, since, lookedAt })
       const still = value !== undefined && clock.now() - since >= pulses * pulseTime
--- a/packages/direct/src/stalls.ts
+++ b/packages/detect/src/stalls.ts
@@ -1,7 +1,7 @@
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type Log } from '@eiderwind/log'
 import { type Roster } from '@eiderwind/roster'
-import { type Flights } from './flights.js'
+import { type InFlight } from './inflight.js'
 import { type Pauses } from './pauses.js'
 import { type Suspects } from './suspects.js'
 
@@ -10,7 +10,7 @@
   readonly clock: Clock
   readonly log: Log
   readonly roster: Roster
-  readonly flights: Flights
+  readonly inFlight: InFlight
   readonly suspects: Suspects
   /** Silence of all streams of a head after which it is suspected, in ms. */
   readonly silence: number
@@ -40,15 +40,15 @@
   }
 
   look (): void {
-    const { clock, log, roster, flights, suspects, silence, pauses, suspected } = this.#options
+    const { clock, log, roster, inFlight, suspects, silence, pauses, suspected } = this.#options
     // What came while this process stood still waits in its own sockets.
     if (clock.now() - pauses.wokeAt < silence) return
-    for (const id of flights.quiet(upstream => this.#isHead(upstream) ? silence : Infinity)) {
+    for (const id of inFlight.quiet(upstream => this.#isHead(upstream) ? silence : Infinity)) {
       if (suspects.add(id)) {
-        log.write('upstream-suspected', { upstream: id, flights: flights.count(id), listed: roster.find(id) !== undefined })
+        log.write('upstream-suspected', { upstream: id, flights: inFlight.count(id), listed: roster.find(id) !== undefined })
         suspected()
       }
-      for (const flight of flights.at(id)) flight.stalled?.()
+      for (const flight of inFlight.at(id)) flight.stalled?.()
     }
   }
 
--- /dev/null
+++ b/packages/detect/test/detect.test.ts
@@ -0,0 +1,70 @@
+/** Silence of upstreams, suspected heads, and pauses of this process itself. */
+import test from 'ava'
+import { ManualClock } from '@eiderwind/clock'
+import { Log } from '@eiderwind/log'
+import { Roster, type Upstream } from '@eiderwind/roster'
+import { InFlight, Pauses, Stalls, Suspects } from '../src/index.js'
+
+test('an upstream is quiet when nothing came from it since its oldest request was sent', t => {
+  const clock = new ManualClock()
+  const flights = new InFlight(clock, () => {})
+  const flight = flights.begin('a', 'm')
+  clock.advance(300)
+  t.deepEqual(flights.quiet(() => 400), [])
+  flights.heard(flight)
+  clock.advance(390)
+  t.deepEqual(flights.quiet(() => 400), [])
+  clock.advance(20)
+  t.deepEqual(flights.quiet(() => 400), ['a'])
+  flights.end(flight)
+  t.deepEqual(flights.quiet(() => 400), [])
+  clock.advance(5000)
+  flights.begin('a', 'm')
+  t.deepEqual(flights.quiet(() => 400), [])
+})
+
+test('a suspected head is tried with one request now and then, and trusted again once it is heard or forms another replica', t => {
+  const clock = new ManualClock()
+  const roster = new Roster(clock)
+  const head = (replica: string): Upstream => ({
+    id: 'a', service: 's', address: 'a:1', dataCentre: 'dc', leaving: false, loaded: [], staged: [], membership: { replica, epoch: 1, rank: 0, state: 'open' }
+  })
+  roster.replace([head('r')])
+  const suspects = new Suspects(clock, roster)
+  t.true(suspects.add('a'))
+  t.false(suspects.add('a'))
+  t.false(suspects.passes('a'))
+  clock.advance(2500)
+  t.true(suspects.passes('a'))
+  suspects.sent('a')
+  t.false(suspects.passes('a'))
+  suspects.heard('a')
+  t.true(suspects.passes('a'))
+  suspects.add('a')
+  roster.replace([head('s')])
+  t.false(suspects.has('a'))
+})
+
+test('a process that stood still itself suspects nobody until it has read what came meanwhile', t => {
+  const clock = new ManualClock()
+  const roster = new Roster(clock)
+  roster.replace([{
+    id: 'a', service: 's', address: 'a:1', dataCentre: 'dc', leaving: false, loaded: [], staged: [], membership: { replica: 'r', epoch: 1, rank: 0, state: 'open' }
+  }])
+  const suspects = new Suspects(clock, roster)
+  const flights = new InFlight(clock, () => {})
+  const pauses = new Pauses(clock)
+  const stalls = new Stalls({ clock, log: new Log({ sink: () => {} }), roster, inFlight: flights, suspects, silence: 400, pauses, suspected: () => {} })
+  pauses.start()
+  stalls.start()
+  const flight = flights.begin('a', 'm')
+  clock.advance(100)
+  clock.freeze(3000)
+  clock.advance(200)
+  t.false(suspects.has('a'))
+  flights.heard(flight)
+  clock.advance(350)
+  t.false(suspects.has('a'))
+  clock.advance(500)
+  t.true(suspects.has('a'))
+})
--- a/packages/direct/src/repeats.ts
+++ b/packages/dispatch/src/budget.ts
@@ -1,12 +1,12 @@
 import { type Clock } from '@eiderwind/clock'
 
 /** How many requests may be sent once more, over all entries. */
-export interface RepeatOptions {
-  /** Repeats for each request of callers. */
+export interface RetryBudgetOptions {
+  /** RetryBudget for each request of callers. */
   readonly ratio: number
   /** Length of the window in which both are counted, in ms. */
   readonly window: number
-  /** Repeats that all entries together may make beyond the ratio in a window. */
+  /** RetryBudget that all entries together may make beyond the ratio in a window. */
   readonly slack: number
   /** Entries that share the slack, as far as this one knows. */
   readonly entries: () => number
@@ -25,17 +25,17 @@
 }
 
 /** Keeps one service's repeats to a share of its requests. Each entry counts its own requests and its part of the slack. */
-export class Repeats {
+export class RetryBudget {
   readonly #clock: Clock
-  readonly #options: RepeatOptions
+  readonly #options: RetryBudgetOptions
   readonly #parts: Part[] = []
 
-  constructor (clock: Clock, options: RepeatOptions) {
+  constructor (clock: Clock, options: RetryBudgetOptions) {
     this.#clock = clock
     this.#options = options
   }
 
-  /** Repeats in the running window. */
+  /** RetryBudget in the running window. */
   get used (): number {
     return this.#sum(part => part.repeats, parts + 1)
   }
--- a/packages/direct/src/choice.ts
+++ b/packages/dispatch/src/choice.ts
@@ -1,15 +1,14 @@
 import { type Clock, type Random } from '@eiderwind/clock'
+import { type InFlight, type Suspects } from '@eiderwind/detect'
 import { type Beat, type Peers } from '@eiderwind/peers'
 import { type Roster, type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
-import { type Flights } from './flights.js'
-import { type Suspects } from './suspects.js'
 
 /** What the choice stands on. */
 export interface ChoiceOptions {
   readonly clock: Clock
   readonly roster: Roster
-  readonly flights: Flights
+  readonly inFlight: InFlight
   readonly peers: Peers
   readonly suspects: Suspects
   /** Where this entry is. Among equals, an upstream there is chosen. */
@@ -69,12 +68,12 @@
   /** Requests under way at an upstream: this entry's, and what the others told last. */
   #load (id: string, beats: readonly Beat[]): number {
     const others = beats.reduce((sum, { loads }) => sum + (loads[id] ?? 0), 0)
-    return this.#options.flights.count(id) + others
+    return this.#options.inFlight.count(id) + others
   }
 
   #cost (id: string): number {
     const { time, failures } = this.#records.get(id) ?? { time: 1, failures: 0 }
-    return (this.#options.flights.count(id) + 1) * Math.max(time, 1) * (1 + failureCost * failures)
+    return (this.#options.inFlight.count(id) + 1) * Math.max(time, 1) * (1 + failureCost * failures)
   }
 
   #least (upstreams: readonly Upstream[], cost: (upstream: Upstream) => number): Upstream | undefined {
--- a/packages/direct/src/waiting.ts
+++ b/packages/dispatch/src/queue.ts
@@ -8,7 +8,7 @@
 }
 
 /** Requests that wait for room, the most urgent first, then the oldest. */
-export class Waiting {
+export class Queue {
   readonly #clock: Clock
   readonly #waiters: Waiter[] = []
   #order = 0
--- a/packages/forming/src/forming.ts
+++ b/packages/forming/src/forming.ts
@@ -1,4 +1,5 @@
 import { type Subscription } from '@eiderwind/clock'
+import { Liveness, type LivenessOptions } from '@eiderwind/detect'
 import { type Upstream } from '@eiderwind/roster'
 import { type Engine, type Service } from '@eiderwind/traffic'
 import { needs, retarget, type Counts, type Demand } from './demand.js'
@@ -6,12 +7,12 @@
 import { Former } from './former.js'
 import { Ledger, type OrderResult } from './ledger.js'
 import { LoadRate } from './loadrate.js'
-import { type Placements } from './orders.js'
+import { type Orders, type Placements } from './orders.js'
 import { emptyPlacement, type Placement } from './placement.js'
-import { Vitals, type VitalsOptions } from './vitals.js'
 
 /** What the controller stands on. Spans are in ms. */
-export interface FormingOptions extends Omit<VitalsOptions, 'changed'> {
+export interface FormingOptions extends Omit<LivenessOptions, 'changed'> {
+  readonly orders: Orders
   readonly placements: Placements
   /** The services of the configuration in force. */
   readonly services: () => readonly Service[]
@@ -53,7 +54,7 @@
   readonly #former: Former
   readonly #loads: LoadRate
   readonly #domains = new Map<string, Domain>()
-  readonly #vitals: Vitals
+  readonly #liveness: Liveness
   /** The most engines that were ever listed, and when the last of them came. */
   #arrived = { count: 0, at: -Infinity }
   #busy = false
@@ -65,7 +66,7 @@
     this.#options = options
     this.#ledger = new Ledger(options.clock, repeatAfter)
     this.#loads = new LoadRate(options.clock)
-    this.#vitals = new Vitals({ ...options, changed: () => this.wake() })
+    this.#liveness = new Liveness({ ...options, changed: () => this.wake() })
     this.#former = new Former({ ledger: this.#ledger, loads: this.#loads })
   }
 
@@ -99,7 +100,7 @@
     const { roster, services, acts } = this.#options
     if (!roster.known) return
     this.#ledger.sweep()
-    this.#vitals.sweep([...this.#domains.values()].map(each => each.placement))
+    this.#liveness.sweep([...this.#domains.values()].flatMap(each => each.placement.replicas))
     this.#loads.settle(roster.all)
     for (const service of services()) {
       if (service.engine === undefined) continue
@@ -124,7 +125,7 @@
     const arriving = unserved && this.#arriving(domains)
     const fleet = { whole, needs: needs(engine.models, whole, demand), complete: this.#complete(domains), unserved, arriving }
     for (const domain of domains) {
-      this.#vitals.examine(domain.placement)
+      this.#liveness.examine(domain.placement.replicas)
       const step = this.#former.step(this.#facts(domain, engine, targets.get(domain.key) as Counts, fleet))
       if (step.placement !== domain.placement && !await this.#write(domain, step)) continue
       for (const order of step.orders) this.#give(order)
@@ -132,11 +133,11 @@
   }
 
   #facts ({ placement, upstreams }: Domain, engine: Engine, targets: Counts, fleet: Fleet): DomainFacts {
-    return { engine, placement, upstreams, silent: this.#vitals.silent, doubtful: this.#options.roster.lapsed, ended: this.#vitals.ended, targets, ...fleet }
+    return { engine, placement, upstreams, silent: this.#liveness.silent, doubtful: this.#options.roster.lapsed, ended: this.#liveness.ended, targets, ...fleet }
   }
 
   #stays ({ id, leaving }: Upstream): boolean {
-    return !leaving && !this.#vitals.silent.has(id)
+    return !leaving && !this.#liveness.silent.has(id)
   }
 
   /** Replicas by model that have all their members. */
@@ -213,7 +214,7 @@
     this.#ledger.given(order)
     orders.give(order).then(result => {
       this.#ledger.answered(order, result)
-      if (order.kind === 'close') this.#vitals.closed(order.node, result)
+      if (order.kind === 'close') this.#liveness.closed(order.node, result !== 'unanswered')
       ordered(order, result, clock.now() - begun)
       this.wake()
     }).catch(failed)
--- a/packages/forming/src/orders.ts
+++ b/packages/forming/src/orders.ts
@@ -6,10 +6,6 @@
 /** Gives orders to engines. */
 export abstract class Orders {
   abstract give (order: Order): Promise<OrderResult>
-  /** Whether an engine answers a call at all. */
-  abstract answers (address: string): Promise<boolean>
-  /** A number that changes as long as the platform hears of an upstream; undefined where that cannot be told. */
-  abstract pulse (node: string): Promise<number | undefined>
 }
 
 /** Why a placement could not be written: another one was there first, or nobody can tell. */
--- a/packages/forming/test/world.ts
+++ b/packages/forming/test/world.ts
@@ -2,6 +2,7 @@
 import { Outage, Roster, type Membership, type Upstream } from '@eiderwind/roster'
 import { type Engine, type Service } from '@eiderwind/traffic'
 import { Err, Ok, type Result } from 'ts-results-es'
+import { Probes } from '@eiderwind/detect'
 import { Forming, Orders, Placements, emptyPlacement, type Order, type OrderResult, type Placement, type WriteFailure } from '../src/index.js'
 
 /** The models of the engines here: one of four nodes and one of two. */
@@ -117,17 +118,19 @@
     return 'unanswered'
   }
 
-  async answers (address: string): Promise<boolean> {
-    const node = this.#node(address.split(':')[0])
-    return node.alive && node.reachable && !this.mute.has(address.split(':')[0])
-  }
-
-  async pulse (id: string): Promise<number | undefined> {
-    this.felt.add(id)
-    const node = this.#nodes.get(id)
-    if (node === undefined || this.roster.find(id) === undefined) return undefined
-    return node.alive ? ++node.pulse : node.pulse
-  }
+  /** What the nodes answer when they are asked after. */
+  readonly probes: Probes = new WorldProbes({
+    answers: async address => {
+      const node = this.#node(address.split(':')[0])
+      return node.alive && node.reachable && !this.mute.has(address.split(':')[0])
+    },
+    pulse: async id => {
+      this.felt.add(id)
+      const node = this.#nodes.get(id)
+      if (node === undefined || this.roster.find(id) === undefined) return undefined
+      return node.alive ? ++node.pulse : node.pulse
+    }
+  })
 
   #carryOut (node: Node, order: Order): OrderResult {
     switch (order.kind) {
@@ -231,6 +234,25 @@
   }
 }
 
+class WorldProbes extends Probes {
+  readonly #answers: Probes['answers']
+  readonly #pulse: Probes['pulse']
+
+  constructor ({ answers, pulse }: Pick<Probes, 'answers' | 'pulse'>) {
+    super()
+    this.#answers = answers
+    this.#pulse = pulse
+  }
+
+  answers (address: string): Promise<boolean> {
+    return this.#answers(address)
+  }
+
+  pulse (node: string): Promise<number | undefined> {
+    return this.#pulse(node)
+  }
+}
+
 /** Keeps placements in memory, with versions, for any number of planners. */
 export class MemoryPlacements extends Placements {
   readonly #kept = new Map<string, { placement: Placement, version: number }>()
@@ -253,6 +275,7 @@
     clock: world.clock,
     roster: world.roster,
     orders: world,
+    probes: world.probes,
     placements,
     services: () => [service],
     acts: options.acts ?? (() => true),
--- a/packages/direct/src/attempt.ts
+++ b/packages/forward/src/attempt.ts
@@ -1,9 +1,9 @@
+import { type InFlightRequest } from '@eiderwind/detect'
 import { Receiver, type AnswerHeaders, type Break, type Cancel, type Flow } from '@eiderwind/wire'
 import { type Upstream } from '@eiderwind/roster'
 import { answerHeader, belongs, saysNotRun } from './answers.js'
 import { type Context } from './context.js'
-import { type Exchange } from './exchange.js'
-import { type Flight } from './flights.js'
+import { type CallerRequest } from './request.js'
 import { outgoing } from './outgoing.js'
 
 /** A whole answer. */
@@ -33,7 +33,7 @@
 /** What is done to begin an attempt. */
 export interface AttemptOptions {
   readonly context: Context
-  readonly exchange: Exchange
+  readonly exchange: CallerRequest
   readonly upstream: Upstream
   /** The model that is asked for; empty where there is none. */
   readonly model: string
@@ -47,7 +47,7 @@
 export abstract class Attempt extends Receiver {
   readonly upstream: Upstream
   readonly #options: AttemptOptions
-  #flight: Flight | undefined
+  #flight: InFlightRequest | undefined
   #cancel: Cancel | undefined
   #flow: Flow | undefined
   #headers: AnswerHeaders = {}
@@ -71,7 +71,7 @@
   /** Whether the answer that was taken is whole at its end. */
   protected abstract whole (): boolean
 
-  protected get exchange (): Exchange {
+  protected get exchange (): CallerRequest {
     return this.#options.exchange
   }
 
@@ -92,7 +92,7 @@
     exchange.sends++
     exchange.running = upstream.id
     context.suspects.sent(upstream.id)
-    this.#flight = context.flights.begin(upstream.id, model, () => this.stalled())
+    this.#flight = context.inFlight.begin(upstream.id, model, () => this.stalled())
     this.#cancel = context.connections.send(outgoing(exchange, upstream, context.names, lastEvent), this, fresh)
     if (this.#over) this.#cancel(new Error('The attempt is over.'))
     else exchange.working(() => this.abandon('no longer waited for'))
@@ -148,14 +148,14 @@
   }
 
   #heard (): void {
-    if (this.#flight !== undefined) this.#options.context.flights.heard(this.#flight)
+    if (this.#flight !== undefined) this.#options.context.inFlight.heard(this.#flight)
     this.#options.context.suspects.heard(this.upstream.id)
   }
 
   #end (ending: Ending): void {
     if (this.#over) return
     this.#over = true
-    if (this.#flight !== undefined) this.#options.context.flights.end(this.#flight)
+    if (this.#flight !== undefined) this.#options.context.inFlight.end(this.#flight)
     this.#chunks = []
     this.#options.ended(ending)
   }
--- a/packages/direct/src/outgoing.ts
+++ b/packages/forward/src/outgoing.ts
@@ -1,13 +1,13 @@
 import { hopHeaders, type Call } from '@eiderwind/wire'
 import { type Upstream } from '@eiderwind/roster'
-import { type Exchange } from './exchange.js'
+import { type CallerRequest } from './request.js'
 import { lastEventName, type HeaderNames } from './names.js'
 
 /** The least urgency that can be told. */
 const leastUrgent = 9
 
 /** The call that carries a request to an upstream. @param lastEvent the last event that the caller has, where a stream goes on */
-export function outgoing (exchange: Exchange, upstream: Upstream, names: HeaderNames, lastEvent?: number): Call {
+export function outgoing (exchange: CallerRequest, upstream: Upstream, names: HeaderNames, lastEvent?: number): Call {
   const headers: Record<string, string> = {}
   const connection = connectionHeaders(exchange)
   for (const [name, value] of Object.entries(exchange.request.headers)) {
@@ -31,7 +31,7 @@
 }
 
 /** Headers that the caller named as belonging to its connection. */
-function connectionHeaders ({ request }: Exchange): ReadonlySet<string> {
+function connectionHeaders ({ request }: CallerRequest): ReadonlySet<string> {
   const value = request.headers.connection
   if (value === undefined) return new Set()
   return new Set(value.toLowerCase().split(',').map(each => each.trim()))
--- a/packages/direct/src/plain.ts
+++ b/packages/forward/src/plain.ts
@@ -4,7 +4,7 @@
 import { endWithConnection, isFramed } from './answers.js'
 import { CollectAttempt, type Answered, type Ending } from './attempt.js'
 import { type Context } from './context.js'
-import { type Exchange } from './exchange.js'
+import { type CallerRequest } from './request.js'
 
 /** The least status of an upstream's own failure. */
 const failureStatus = 500
@@ -16,12 +16,12 @@
 const comeBack = 0.3
 
 /** The longest a request may wait for room, in ms. */
-export function patience ({ route, left }: Exchange): number {
+export function patience ({ route, left }: CallerRequest): number {
   return Math.min(waitShare * route.objective, left)
 }
 
 /** Serves a request whose answer is passed on whole: one attempt after another, as far as it may run again. */
-export async function servePlain (context: Context, exchange: Exchange): Promise<void> {
+export async function servePlain (context: Context, exchange: CallerRequest): Promise<void> {
   let answer: Ending | undefined
   while (!exchange.over) {
     const upstream = await find(context, exchange)
@@ -36,11 +36,11 @@
   conclude(context, exchange, answer)
 }
 
-function find ({ choice, waiting }: Context, exchange: Exchange): Promise<Upstream | undefined> {
-  return waiting.wait(exchange.priority, exchange.offered ? 0 : patience(exchange), () => choice.plain(exchange.service, exchange.tried), leave => exchange.working(leave))
+function find ({ choice, queue }: Context, exchange: CallerRequest): Promise<Upstream | undefined> {
+  return queue.wait(exchange.priority, exchange.offered ? 0 : patience(exchange), () => choice.plain(exchange.service, exchange.tried), leave => exchange.working(leave))
 }
 
-function attempt (context: Context, exchange: Exchange, upstream: Upstream): Promise<Ending> {
+function attempt (context: Context, exchange: CallerRequest, upstream: Upstream): Promise<Ending> {
   const begun = context.clock.now()
   return new Promise(resolve => {
     const ended = (ending: Ending): void => {
@@ -53,11 +53,11 @@
 }
 
 /** Whether another attempt follows: the request may run again, or certainly did not run, and attempts and repeats are left. */
-function again (context: Context, exchange: Exchange, ending: Ending): boolean {
+function again (context: Context, exchange: CallerRequest, ending: Ending): boolean {
   if (ending.kind === 'passed' || (ending.kind === 'answered' && ending.status < failureStatus)) return false
   if (ending.kind !== 'not-run' && !exchange.repeatable) return false
   if (!exchange.mayGoOn) return false
-  return (ending.kind === 'not-run' && !ending.sent) || context.repeats(exchange.service).take()
+  return (ending.kind === 'not-run' && !ending.sent) || context.retryBudget(exchange.service).take()
 }
 
 /** Of two endings the one that says more to the caller. */
@@ -68,7 +68,7 @@
 }
 
 /** Passes a collected answer on in the framing that it came in. */
-export function passOn (exchange: Exchange, { status, headers, body }: Answered): void {
+export function passOn (exchange: CallerRequest, { status, headers, body }: Answered): void {
   const { request, response } = exchange
   const framed = isFramed(headers)
   if (!framed) endWithConnection(response)
@@ -77,7 +77,7 @@
   exchange.finish(`answered ${status}`)
 }
 
-function conclude ({ names }: Context, exchange: Exchange, ending: Ending | undefined): void {
+function conclude ({ names }: Context, exchange: CallerRequest, ending: Ending | undefined): void {
   if (ending?.kind === 'answered') {
     return passOn(exchange, ending)
   }
--- a/packages/direct/src/exchange.ts
+++ b/packages/forward/src/request.ts
@@ -6,7 +6,7 @@
 import { type Ending } from './attempt.js'
 
 /** One request of a caller, read and found proper. */
-export interface ExchangeOptions {
+export interface CallerRequestOptions {
   readonly clock: Clock
   readonly id: string
   readonly request: IncomingMessage
@@ -21,11 +21,11 @@
   /** The header under which the request's id goes back. */
   readonly idName: string
   /** Told once how it ended. */
-  readonly ended: (exchange: Exchange, outcome: string) => void
+  readonly ended: (exchange: CallerRequest, outcome: string) => void
 }
 
 /** What one caller's request has come to. It is answered once, and its work stops when its caller leaves or its time is over. */
-export class Exchange {
+export class CallerRequest {
   readonly id: string
   readonly request: IncomingMessage
   readonly response: ServerResponse
@@ -45,12 +45,12 @@
   readonly story: string[] = []
   readonly #clock: Clock
   readonly #idName: string
-  readonly #ended: (exchange: Exchange, outcome: string) => void
+  readonly #ended: (exchange: CallerRequest, outcome: string) => void
   readonly #timer: Subscription
   #cancel: (() => void) | undefined
   #over = false
 
-  constructor (options: ExchangeOptions) {
+  constructor (options: CallerRequestOptions) {
     this.id = options.id
     this.request = options.request
     this.response = options.response
--- a/packages/direct/src/stream.ts
+++ b/packages/forward/src/stream.ts
@@ -3,7 +3,7 @@
 import { type Upstream } from '@eiderwind/roster'
 import { type Ending } from './attempt.js'
 import { type Context } from './context.js'
-import { type Exchange } from './exchange.js'
+import { type CallerRequest } from './request.js'
 import { passOn, patience } from './plain.js'
 import { Progress, StreamAttempt } from './streaming.js'
 
@@ -23,12 +23,12 @@
 /** Serves a stream: from one upstream, and from another one on where it breaks off and may go on. */
 export class StreamPath {
   readonly #context: Context
-  readonly #exchange: Exchange
+  readonly #exchange: CallerRequest
   readonly #target: Target
   readonly #progress = new Progress()
   #sends = 0
 
-  constructor (context: Context, exchange: Exchange, target: Target) {
+  constructor (context: Context, exchange: CallerRequest, target: Target) {
     this.#context = context
     this.#exchange = exchange
     this.#target = target
@@ -52,7 +52,7 @@
   #find (): Promise<Upstream | undefined> {
     const exchange = this.#exchange
     const time = this.#sends === 0 ? patience(exchange) : Math.min(resumeTime, exchange.left)
-    return this.#context.waiting.wait(exchange.priority, time, () => this.#choose(), leave => exchange.working(leave))
+    return this.#context.queue.wait(exchange.priority, time, () => this.#choose(), leave => exchange.working(leave))
   }
 
   #choose (): Upstream | undefined {
@@ -79,7 +79,7 @@
   /** Whether a stream that stands still is better off elsewhere. */
   #mayMove (): boolean {
     const { service, repeatable, mayGoOn } = this.#exchange
-    return repeatable && mayGoOn && this.#context.repeats(service).left > 0 && this.#choose() !== undefined
+    return repeatable && mayGoOn && this.#context.retryBudget(service).left > 0 && this.#choose() !== undefined
   }
 
   #again (ending: Ending): boolean {
@@ -88,7 +88,7 @@
     if (ending.kind === 'answered' && (ending.status < 500 || !repeatable)) return false
     if (ending.kind === 'lost' && !repeatable) return false
     if (!mayGoOn) return false
-    return (ending.kind === 'not-run' && !ending.sent) || this.#context.repeats(service).take()
+    return (ending.kind === 'not-run' && !ending.sent) || this.#context.retryBudget(service).take()
   }
 
   #conclude (ending: Ending | undefined): void {
--- a/packages/direct/src/callers.ts
+++ b/packages/gateway/src/callers.ts
@@ -1,17 +1,15 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { type Random } from '@eiderwind/clock'
 import { Fault } from '@eiderwind/fault'
+import { CallerRequest, StreamPath, servePlain, type Context } from '@eiderwind/forward'
 import { pickShare, type Route, type Team } from '@eiderwind/traffic'
 import { header, listen, readBody, refuse } from '@eiderwind/wire'
-import { type Context } from './context.js'
-import { Exchange } from './exchange.js'
-import { type InForce } from './facts.js'
-import { servePlain } from './plain.js'
-import { StreamPath } from './stream.js'
+import { type GatewayBoard, type InForce } from './facts.js'
 
 /** What the callers' side is given. */
 export interface CallersOptions {
   readonly context: Context
+  readonly board: GatewayBoard
   /** `host:port` for callers. */
   readonly address: string
   /** How old the newest confirmation of the configuration may be for a request with a key, in ms. */
@@ -21,7 +19,7 @@
   /** Told the code of each request that is refused before anything is chosen for it. */
   readonly refused: (code: string) => void
   /** Told of each request's end. */
-  readonly ended: (exchange: Exchange, outcome: string) => void
+  readonly ended: (exchange: CallerRequest, outcome: string) => void
 }
 
 /** Longest request head that is read at all, in bytes; the configuration's limit is checked after. */
@@ -43,7 +41,7 @@
 export class Callers {
   readonly #options: CallersOptions
   readonly #server: Server
-  readonly #open = new Set<Exchange>()
+  readonly #open = new Set<CallerRequest>()
   #refusing = false
   #served = false
 
@@ -51,7 +49,7 @@
     this.#options = options
     this.#server = createServer({ maxHeaderSize: mostHeader, connectionsCheckingInterval: checkInterval, requestTimeout: 0, noDelay: true })
     this.#server.on('request', (request, response) => this.#take(request, response))
-    options.context.board.listen('inForce', inForce => { if (inForce !== undefined) this.#limit(inForce) })
+    options.board.listen('inForce', inForce => { if (inForce !== undefined) this.#limit(inForce) })
   }
 
   /** Whether a request ever came. */
@@ -82,8 +80,8 @@
 
   /** Whether the newest confirmation is young enough for requests with keys. */
   get fresh (): boolean {
-    const { context, freshness } = this.#options
-    return context.clock.now() - context.board.read('confirmedAt') <= freshness
+    const { context, board, freshness } = this.#options
+    return context.clock.now() - board.read('confirmedAt') <= freshness
   }
 
   #limit ({ traffic }: InForce): void {
@@ -99,11 +97,11 @@
   }
 
   async #handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const { context } = this.#options
+    const { context, board } = this.#options
     const arrivedAt = context.clock.now()
     this.#served = true
-    if (context.board.read('stopping')) response.setHeader('connection', 'close')
-    const inForce = context.board.read('inForce')
+    if (board.read('stopping')) response.setHeader('connection', 'close')
+    const inForce = board.read('inForce')
     const body = await readBody(request, inForce?.traffic.limits.body ?? 0)
     if (response.destroyed) return
     const pass = body.isErr() ? body.error : this.#check(request, inForce)
@@ -111,7 +109,7 @@
     const exchange = this.#exchange(request, response, body.value, pass, arrivedAt)
     if (exchange instanceof Fault) return this.#refuse(request, response, exchange)
     this.#open.add(exchange)
-    context.repeats(exchange.service).request()
+    context.retryBudget(exchange.service).request()
     await this.#serve(exchange, inForce as InForce)
   }
 
@@ -132,14 +130,14 @@
     return team === undefined ? new Fault('bad-key') : { route, team }
   }
 
-  #exchange (request: IncomingMessage, response: ServerResponse, body: Buffer, { route, team }: Pass, arrivedAt: number): Exchange | Fault {
+  #exchange (request: IncomingMessage, response: ServerResponse, body: Buffer, { route, team }: Pass, arrivedAt: number): CallerRequest | Fault {
     const { context, random, ended } = this.#options
     const id = header(request, context.names.request)
     if (id === undefined) return new Fault('bad-request', { detail: `The header ${context.names.request} is missing.` })
     const given = header(request, context.names.deadline)
     const span = given === undefined ? route.timeout : Number(given)
     if (!Number.isFinite(span) || span <= 0) return new Fault('bad-request', { detail: `The header ${context.names.deadline} takes milliseconds above 0.` })
-    return new Exchange({
+    return new CallerRequest({
       clock: context.clock,
       id,
       request,
@@ -158,7 +156,7 @@
     })
   }
 
-  async #serve (exchange: Exchange, { traffic }: InForce): Promise<void> {
+  async #serve (exchange: CallerRequest, { traffic }: InForce): Promise<void> {
     const { context } = this.#options
     const engine = traffic.services.find(each => each.name === exchange.service)?.engine
     const model = header(exchange.request, context.names.model) ?? ''
@@ -167,11 +165,11 @@
   }
 
   #refuse (request: IncomingMessage, response: ServerResponse, fault: Fault): void {
-    const { context } = this.#options
+    const { context, board } = this.#options
     const id = header(request, context.names.request)
     this.#options.refused(fault.code)
     if (id !== undefined) response.setHeader(context.names.request, id)
-    context.log.write('request-refused', { request: id, code: fault.code, status: fault.status, confirmed: Math.round(context.clock.now() - context.board.read('confirmedAt')) })
+    context.log.write('request-refused', { request: id, code: fault.code, status: fault.status, confirmed: Math.round(context.clock.now() - board.read('confirmedAt')) })
     refuse(response, fault, context.clock)
   }
 }
--- a/packages/direct/src/confirmations.ts
+++ b/packages/gateway/src/confirmations.ts
@@ -4,12 +4,12 @@
 import { type Peers } from '@eiderwind/peers'
 import { Traffic } from '@eiderwind/traffic'
 import { ask, listen, makeServer, readBody, type Connections } from '@eiderwind/wire'
-import { confirm, enforce, type DirectBoard } from './facts.js'
+import { confirm, enforce, type GatewayBoard } from './facts.js'
 
 /** What is needed to pass confirmations on and to ask for them. */
 export interface ConfirmationsOptions {
   readonly clock: Clock
-  readonly board: DirectBoard
+  readonly board: GatewayBoard
   readonly peers: Peers
   readonly connections: Connections
   /** `host:port` on which other entries ask. */
--- a/packages/direct/src/facts.ts
+++ b/packages/gateway/src/facts.ts
@@ -12,7 +12,7 @@
 }
 
 /** What a direct entry knows beside its roster and its peers. */
-export interface DirectFacts {
+export interface GatewayFacts {
   readonly inForce: InForce | undefined
   /** When the newest confirmation that this is the newest configuration was asked for, on `Clock.now`. */
   readonly confirmedAt: number
@@ -23,15 +23,15 @@
   readonly stopping: boolean
 }
 
-export type DirectBoard = Board<DirectFacts>
+export type GatewayBoard = Board<GatewayFacts>
 
 /** The board of a process that knows nothing yet. */
-export function directBoard (): DirectBoard {
-  return new Board<DirectFacts>({ inForce: undefined, confirmedAt: -Infinity, store: false, listed: false, stopping: false })
+export function gatewayBoard (): GatewayBoard {
+  return new Board<GatewayFacts>({ inForce: undefined, confirmedAt: -Infinity, store: false, listed: false, stopping: false })
 }
 
 /** Puts a configuration into force, unless it is older than the one in force. Says whether it did. */
-export function enforce (board: DirectBoard, traffic: Traffic, now: number): boolean {
+export function enforce (board: GatewayBoard, traffic: Traffic, now: number): boolean {
   const present = board.read('inForce')
   if (present !== undefined && present.traffic.revision >= traffic.revision) return false
   const teams = traffic.teams === undefined ? undefined : new TeamTable(traffic.teams)
@@ -40,6 +40,6 @@
 }
 
 /** Notes a confirmation that was asked for at `askedAt`. Confirmations may come out of order; the latest asked counts. */
-export function confirm (board: DirectBoard, askedAt: number): void {
+export function confirm (board: GatewayBoard, askedAt: number): void {
   if (askedAt > board.read('confirmedAt')) board.write('confirmedAt', askedAt)
 }
--- a/packages/direct/src/following.ts
+++ b/packages/gateway/src/following.ts
@@ -2,14 +2,14 @@
 import { type Log } from '@eiderwind/log'
 import { type Peers } from '@eiderwind/peers'
 import { type Outage, type Roster } from '@eiderwind/roster'
-import { confirm, enforce, type DirectBoard } from './facts.js'
+import { confirm, enforce, type GatewayBoard } from './facts.js'
 import { type Follower } from './platform.js'
 
 /** Where what the platform tells is kept. */
 export interface FollowingOptions {
   readonly clock: Clock
   readonly log: Log
-  readonly board: DirectBoard
+  readonly board: GatewayBoard
   readonly roster: Roster
   readonly outage: Outage
   readonly peers: Peers
--- a/packages/direct/src/direct.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,5 +1,8 @@
 import { type Clock, type Subscription } from '@eiderwind/clock'
+import { InFlight, Pauses, Stalls, Suspects } from '@eiderwind/detect'
+import { Choice, Queue, RetryBudget } from '@eiderwind/dispatch'
 import { Forming } from '@eiderwind/forming'
+import { type CallerRequest, type Context } from '@eiderwind/forward'
 import { ranked } from '@eiderwind/hash'
 import { type Log } from '@eiderwind/log'
 import { Peers, type Beat } from '@eiderwind/peers'
@@ -7,26 +10,17 @@
 import { type Service } from '@eiderwind/traffic'
 import { Connections } from '@eiderwind/wire'
 import { Callers } from './callers.js'
-import { Choice } from './choice.js'
 import { Confirmations } from './confirmations.js'
-import { type Context } from './context.js'
 import { Work } from './demand.js'
-import { type Exchange } from './exchange.js'
-import { directBoard, type DirectBoard } from './facts.js'
-import { Figures, type Reading } from './figures.js'
-import { Flights } from './flights.js'
+import { gatewayBoard, type GatewayBoard } from './facts.js'
+import { Metrics, type Reading } from './metrics.js'
 import { Health } from './health.js'
 import { following } from './following.js'
 import { type Platform } from './platform.js'
 import { RelayedOrders } from './relayed.js'
-import { Pauses } from './pauses.js'
-import { Repeats } from './repeats.js'
-import { Stalls } from './stalls.js'
-import { Suspects } from './suspects.js'
-import { Waiting } from './waiting.js'
 
 /** Settings of a direct entry. Spans are in ms. */
-export interface DirectSettings {
+export interface GatewaySettings {
   readonly id: string
   readonly dataCentre: string
   /** Whether the whole system starts for the first time, so that no caller can have been served yet. */
@@ -54,11 +48,11 @@
 }
 
 /** What a direct entry is made from. */
-export interface DirectOptions {
+export interface GatewayOptions {
   readonly clock: Clock
   readonly log: Log
   readonly platform: Platform
-  readonly settings: DirectSettings
+  readonly settings: GatewaySettings
 }
 
 /** Time between two beats, and silence after which another entry counts as gone, in ms. */
@@ -85,13 +79,13 @@
 const sampling = 50
 
 /** An entry that calls its upstreams directly: it serves callers and acts for the replicas of its services. */
-export class Direct {
-  readonly #options: DirectOptions
-  readonly #board: DirectBoard = directBoard()
+export class Gateway {
+  readonly #options: GatewayOptions
+  readonly #board: GatewayBoard = gatewayBoard()
   readonly #outage: Outage
   readonly #roster: Roster
   readonly #peers: Peers
-  readonly #flights: Flights
+  readonly #inFlight: InFlight
   readonly #suspects: Suspects
   readonly #connections = new Connections({ connectTime })
   readonly #pauses: Pauses
@@ -100,17 +94,17 @@
   readonly #health: Health
   readonly #stalls: Stalls
   readonly #forming: Forming
-  readonly #figures = new Figures(() => this.#reading())
+  readonly #metrics = new Metrics(() => this.#reading())
   readonly #work = new Work()
-  readonly #repeats = new Map<string, Repeats>()
-  readonly #waiting: Waiting
+  readonly #repeats = new Map<string, RetryBudget>()
+  readonly #queue: Queue
   readonly #acting = new Set<string>()
   readonly #startedAt: number
   #timer: Subscription | undefined
   #successes = 0
   #unconfirmed = false
 
-  constructor (options: DirectOptions) {
+  constructor (options: GatewayOptions) {
     const { clock, log, platform, settings } = options
     this.#options = options
     this.#startedAt = clock.now()
@@ -118,37 +112,36 @@
     this.#outage = new Outage(clock)
     this.#roster = new Roster(clock, this.#outage)
     this.#suspects = new Suspects(clock, this.#roster)
-    this.#waiting = new Waiting(clock)
-    this.#flights = new Flights(clock, () => this.#waiting.wake())
+    this.#queue = new Queue(clock)
+    this.#inFlight = new InFlight(clock, () => this.#queue.wake())
     this.#peers = new Peers({ clock, id: settings.id, address: settings.peers, beat: () => this.#beat(), interval: beatInterval, patience: beatPatience })
     const { names } = platform
-    const choice = new Choice({ clock, roster: this.#roster, flights: this.#flights, peers: this.#peers, suspects: this.#suspects, dataCentre: settings.dataCentre, random: Math.random })
+    const choice = new Choice({ clock, roster: this.#roster, inFlight: this.#inFlight, peers: this.#peers, suspects: this.#suspects, dataCentre: settings.dataCentre, random: Math.random })
     const context: Context = {
       clock,
       log,
-      board: this.#board,
       names,
       roster: this.#roster,
       connections: this.#connections,
-      flights: this.#flights,
+      inFlight: this.#inFlight,
       choice,
       suspects: this.#suspects,
-      waiting: this.#waiting,
-      repeats: service => this.#repeatsOf(service)
+      queue: this.#queue,
+      retryBudget: service => this.#repeatsOf(service)
     }
-    this.#callers = new Callers({ context, address: settings.callers, freshness: settings.freshness, random: Math.random, refused: code => this.#figures.refused(code), ended: (exchange, outcome) => this.#ended(exchange, outcome) })
+    this.#callers = new Callers({ context, board: this.#board, address: settings.callers, freshness: settings.freshness, random: Math.random, refused: code => this.#metrics.refused(code), ended: (exchange, outcome) => this.#ended(exchange, outcome) })
     this.#confirmations = new Confirmations({ clock, board: this.#board, peers: this.#peers, connections: this.#connections, address: settings.peers, orders: platform.orders })
     this.#health = new Health(settings.health, () => this.ready)
     this.#stalls = new Stalls({
       clock,
       log,
       roster: this.#roster,
-      flights: this.#flights,
+      inFlight: this.#inFlight,
       suspects: this.#suspects,
       silence: settings.silence,
       pauses: this.#pauses,
       suspected: () => {
-        this.#figures.suspected()
+        this.#metrics.suspected()
         this.#peers.tell()
       }
     })
@@ -156,6 +149,7 @@
       clock,
       roster: this.#roster,
       orders: new RelayedOrders({ clock, orders: platform.orders, peers: this.#peers, connections: this.#connections }),
+      probes: platform.probes,
       pulseTime: settings.pulse,
       wokeAt: () => this.#pauses.wokeAt,
       placements: platform.placements,
@@ -167,12 +161,12 @@
       decided: (domain, note, epoch) => log.write('replica-decided', { domain, note, epoch }),
       ordered: (order, result, took) => {
         const { kind, node: upstream, replica, epoch, model } = order
-        this.#figures.ordered(kind, result)
+        this.#metrics.ordered(kind, result)
         log.write('engine-order', { kind, upstream, replica, epoch, model, result, took: Math.round(took) })
       },
       failed: error => log.write('controller-failed', { controller: 'forming', cause: String((error as Error).stack) })
     })
-    this.#roster.listen(() => this.#waiting.wake())
+    this.#roster.listen(() => this.#queue.wake())
   }
 
   /** Whether the balancer should send callers here. */
@@ -183,7 +177,7 @@
   async start (): Promise<void> {
     const { clock, log, platform, settings } = this.#options
     await Promise.all([this.#callers.start(), this.#health.start(), this.#confirmations.start(), this.#peers.start()])
-    if (settings.metrics !== '') await this.#figures.start(settings.metrics)
+    if (settings.metrics !== '') await this.#metrics.start(settings.metrics)
     platform.follow(following({ clock, log, board: this.#board, roster: this.#roster, outage: this.#outage, peers: this.#peers }))
     platform.enter({ id: settings.id, address: settings.peers })
     this.#pauses.start()
@@ -210,7 +204,7 @@
     this.#confirmations.stop()
     this.#peers.stop()
     this.#health.stop()
-    this.#figures.stop()
+    this.#metrics.stop()
     platform.stop()
     this.#connections.close()
   }
@@ -241,12 +235,12 @@
     return this.#options.clock.now() - Math.max(this.#startedAt, this.#pauses.wokeAt) > settleTime
   }
 
-  #repeatsOf (service: string): Repeats {
+  #repeatsOf (service: string): RetryBudget {
     const known = this.#repeats.get(service)
     if (known !== undefined) return known
     const { clock, settings } = this.#options
     const entries = (): number => this.#board.read('listed') ? this.#peers.addresses.length + 1 : unknownEntries
-    const made = new Repeats(clock, { ratio: settings.retryRatio, slack: settings.retrySlack, window: settings.retryWindow, entries })
+    const made = new RetryBudget(clock, { ratio: settings.retryRatio, slack: settings.retrySlack, window: settings.retryWindow, entries })
     this.#repeats.set(service, made)
     return made
   }
@@ -256,9 +250,9 @@
       id: this.#options.settings.id,
       revision: this.#board.read('inForce')?.traffic.revision ?? 0,
       able: this.#mayAct,
-      loads: this.#flights.counts,
+      loads: this.#inFlight.counts,
       suspects: this.#suspects.all,
-      models: this.#flights.models,
+      models: this.#inFlight.models,
       served: this.#callers.served
     }
   }
@@ -274,15 +268,15 @@
       revision: this.#board.read('inForce')?.traffic.revision ?? 0,
       confirmationAge: (clock.now() - this.#board.read('confirmedAt')) / 1000,
       replicas,
-      flights: Object.values(this.#flights.counts).reduce((sum, each) => sum + each, 0),
-      waiting: this.#waiting.count,
+      flights: Object.values(this.#inFlight.counts).reduce((sum, each) => sum + each, 0),
+      waiting: this.#queue.count,
       connections: this.#connections.opened,
       repeatsLeft: Object.fromEntries([...this.#repeats].map(([service, each]) => [service, each.left]))
     }
   }
 
   #sample (): void {
-    this.#work.sample([this.#flights.models, ...this.#peers.live.map(each => each.models)])
+    this.#work.sample([this.#inFlight.models, ...this.#peers.live.map(each => each.models)])
     const { log, platform, settings } = this.#options
     platform.hurry(this.#acting.size > 0)
     platform.confirms(!this.#mayAct || ranked(confirmersKey, this.#able).slice(0, confirmers).includes(settings.id))
@@ -292,8 +286,8 @@
     log.write(unconfirmed ? 'configuration-unconfirmed' : 'configuration-confirmed', { revision: this.#board.read('inForce')?.traffic.revision })
   }
 
-  #ended (exchange: Exchange, outcome: string): void {
-    this.#figures.ended(exchange, outcome, (this.#options.clock.now() - exchange.arrivedAt) / 1000)
+  #ended (exchange: CallerRequest, outcome: string): void {
+    this.#metrics.ended(exchange, outcome, (this.#options.clock.now() - exchange.arrivedAt) / 1000)
     const good = outcome === 'answered 200' || outcome === 'answered'
     if (good && exchange.story.length < 2 && ++this.#successes % sampling !== 0) return
     const { id, route, service, team, arrivedAt, story, running } = exchange
--- a/packages/direct/src/figures.ts
+++ b/packages/gateway/src/metrics.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from 'node:http'
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
+import { type CallerRequest } from '@eiderwind/forward'
 import { listen } from '@eiderwind/wire'
-import { type Exchange } from './exchange.js'
 
 /** What is read at the moment when the figures are asked for. */
 export interface Reading {
@@ -22,7 +22,7 @@
 const buckets = [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8]
 
 /** Counters and latency histograms of a direct entry in Prometheus' text form. Labels are kinds, services and outcomes: few. */
-export class Figures {
+export class Metrics {
   readonly #registry = new Registry()
   readonly #server: Server
   readonly #read: () => Reading
@@ -72,7 +72,7 @@
     return await this.#registry.metrics()
   }
 
-  ended ({ route: { kind }, service, story }: Exchange, outcome: string, seconds: number): void {
+  ended ({ route: { kind }, service, story }: CallerRequest, outcome: string, seconds: number): void {
     this.#requests.inc({ kind, service, outcome })
     this.#times.observe({ kind }, seconds)
     for (const each of story) this.#attempts.inc({ kind, ending: each.split(' ')[1] })
--- a/packages/direct/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -1,8 +1,9 @@
+import { type Probes } from '@eiderwind/detect'
 import { type Orders, type Placements } from '@eiderwind/forming'
+import { type HeaderNames } from '@eiderwind/forward'
 import { type PeerAddress } from '@eiderwind/peers'
 import { type RosterChange, type Upstream } from '@eiderwind/roster'
 import { type Traffic } from '@eiderwind/traffic'
-import { type HeaderNames } from './names.js'
 
 /** Takes what the platform tells. Times are on `Clock.now`. */
 export interface Follower {
@@ -25,6 +26,7 @@
 export abstract class Platform {
   abstract readonly names: HeaderNames
   abstract readonly orders: Orders
+  abstract readonly probes: Probes
   abstract readonly placements: Placements
   /** Tells the follower everything, and each change, until `stop`. */
   abstract follow (follower: Follower): void
--- a/packages/direct/src/relayed.ts
+++ b/packages/gateway/src/relayed.ts
@@ -34,14 +34,6 @@
     return results.find(each => each !== 'unanswered') ?? 'unanswered'
   }
 
-  async answers (address: string): Promise<boolean> {
-    return await this.#options.orders.answers(address)
-  }
-
-  async pulse (node: string): Promise<number | undefined> {
-    return await this.#options.orders.pulse(node)
-  }
-
   async #relay (address: string, order: Order): Promise<OrderResult> {
     const { clock, connections } = this.#options
     const call = { origin: `http://${address}`, path: orderPath, method: 'POST', headers: {}, body: Buffer.from(JSON.stringify(order)) }
--- a/packages/direct/test/digest.test.ts
+++ b/packages/gateway/test/digest.test.ts
@@ -3,11 +3,12 @@
 import { createSocket } from 'node:dgram'
 import test from 'ava'
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
+import { InFlight, Pauses, Stalls, Suspects, type InFlightRequest } from '@eiderwind/detect'
+import { Choice, Queue, RetryBudget } from '@eiderwind/dispatch'
 import { Log } from '@eiderwind/log'
 import { Peers } from '@eiderwind/peers'
 import { Roster, type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
-import { Choice, Flights, Pauses, Repeats, Stalls, Suspects, Waiting, type Flight } from '../src/index.js'
 
 function digest (lines: readonly string[]): string {
   return createHash('sha256').update(lines.join('\n')).digest('hex').slice(0, 16)
@@ -39,10 +40,10 @@
   const random = seeded(41)
   const clock = new ManualClock()
   const roster = new Roster(clock)
-  const flights = new Flights(clock, () => {})
+  const flights = new InFlight(clock, () => {})
   const suspects = new Suspects(clock, roster)
-  const choice = new Choice({ clock, roster, flights, peers: alone(clock), suspects, dataCentre: 'dc1', random: seeded(42) })
-  const running: Flight[] = []
+  const choice = new Choice({ clock, roster, inFlight: flights, peers: alone(clock), suspects, dataCentre: 'dc1', random: seeded(42) })
+  const running: InFlightRequest[] = []
   const lines: string[] = []
   for (let step = 0; step < 2000; step++) {
     if (step % 100 === 0) roster.replace(Array.from({ length: 10 }, (_each, index) => upstream(index, random)))
@@ -72,7 +73,7 @@
   const clock = new ManualClock()
   const roster = new Roster(clock)
   roster.replace(Array.from({ length: 6 }, (_each, index) => ({ ...upstream(index, () => 0.5), loaded: ['large'] })))
-  const flights = new Flights(clock, () => {})
+  const flights = new InFlight(clock, () => {})
   const socket = createSocket('udp4')
   await new Promise<void>(resolve => socket.bind(0, '127.0.0.1', resolve))
   const { port } = socket.address()
@@ -81,7 +82,7 @@
   const peers = new Peers({ clock, id: 'e', address: `127.0.0.1:${port}`, beat: () => beat, interval: 250, patience: 1000 })
   await peers.start()
   const other = createSocket('udp4')
-  const choice = new Choice({ clock, roster, flights, peers, suspects: new Suspects(clock, roster), dataCentre: 'dc1', random: seeded(43) })
+  const choice = new Choice({ clock, roster, inFlight: flights, peers, suspects: new Suspects(clock, roster), dataCentre: 'dc1', random: seeded(43) })
   const loads = { u0: 1, u1: 6, u2: 3, u3: 0, u4: 6, u5: 2 }
   other.send(JSON.stringify({ ...beat, id: 'f', loads }), port, '127.0.0.1')
   for (let turn = 0; turn < 200 && peers.live.length === 0; turn++) await new Promise(resolve => setTimeout(resolve, 5))
@@ -101,7 +102,7 @@
   const random = seeded(44)
   const clock = new ManualClock()
   let entries = 4
-  const repeats = new Repeats(clock, { ratio: 0.2, window: 10_000, slack: 40, entries: () => entries })
+  const repeats = new RetryBudget(clock, { ratio: 0.2, window: 10_000, slack: 40, entries: () => entries })
   const lines: string[] = []
   for (let step = 0; step < 4000; step++) {
     clock.advance(Math.floor(random() * 120))
@@ -115,7 +116,7 @@
 test('who waits is served in the same order', async t => {
   const random = seeded(45)
   const clock = new ManualClock()
-  const waiting = new Waiting(clock)
+  const waiting = new Queue(clock)
   const lines: string[] = []
   const free: number[] = []
   const all: Array<Promise<void>> = []
@@ -136,14 +137,14 @@
   const random = seeded(46)
   const clock = new ManualClock()
   const roster = new Roster(clock)
-  const flights = new Flights(clock, () => {})
+  const flights = new InFlight(clock, () => {})
   const suspects = new Suspects(clock, roster)
   const pauses = new Pauses(clock)
   const lines: string[] = []
-  const stalls = new Stalls({ clock, log: new Log({ sink: line => lines.push(line.replace(/"time":"[^"]*"/, '')) }), roster, flights, suspects, silence: 400, pauses, suspected: () => lines.push('suspected') })
+  const stalls = new Stalls({ clock, log: new Log({ sink: line => lines.push(line.replace(/"time":"[^"]*"/, '')) }), roster, inFlight: flights, suspects, silence: 400, pauses, suspected: () => lines.push('suspected') })
   pauses.start()
   stalls.start()
-  const running: Flight[] = []
+  const running: InFlightRequest[] = []
   for (let step = 0; step < 3000; step++) {
     if (step % 300 === 0) roster.replace(Array.from({ length: 10 }, (_each, index) => upstream(index, random)))
     clock.advance(Math.floor(random() * 60))
