--- a/packages/detect/src/index.ts
+++ b/packages/detect/src/index.ts
@@ -1,4 +1,4 @@
-/** Failure detection: requests in flight and silence, suspected heads, and pauses of this process itself. */
+/** Failure detection: silence of upstreams, suspects, unreachable engines and dead heads, pauses of this process. */
 export { InFlight, InFlightRequest } from './inflight.js'
 export { Suspects } from './suspects.js'
 export { Pauses } from './pauses.js'
--- a/packages/detect/src/inflight.ts
+++ b/packages/detect/src/inflight.ts
@@ -1,12 +1,17 @@
+/**
+ * This gateway's requests in flight, by upstream and by model, and when each upstream last sent anything.
+ * Owns the counts that the choice of an upstream, the heartbeats to other gateways and the stall detector read.
+ * Relies on forwarding to report the start, every received byte and the end of each attempt.
+ */
 import { type Clock } from '@eiderwind/clock'
 
-/** A request under way at an upstream. */
+/** A request in flight at one upstream. */
 export class InFlightRequest {
   readonly upstream: string
   readonly model: string
   /** When it was sent, on `Clock.now`. */
   readonly sentAt: number
-  /** Told when the upstream is taken to stand still. */
+  /** Called when the upstream is suspected of having stalled. */
   readonly stalled: (() => void) | undefined
 
   constructor (upstream: string, model: string, sentAt: number, stalled?: () => void) {
@@ -17,75 +22,79 @@
   }
 }
 
-/** What one upstream has of this entry's. */
+/** The requests in flight at one upstream. */
 interface Load {
-  readonly flights: Set<InFlightRequest>
-  /** When anything came from it, on `Clock.now`. */
-  heardAt: number
+  readonly requests: Set<InFlightRequest>
+  /** When anything was last received from it, on `Clock.now`. */
+  receivedAt: number
 }
 
-/** Counts this entry's requests under way by upstream and model, and when each upstream was last heard. */
+/** Counts requests in flight by upstream and model. */
 export class InFlight {
   readonly #clock: Clock
   readonly #loads = new Map<string, Load>()
   readonly #models = new Map<string, number>()
-  readonly #freed: () => void
+  readonly #ended: () => void
 
-  /** @param freed told after a flight has ended */
-  constructor (clock: Clock, freed: () => void) {
+  /** @param ended called after each request has ended, when its place is free again */
+  constructor (clock: Clock, ended: () => void) {
     this.#clock = clock
-    this.#freed = freed
+    this.#ended = ended
   }
 
   count (upstream: string): number {
-    return this.#loads.get(upstream)?.flights.size ?? 0
+    return this.#loads.get(upstream)?.requests.size ?? 0
   }
 
-  /** Upstreams with flights, and how many. */
+  /** Requests in flight by upstream; upstreams without any are left out. */
   get counts (): Record<string, number> {
-    return Object.fromEntries([...this.#loads].map(([id, { flights }]) => [id, flights.size]))
+    return Object.fromEntries([...this.#loads].map(([id, { requests }]) => [id, requests.size]))
   }
 
-  /** Models with flights, and how many. */
+  /** Requests in flight by model; '' stands for requests that name none. */
   get models (): Record<string, number> {
     return Object.fromEntries(this.#models)
   }
 
-  /** Begins a flight. */
+  /** Adds a request that is sent now. */
   begin (upstream: string, model: string, stalled?: () => void): InFlightRequest {
-    const flight = new InFlightRequest(upstream, model, this.#clock.now(), stalled)
-    const load = this.#loads.get(upstream) ?? { flights: new Set<InFlightRequest>(), heardAt: -Infinity }
-    load.flights.add(flight)
+    const request = new InFlightRequest(upstream, model, this.#clock.now(), stalled)
+    const load = this.#loads.get(upstream) ?? { requests: new Set<InFlightRequest>(), receivedAt: -Infinity }
+    load.requests.add(request)
     this.#loads.set(upstream, load)
     this.#models.set(model, (this.#models.get(model) ?? 0) + 1)
-    return flight
+    return request
   }
 
-  /** Notes that something came from the flight's upstream. */
-  heard ({ upstream }: InFlightRequest): void {
+  /** Records that something was received from the request's upstream. */
+  received ({ upstream }: InFlightRequest): void {
     const load = this.#loads.get(upstream)
-    if (load !== undefined) load.heardAt = this.#clock.now()
+    if (load !== undefined) load.receivedAt = this.#clock.now()
   }
 
-  end (flight: InFlightRequest): void {
-    const load = this.#loads.get(flight.upstream)
-    if (load?.flights.delete(flight) !== true) return
-    if (load.flights.size === 0) this.#loads.delete(flight.upstream)
-    this.#models.set(flight.model, (this.#models.get(flight.model) ?? 1) - 1)
-    this.#freed()
+  /** Removes a request that has ended. A second call does nothing. */
+  end (request: InFlightRequest): void {
+    const load = this.#loads.get(request.upstream)
+    if (load?.requests.delete(request) !== true) return
+    if (load.requests.size === 0) this.#loads.delete(request.upstream)
+    this.#models.set(request.model, (this.#models.get(request.model) ?? 1) - 1)
+    this.#ended()
   }
 
-  /** InFlight at an upstream. */
+  /** The requests in flight at an upstream. */
   at (upstream: string): InFlightRequest[] {
-    return [...this.#loads.get(upstream)?.flights ?? []]
+    return [...this.#loads.get(upstream)?.requests ?? []]
   }
 
-  /** Upstreams with flights that were not heard for `silence(upstream, first)` ms; `first` is true before anything came. */
-  quiet (silence: (upstream: string) => number): string[] {
+  /**
+   * Upstreams from which nothing was received for longer than `limit(upstream)` ms. The silence counts from the last byte
+   * received or, where that is later, from the oldest request in flight: an idle upstream owes no bytes.
+   */
+  silent (limit: (upstream: string) => number): string[] {
     const now = this.#clock.now()
-    return [...this.#loads].filter(([upstream, { flights, heardAt }]) => {
-      const oldest = Math.min(...[...flights].map(each => each.sentAt))
-      return now - Math.max(heardAt, oldest) > silence(upstream)
+    return [...this.#loads].filter(([upstream, { requests, receivedAt }]) => {
+      const oldest = Math.min(...[...requests].map(each => each.sentAt))
+      return now - Math.max(receivedAt, oldest) > limit(upstream)
     }).map(([upstream]) => upstream)
   }
 }
--- a/packages/detect/src/liveness.ts
+++ b/packages/detect/src/liveness.ts
@@ -1,3 +1,10 @@
+/**
+ * Decides which engines are unreachable and which heads are dead. The difference matters: an unreachable engine is only
+ * not used; the members of a dead head are free for other replicas, so a head must not be called dead while it may
+ * still serve. The README draws the states and what moves an engine between them.
+ * Owns what is known of each engine in doubt; all of it is found out again after a restart. Relies on `Probes`, on the
+ * suspicions of all gateways, and on the reconciler to report the answers to its orders to close.
+ */
 import { type Clock } from '@eiderwind/clock'
 import { type Roster } from '@eiderwind/roster'
 import { type Probes } from './probes.js'
@@ -13,138 +20,152 @@
   readonly members: readonly NodeAddress[]
 }
 
-/** What is needed to tell whether engines live. Spans are in ms. */
+/** Dependencies of `Liveness`. Spans are in ms. */
 export interface LivenessOptions {
   readonly clock: Clock
   readonly roster: Roster
   readonly probes: Probes
-  /** Heads whose streams stand still, as any entry sees it. */
+  /** Ids of the heads that any gateway suspects. */
   readonly suspects: () => ReadonlySet<string>
-  /** Time between two changes of an upstream's pulse. */
-  readonly pulseTime: number
-  /** When this process last woke from standing still itself, on `Clock.now`. */
-  readonly wokeAt: () => number
-  /** Told when something else may be known of an engine. */
+  /** Time between two heartbeats of an upstream. */
+  readonly heartbeatInterval: number
+  /** When this process last ran on after a pause of its own, on `Clock.now`. */
+  readonly resumedAt: () => number
+  /** Called when an answer may have changed what is known of an engine. */
   readonly changed: () => void
-  /** Told of a failure that is gone on after. */
+  /** Called with an error that nothing else handles. */
   readonly failed: (error: unknown) => void
 }
 
-/** An engine that is suspected is asked this often, in ms. */
-const askInterval = 600
+/** Time between two probes of one engine, in ms: twice the time-out of a probe (280 ms), rounded up. Chosen, not measured. */
+const probeInterval = 600
 
-/** A head that leaves this many orders unanswered has ended, once the platform hears nothing of it either. */
-const mostUnanswered = 2
+/** Orders to close in a row without an answer after which an unlisted head is dead, in orders. Chosen, not measured. */
+const unansweredLimit = 2
 
-/** A pulse that stands still for this many of its times has stopped, and how often it is looked at, in ms. */
-const pulses = 1.4
-const pulseInterval = 250
+/**
+ * Heartbeat intervals after which a heartbeat count that has not risen has stopped: one interval, and 0.4 of one for the
+ * store's delay and our own reading. Chosen, not measured.
+ */
+const missedIntervals = 1.4
 
-interface Pulse {
-  readonly value: number | undefined
-  /** Since when the value is the same, on `Clock.now`. */
+/** Time between two readings of one heartbeat count, in ms: about a fifth of the interval (1200 ms). Chosen, not measured. */
+const readInterval = 250
+
+/** Readings of one heartbeat count. */
+interface HeartbeatReading {
+  readonly count: number | undefined
+  /** When it was first read with this count, on `Clock.now`; Infinity before the first answer. */
   readonly since: number
-  readonly lookedAt: number
+  /** When it was last asked for. */
+  readonly askedAt: number
 }
 
-/** Finds out which engines are silent, and which heads have certainly ended. */
+/** Probes engines in doubt and declares heads dead. */
 export class Liveness {
   readonly #options: LivenessOptions
-  readonly #silent = new Set<string>()
-  readonly #ended = new Set<string>()
-  /** Orders to close in a row that a head left unanswered. */
+  readonly #unreachable = new Set<string>()
+  readonly #dead = new Set<string>()
+  /** Orders to close in a row that a head left unanswered, by its id. */
   readonly #unanswered = new Map<string, number>()
-  readonly #pulses = new Map<string, Pulse>()
-  readonly #askedAt = new Map<string, number>()
+  readonly #heartbeats = new Map<string, HeartbeatReading>()
+  readonly #probedAt = new Map<string, number>()
 
   constructor (options: LivenessOptions) {
     this.#options = options
   }
 
-  /** Ids of engines that do not answer. */
-  get silent (): ReadonlySet<string> {
-    return this.#silent
+  /** Ids of engines that did not answer their last probe. */
+  get unreachable (): ReadonlySet<string> {
+    return this.#unreachable
   }
 
   /** Ids of heads that certainly serve no more. */
-  get ended (): ReadonlySet<string> {
-    return this.#ended
+  get dead (): ReadonlySet<string> {
+    return this.#dead
   }
 
-  /** Asks whoever is in doubt in a domain, and judges its heads. */
-  examine (replicas: readonly ReplicaNodes[]): void {
-    this.#suspect(replicas)
-    this.#bury(replicas)
+  /** Probes the members in doubt of the given replicas, and decides which of their heads are dead. */
+  check (replicas: readonly ReplicaNodes[]): void {
+    const suspects = this.#options.suspects()
+    this.#probeDoubtful(replicas, suspects)
+    for (const { members: [{ id }] } of replicas) this.#judge(id, suspects)
   }
 
-  /** Takes a head's answer to an order to close: one that is no longer listed has ended when it answers. */
-  closed (node: string, answered: boolean): void {
-    this.#unanswered.set(node, answered ? 0 : (this.#unanswered.get(node) ?? 0) + 1)
-    if (answered && this.#options.roster.find(node) === undefined) this.#ended.add(node)
+  /** Records whether a head answered an order to close. One that is not listed any more is dead once it answers. */
+  closeAnswered (head: string, answered: boolean): void {
+    this.#unanswered.set(head, answered ? 0 : (this.#unanswered.get(head) ?? 0) + 1)
+    if (answered && this.#options.roster.find(head) === undefined) this.#dead.add(head)
   }
 
-  /** Forgets what was judged of engines that are long gone and placed nowhere. */
-  sweep (replicas: readonly ReplicaNodes[]): void {
+  /** Forgets engines that are in none of the given replicas and that the roster no longer remembers. */
+  forget (replicas: readonly ReplicaNodes[]): void {
     const { roster } = this.#options
     const placed = new Set(replicas.flatMap(({ members }) => members.map(({ id }) => id)))
-    for (const judged of [this.#silent, this.#ended, this.#unanswered, this.#pulses, this.#askedAt]) {
-      for (const id of judged.keys()) {
-        if (!placed.has(id) && roster.find(id) === undefined && roster.departure(id) === undefined) judged.delete(id)
+    for (const known of [this.#unreachable, this.#dead, this.#unanswered, this.#heartbeats, this.#probedAt]) {
+      for (const id of known.keys()) {
+        if (!placed.has(id) && roster.find(id) === undefined && roster.departure(id) === undefined) known.delete(id)
       }
     }
   }
 
-  /** Asks every member of a replica whose head is suspected whether it is there. */
-  #suspect (replicas: readonly ReplicaNodes[]): void {
-    const suspects = this.#options.suspects()
-    for (const replica of replicas) {
-      const doubtful = suspects.has(replica.members[0].id) || replica.members.some(({ id }) => this.#silent.has(id))
-      if (doubtful) for (const each of replica.members) this.#ask(each)
+  /** All members of a replica with a suspected head or an unreachable member, and engines unreachable or lapsed themselves. */
+  #probeDoubtful (replicas: readonly ReplicaNodes[], suspects: ReadonlySet<string>): void {
+    const { roster } = this.#options
+    for (const { members } of replicas) {
+      const doubtful = suspects.has(members[0].id) || members.some(({ id }) => this.#unreachable.has(id))
+      if (doubtful) for (const each of members) this.#probe(each)
     }
-    for (const id of [...this.#silent, ...this.#options.roster.lapsed]) {
-      const address = this.#options.roster.find(id)?.address
-      if (address === undefined) this.#silent.delete(id)
-      else this.#ask({ id, address })
+    for (const id of [...this.#unreachable, ...roster.lapsed]) {
+      const address = roster.find(id)?.address
+      if (address === undefined) this.#unreachable.delete(id)
+      else this.#probe({ id, address })
     }
   }
 
-  /** Asks an engine whether it is there. Silence counts only where this process did not stand still itself meanwhile. */
-  #ask ({ id, address }: NodeAddress): void {
-    const { clock, probes, roster, wokeAt, changed, failed } = this.#options
-    const askedAt = clock.now()
-    if (roster.find(id) === undefined || askedAt - (this.#askedAt.get(id) ?? -Infinity) < askInterval) return
-    this.#askedAt.set(id, askedAt)
-    probes.answers(address).then(there => {
-      if (there) this.#silent.delete(id)
-      else if (wokeAt() < askedAt) this.#silent.add(id)
+  #probe ({ id, address }: NodeAddress): void {
+    const { clock, probes, roster, resumedAt, changed, failed } = this.#options
+    const probedAt = clock.now()
+    if (roster.find(id) === undefined || probedAt - (this.#probedAt.get(id) ?? -Infinity) < probeInterval) return
+    this.#probedAt.set(id, probedAt)
+    probes.isReachable(address).then(reachable => {
+      if (reachable) this.#unreachable.delete(id)
+      // A time-out that ran out during a pause of this process says nothing about the engine.
+      else if (resumedAt() < probedAt) this.#unreachable.add(id)
       changed()
     }).catch(failed)
   }
 
-  /** Heads that answer nobody and of which the platform hears nothing have ended. Their pulse is felt from the first suspicion on. */
-  #bury (replicas: readonly ReplicaNodes[]): void {
-    const suspects = this.#options.suspects()
-    for (const { members: [{ id }] } of replicas) {
-      const unanswered = this.#unanswered.get(id) ?? 0
-      if (unanswered === 0 && !this.#silent.has(id) && !suspects.has(id)) this.#pulses.delete(id)
-      else if (this.#options.roster.find(id) !== undefined) this.#feel(id)
-      else if (unanswered >= mostUnanswered || (unanswered > 0 && this.#silent.has(id))) this.#ended.add(id)
-    }
+  #judge (head: string, suspects: ReadonlySet<string>): void {
+    const unanswered = this.#unanswered.get(head) ?? 0
+    const unreachable = this.#unreachable.has(head)
+    if (unanswered === 0 && !unreachable && !suspects.has(head)) this.#heartbeats.delete(head)
+    else if (this.#options.roster.find(head) !== undefined) this.#readHeartbeat(head)
+    else if (unanswered >= unansweredLimit || (unanswered > 0 && unreachable)) this.#dead.add(head)
   }
 
-  /** Looks whether the pulse of a head stands still. */
-  #feel (id: string): void {
-    const { clock, probes, pulseTime, changed, failed } = this.#options
-    const known = this.#pulses.get(id)
-    const lookedAt = clock.now()
-    if (known !== undefined && lookedAt - known.lookedAt < pulseInterval) return
-    this.#pulses.set(id, { value: known?.value, since: known?.since ?? Infinity, lookedAt })
-    probes.pulse(id).then(value => {
-      const since = value !== undefined && value === known?.value ? Math.min(known.since, lookedAt) : clock.now()
-      this.#pulses.set(id, { value, since, lookedAt })
-      const still = value !== undefined && clock.now() - since >= pulses * pulseTime
-      if (still && this.#silent.has(id) && (this.#unanswered.get(id) ?? 0) > 0) this.#ended.add(id)
+  /** Reads the heartbeat count of a listed head, from the first suspicion on, and declares it dead where that has stopped too. */
+  #readHeartbeat (head: string): void {
+    const { clock, probes, changed, failed } = this.#options
+    const known = this.#heartbeats.get(head)
+    const askedAt = clock.now()
+    if (known !== undefined && askedAt - known.askedAt < readInterval) return
+    this.#heartbeats.set(head, { count: known?.count, since: known?.since ?? Infinity, askedAt })
+    probes.heartbeatOf(head).then(count => {
+      const since = count !== undefined && count === known?.count ? Math.min(known.since, askedAt) : clock.now()
+      this.#heartbeats.set(head, { count, since, askedAt })
+      if (count !== undefined && this.#stopped(since) && this.#isSilent(head)) this.#dead.add(head)
       changed()
     }).catch(failed)
   }
+
+  #stopped (since: number): boolean {
+    const { clock, heartbeatInterval } = this.#options
+    return clock.now() - since >= missedIntervals * heartbeatInterval
+  }
+
+  /** Whether a head answers neither probes nor orders. */
+  #isSilent (head: string): boolean {
+    return this.#unreachable.has(head) && (this.#unanswered.get(head) ?? 0) > 0
+  }
 }
--- a/packages/detect/src/pauses.ts
+++ b/packages/detect/src/pauses.ts
@@ -1,14 +1,24 @@
+/**
+ * Notices when this process itself was paused: frozen, or without a processor. What it timed meanwhile says nothing about
+ * others, so whoever measures silence compares with `resumedAt` first.
+ * Owns a timer and the time of its last tick; relies on the steady clock running on during a pause.
+ */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 
-/** Time between two ticks, and the gap between them from which this process has stood still, in ms. */
-const interval = 50
-const gap = 300
+/** Time between two ticks, in ms: an eighth of the shortest silence that is judged (400 ms). Chosen, not measured. */
+const tickInterval = 50
 
-/** Notices when this process itself has stood still: frozen, or without a processor. What it timed meanwhile says nothing of others. */
+/**
+ * Gap between two ticks that counts as a pause, in ms: below the 400 ms of silence that make a suspect, and above the delays of a busy
+ * process on half a core. Chosen after soak 140 (docs/INCIDENTS.md), not measured.
+ */
+const pauseGap = 300
+
+/** Detects pauses of this process. */
 export class Pauses {
   readonly #clock: Clock
   #tickedAt: number
-  #wokeAt = -Infinity
+  #resumedAt = -Infinity
   #timer: Subscription | undefined
 
   constructor (clock: Clock) {
@@ -16,14 +26,15 @@
     this.#tickedAt = clock.now()
   }
 
-  /** When it last woke, on `Clock.now`. */
-  get wokeAt (): number {
+  /** When the process last ran on after a pause, on `Clock.now`; -Infinity where it was never paused. */
+  get resumedAt (): number {
+    // A pause must show at once, also to a caller that runs before the late tick does.
     this.#tick()
-    return this.#wokeAt
+    return this.#resumedAt
   }
 
   start (): void {
-    this.#timer = this.#clock.every(interval, () => this.#tick())
+    this.#timer = this.#clock.every(tickInterval, () => this.#tick())
   }
 
   stop (): void {
@@ -32,7 +43,7 @@
 
   #tick (): void {
     const now = this.#clock.now()
-    if (now - this.#tickedAt > gap) this.#wokeAt = now
+    if (now - this.#tickedAt > pauseGap) this.#resumedAt = now
     this.#tickedAt = now
   }
 }
--- a/packages/detect/src/probes.ts
+++ b/packages/detect/src/probes.ts
@@ -1,7 +1,11 @@
-/** Asks after one node, past what the platform's list says of it. */
+/**
+ * How a platform lets one node be checked directly, beside the list that may lag by seconds. Implemented by the
+ * platform's adapter; used by `Liveness` alone.
+ */
 export abstract class Probes {
-  /** Whether an engine answers a call at all. */
-  abstract answers (address: string): Promise<boolean>
-  /** A number that changes as long as the platform hears of an upstream; undefined where that cannot be told. */
-  abstract pulse (node: string): Promise<number | undefined>
+  /** Whether the process at an address answers a call, whatever it says, within the adapter's time-out. */
+  abstract isReachable (address: string): Promise<boolean>
+
+  /** A node's heartbeat count at the platform; undefined where the platform has none or cannot be asked. */
+  abstract heartbeatOf (node: string): Promise<number | undefined>
 }
--- a/packages/detect/src/stalls.ts
+++ b/packages/detect/src/stalls.ts
@@ -1,3 +1,8 @@
+/**
+ * The stall detector: a replica that lost a member keeps its connections open and sends nothing. A head all of whose
+ * streams are silent for `silence` ms is suspected, and each request in flight there is given the chance to move.
+ * Owns only its timer. Relies on `InFlight` for silence, `Suspects` to remember, `Pauses` to distrust its own clock.
+ */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type Log } from '@eiderwind/log'
 import { type Roster } from '@eiderwind/roster'
@@ -5,24 +10,24 @@
 import { type Pauses } from './pauses.js'
 import { type Suspects } from './suspects.js'
 
-/** What the watch stands on. */
+/** Dependencies of `Stalls`. */
 export interface StallsOptions {
   readonly clock: Clock
   readonly log: Log
   readonly roster: Roster
   readonly inFlight: InFlight
   readonly suspects: Suspects
-  /** Silence of all streams of a head after which it is suspected, in ms. */
-  readonly silence: number
   readonly pauses: Pauses
-  /** Told of a new suspicion. */
+  /** How long all streams of a head may be silent before it is suspected, in ms. */
+  readonly silence: number
+  /** Called after a head that was trusted has become suspected. */
   readonly suspected: () => void
 }
 
-/** Time between two looks, in ms. */
-const interval = 50
+/** Time between two checks, in ms: an eighth of the silence that is looked for. Chosen, not measured. */
+const checkInterval = 50
 
-/** Watches for heads whose streams all stand still, and has those streams look for another one. */
+/** Suspects heads whose streams have all stalled, and lets those streams move. */
 export class Stalls {
   readonly #options: StallsOptions
   #timer: Subscription | undefined
@@ -32,26 +37,31 @@
   }
 
   start (): void {
-    this.#timer = this.#options.clock.every(interval, () => this.look())
+    this.#timer = this.#options.clock.every(checkInterval, () => this.check())
   }
 
   stop (): void {
     this.#timer?.cancel()
   }
 
-  look (): void {
-    const { clock, log, roster, inFlight, suspects, silence, pauses, suspected } = this.#options
-    // What came while this process stood still waits in its own sockets.
-    if (clock.now() - pauses.wokeAt < silence) return
-    for (const id of inFlight.quiet(upstream => this.#isHead(upstream) ? silence : Infinity)) {
-      if (suspects.add(id)) {
-        log.write('upstream-suspected', { upstream: id, flights: inFlight.count(id), listed: roster.find(id) !== undefined })
-        suspected()
-      }
-      for (const flight of inFlight.at(id)) flight.stalled?.()
+  check (): void {
+    const { clock, inFlight, silence, pauses } = this.#options
+    // What arrived while this process was paused still waits unread in its own sockets.
+    if (clock.now() - pauses.resumedAt < silence) return
+    for (const id of inFlight.silent(upstream => this.#isHead(upstream) ? silence : Infinity)) this.#suspect(id)
+  }
+
+  #suspect (id: string): void {
+    const { log, roster, inFlight, suspects, suspected } = this.#options
+    if (suspects.add(id)) {
+      log.write('upstream-suspected', { upstream: id, flights: inFlight.count(id), listed: roster.find(id) !== undefined })
+      suspected()
     }
+    // Also when it was suspected before: a stream that could not move then may find room now.
+    for (const request of inFlight.at(id)) request.stalled?.()
   }
 
+  /** Only heads owe events at a steady pace. A head that has left the list is still one for its streams. */
   #isHead (id: string): boolean {
     const { roster } = this.#options
     return (roster.find(id) ?? roster.departure(id)?.upstream)?.membership !== undefined
--- a/packages/detect/src/suspects.ts
+++ b/packages/detect/src/suspects.ts
@@ -1,17 +1,25 @@
+/**
+ * Upstreams that this gateway suspects: heads whose streams have stalled, and upstreams that took no connection.
+ * Owns the suspicions; other gateways and the reconciler read them. Relies on `Roster` to see that a suspect has formed
+ * another replica, and on its callers to report tries and received bytes.
+ */
 import { type Clock } from '@eiderwind/clock'
 import { type Roster } from '@eiderwind/roster'
 
-/** How often a suspected head is tried again with one request, in ms. */
-const trialInterval = 2500
+/**
+ * Time between two tries of a suspect with one request, in ms. A replica that is repaired gets another name, which clears
+ * the suspicion at once; this is only for false suspicions, so it may be long. Chosen, not measured.
+ */
+const tryInterval = 2500
 
 interface Suspicion {
-  /** When it began, or a request last tried the head. */
+  /** When it began, or when a request was last sent there, on `Clock.now`. */
   at: number
-  /** The replica that the head formed at that time. */
+  /** Name of the replica that the upstream headed then; empty where it headed none. */
   readonly replica: string
 }
 
-/** Heads whose streams stand still. One that is heard again, or that forms another replica, is no longer suspected. */
+/** Suspected upstreams. A suspicion ends when anything is received, or when the upstream heads another replica. */
 export class Suspects {
   readonly #clock: Clock
   readonly #roster: Roster
@@ -22,7 +30,7 @@
     this.#roster = roster
   }
 
-  /** Suspects a head. Says whether that is new. */
+  /** Suspects an upstream. Returns whether it was trusted before. */
   add (id: string): boolean {
     if (this.has(id)) return false
     this.#suspicions.set(id, { at: this.#clock.now(), replica: this.#replica(id) })
@@ -37,22 +45,23 @@
     return false
   }
 
-  /** Whether a head may be sent a request: it is not suspected, or it is time to try it again. */
-  passes (id: string): boolean {
-    return !this.has(id) || this.#clock.now() - (this.#suspicions.get(id)?.at ?? 0) >= trialInterval
+  /** Whether a request may be sent to it: it is trusted, or a try is due. */
+  mayTry (id: string): boolean {
+    return !this.has(id) || this.#clock.now() - (this.#suspicions.get(id)?.at ?? 0) >= tryInterval
   }
 
-  /** Notes that a request was sent to a head. */
-  sent (id: string): void {
+  /** Records that a request was sent to it: the next try is due one interval later. */
+  tried (id: string): void {
     const suspicion = this.#suspicions.get(id)
     if (suspicion !== undefined) suspicion.at = this.#clock.now()
   }
 
-  /** Notes that something came from a head. */
-  heard (id: string): void {
-    if (this.#suspicions.size > 0) this.#suspicions.delete(id)
+  /** Records that something was received from it, which ends the suspicion. */
+  received (id: string): void {
+    this.#suspicions.delete(id)
   }
 
+  /** Ids of all suspects. */
   get all (): string[] {
     return [...this.#suspicions.keys()].filter(id => this.has(id))
   }
--- a/packages/dispatch/src/choice.ts
+++ b/packages/dispatch/src/choice.ts
@@ -43,7 +43,7 @@
   /** The head with most room for a request of a model, or undefined where none has room. */
   head (service: string, model: string, engine: Engine, tried: ReadonlySet<string>): Upstream | undefined {
     const { roster, suspects } = this.#options
-    const heads = roster.heads(service, model).filter(({ id }) => !tried.has(id) && suspects.passes(id))
+    const heads = roster.heads(service, model).filter(({ id }) => !tried.has(id) && suspects.mayTry(id))
     const beats = this.#options.peers.live
     const load = ({ id }: Upstream): number => this.#load(id, beats)
     const best = this.#least(heads, load)
--- a/packages/forming/src/forming.ts
+++ b/packages/forming/src/forming.ts
@@ -100,7 +100,7 @@
     const { roster, services, acts } = this.#options
     if (!roster.known) return
     this.#ledger.sweep()
-    this.#liveness.sweep([...this.#domains.values()].flatMap(each => each.placement.replicas))
+    this.#liveness.forget([...this.#domains.values()].flatMap(each => each.placement.replicas))
     this.#loads.settle(roster.all)
     for (const service of services()) {
       if (service.engine === undefined) continue
@@ -125,7 +125,7 @@
     const arriving = unserved && this.#arriving(domains)
     const fleet = { whole, needs: needs(engine.models, whole, demand), complete: this.#complete(domains), unserved, arriving }
     for (const domain of domains) {
-      this.#liveness.examine(domain.placement.replicas)
+      this.#liveness.check(domain.placement.replicas)
       const step = this.#former.step(this.#facts(domain, engine, targets.get(domain.key) as Counts, fleet))
       if (step.placement !== domain.placement && !await this.#write(domain, step)) continue
       for (const order of step.orders) this.#give(order)
@@ -133,11 +133,11 @@
   }
 
   #facts ({ placement, upstreams }: Domain, engine: Engine, targets: Counts, fleet: Fleet): DomainFacts {
-    return { engine, placement, upstreams, silent: this.#liveness.silent, doubtful: this.#options.roster.lapsed, ended: this.#liveness.ended, targets, ...fleet }
+    return { engine, placement, upstreams, silent: this.#liveness.unreachable, doubtful: this.#options.roster.lapsed, ended: this.#liveness.dead, targets, ...fleet }
   }
 
   #stays ({ id, leaving }: Upstream): boolean {
-    return !leaving && !this.#liveness.silent.has(id)
+    return !leaving && !this.#liveness.unreachable.has(id)
   }
 
   /** Replicas by model that have all their members. */
@@ -214,7 +214,7 @@
     this.#ledger.given(order)
     orders.give(order).then(result => {
       this.#ledger.answered(order, result)
-      if (order.kind === 'close') this.#liveness.closed(order.node, result !== 'unanswered')
+      if (order.kind === 'close') this.#liveness.closeAnswered(order.node, result !== 'unanswered')
       ordered(order, result, clock.now() - begun)
       this.wake()
     }).catch(failed)
--- a/packages/forming/test/world.ts
+++ b/packages/forming/test/world.ts
@@ -120,11 +120,11 @@
 
   /** What the nodes answer when they are asked after. */
   readonly probes: Probes = new WorldProbes({
-    answers: async address => {
+    isReachable: async address => {
       const node = this.#node(address.split(':')[0])
       return node.alive && node.reachable && !this.mute.has(address.split(':')[0])
     },
-    pulse: async id => {
+    heartbeatOf: async id => {
       this.felt.add(id)
       const node = this.#nodes.get(id)
       if (node === undefined || this.roster.find(id) === undefined) return undefined
@@ -235,21 +235,21 @@
 }
 
 class WorldProbes extends Probes {
-  readonly #answers: Probes['answers']
-  readonly #pulse: Probes['pulse']
+  readonly #isReachable: Probes['isReachable']
+  readonly #heartbeatOf: Probes['heartbeatOf']
 
-  constructor ({ answers, pulse }: Pick<Probes, 'answers' | 'pulse'>) {
+  constructor ({ isReachable, heartbeatOf }: Pick<Probes, 'isReachable' | 'heartbeatOf'>) {
     super()
-    this.#answers = answers
-    this.#pulse = pulse
+    this.#isReachable = isReachable
+    this.#heartbeatOf = heartbeatOf
   }
 
-  answers (address: string): Promise<boolean> {
-    return this.#answers(address)
+  isReachable (address: string): Promise<boolean> {
+    return this.#isReachable(address)
   }
 
-  pulse (node: string): Promise<number | undefined> {
-    return this.#pulse(node)
+  heartbeatOf (node: string): Promise<number | undefined> {
+    return this.#heartbeatOf(node)
   }
 }
 
@@ -282,8 +282,8 @@
     suspects: () => options.suspects ?? new Set(),
     demand: () => new Map(),
     unserved: options.unserved ?? (() => false),
-    pulseTime: 1200,
-    wokeAt: options.wokeAt ?? (() => -Infinity),
+    heartbeatInterval: 1200,
+    resumedAt: options.wokeAt ?? (() => -Infinity),
     decided: () => {},
     ordered: () => {},
     failed: error => { throw error }
--- a/packages/forward/src/attempt.ts
+++ b/packages/forward/src/attempt.ts
@@ -91,7 +91,7 @@
     exchange.tried.add(upstream.id)
     exchange.sends++
     exchange.running = upstream.id
-    context.suspects.sent(upstream.id)
+    context.suspects.tried(upstream.id)
     this.#flight = context.inFlight.begin(upstream.id, model, () => this.stalled())
     this.#cancel = context.connections.send(outgoing(exchange, upstream, context.names, lastEvent), this, fresh)
     if (this.#over) this.#cancel(new Error('The attempt is over.'))
@@ -148,8 +148,8 @@
   }
 
   #heard (): void {
-    if (this.#flight !== undefined) this.#options.context.inFlight.heard(this.#flight)
-    this.#options.context.suspects.heard(this.upstream.id)
+    if (this.#flight !== undefined) this.#options.context.inFlight.received(this.#flight)
+    this.#options.context.suspects.received(this.upstream.id)
   }
 
   #end (ending: Ending): void {
--- a/packages/gateway/src/demand.ts
+++ b/packages/gateway/src/demand.ts
@@ -1,30 +1,34 @@
+/**
+ * How much work callers ask for of each model, smoothed: what the planner composes replicas by. Owns the smoothed counts;
+ * relies on being sampled at a steady interval (`gateway.ts`).
+ */
 import { type Demand } from '@eiderwind/forming'
 
-/** Weight of the newest sample. */
-const weight = 0.1
+/** Weight of the newest of two samples a second, so that a change counts by two thirds after 5 s. Chosen, not measured. */
+const newestWeight = 0.1
 
-/** Requests under way below which nothing is concluded from them. */
-const least = 8
+/** Requests in flight, over all gateways, below which shares by model say nothing. Chosen, not measured. */
+const fewestRequests = 8
 
-/** The work that is asked for by model, smoothed over some seconds: requests under way at all entries. */
-export class Work {
-  readonly #smooth = new Map<string, number>()
+/** Requests in flight at all gateways by model, smoothed. */
+export class ModelLoad {
+  readonly #smoothed = new Map<string, number>()
 
-  /** Takes a sample: requests under way, by model, one record an entry. */
-  sample (entries: ReadonlyArray<Readonly<Record<string, number>>>): void {
+  /** Takes a sample: requests in flight by model, one record a gateway. Requests without a model ('') are left out. */
+  sample (gateways: ReadonlyArray<Readonly<Record<string, number>>>): void {
     const sums = new Map<string, number>()
-    for (const models of entries) {
+    for (const models of gateways) {
       for (const [model, count] of Object.entries(models)) if (model !== '') sums.set(model, (sums.get(model) ?? 0) + count)
     }
-    for (const model of new Set([...sums.keys(), ...this.#smooth.keys()])) {
-      const before = this.#smooth.get(model) ?? 0
-      this.#smooth.set(model, before + weight * ((sums.get(model) ?? 0) - before))
+    for (const model of new Set([...sums.keys(), ...this.#smoothed.keys()])) {
+      const before = this.#smoothed.get(model) ?? 0
+      this.#smoothed.set(model, before + newestWeight * ((sums.get(model) ?? 0) - before))
     }
   }
 
-  /** The work by model; empty while there is too little to tell. */
+  /** Each model's share of the work, from 0 to 1; empty while there are too few requests to tell. */
   get demand (): Demand {
-    const total = [...this.#smooth.values()].reduce((sum, each) => sum + each, 0)
-    return total < least ? new Map() : new Map([...this.#smooth].map(([model, count]) => [model, count / total]))
+    const total = [...this.#smoothed.values()].reduce((sum, each) => sum + each, 0)
+    return total < fewestRequests ? new Map() : new Map([...this.#smoothed].map(([model, count]) => [model, count / total]))
   }
 }
--- a/packages/gateway/src/facts.ts
+++ b/packages/gateway/src/facts.ts
@@ -1,3 +1,7 @@
+/**
+ * The board of a gateway: what it believes of the configuration and of the store. The platform's listener and messages
+ * from other gateways write it; admission, leadership and the health check read it.
+ */
 import { Board } from '@eiderwind/board'
 import { RouteTable, TeamTable, type Traffic } from '@eiderwind/traffic'
 
@@ -11,15 +15,16 @@
   readonly since: number
 }
 
-/** What a direct entry knows beside its roster and its peers. */
+/** What a gateway believes, beside its roster and its peers. */
 export interface GatewayFacts {
   readonly inForce: InForce | undefined
-  /** When the newest confirmation that this is the newest configuration was asked for, on `Clock.now`. */
+  /** When the confirmation that counts was asked for: the latest asking that was answered, on `Clock.now`. */
   readonly confirmedAt: number
-  /** Whether the store answered the last call. */
+  /** Whether the store answered the last call of a watch. */
   readonly store: boolean
-  /** Whether the list of entries was ever told. */
+  /** Whether the list of gateways was ever read. */
   readonly listed: boolean
+  /** Whether the process was told to stop. */
   readonly stopping: boolean
 }
 
@@ -30,7 +35,7 @@
   return new Board<GatewayFacts>({ inForce: undefined, confirmedAt: -Infinity, store: false, listed: false, stopping: false })
 }
 
-/** Puts a configuration into force, unless it is older than the one in force. Says whether it did. */
+/** Puts a configuration into force, unless one as new is in force. Returns whether it did. Nothing older ever replaces it. */
 export function enforce (board: GatewayBoard, traffic: Traffic, now: number): boolean {
   const present = board.read('inForce')
   if (present !== undefined && present.traffic.revision >= traffic.revision) return false
@@ -39,7 +44,7 @@
   return true
 }
 
-/** Notes a confirmation that was asked for at `askedAt`. Confirmations may come out of order; the latest asked counts. */
+/** Records a confirmation that was asked for at `askedAt`. Answers may come out of order; the latest asking counts. */
 export function confirm (board: GatewayBoard, askedAt: number): void {
   if (askedAt > board.read('confirmedAt')) board.write('confirmedAt', askedAt)
 }
--- a/packages/gateway/src/health.ts
+++ b/packages/gateway/src/health.ts
@@ -1,7 +1,14 @@
+/**
+ * The balancer's health check: 200 while this gateway takes requests, else 503. Owns the listener; what "ready" means is
+ * decided in `gateway.ts`.
+ */
 import { createServer, type Server } from 'node:http'
 import { listen } from '@eiderwind/wire'
 
-/** Answers the balancer's question whether this entry takes requests: 200 or 503. */
+/** Statuses of the health check (RFC 9110). */
+const statuses = { ready: 200, notReady: 503 } as const
+
+/** Answers the balancer's health check. */
 export class Health {
   readonly #server: Server
   readonly #address: string
@@ -9,7 +16,7 @@
   constructor (address: string, ready: () => boolean) {
     this.#address = address
     this.#server = createServer((_request, response) => {
-      response.statusCode = ready() ? 200 : 503
+      response.statusCode = ready() ? statuses.ready : statuses.notReady
       response.end()
     })
   }
--- /dev/null
+++ b/packages/gateway/src/messages.ts
@@ -0,0 +1,83 @@
+/**
+ * The HTTP messages between gateways: confirmations of the configuration, and orders to engines that are relayed. This is
+ * their only encoder and decoder; names and values here are read by gateways of other builds and never change. Fields that
+ * a later build adds are ignored. (Heartbeats, the datagrams between gateways, are in `peers`.)
+ */
+import { type Order, type OrderResult } from '@eiderwind/forming'
+import { Traffic } from '@eiderwind/traffic'
+import { z } from 'zod'
+
+/** Paths of the messages. Every other path is answered like `confirmation`. */
+export const paths = { confirmation: '/confirmation', order: '/order' } as const
+
+/** Longest relayed order, in bytes; an order names at most 32 nodes. Chosen, not measured. */
+export const orderLimit = 65_536
+
+/** Age that stands for "never confirmed", in ms: JSON has no infinity. */
+const neverConfirmed = 1e9
+
+const ConfirmationMessage = z.object({
+  revision: z.number(),
+  /** Ms since the answering gateway's newest confirmation was asked for. */
+  age: z.number(),
+  /** The whole configuration, where it is newer than the asker's. Its own schema names its fields (`traffic`). */
+  traffic: Traffic.optional()
+})
+
+/** How another gateway answers: its revision, the age of its newest confirmation in ms, and its configuration where newer. */
+export type Confirmation = z.infer<typeof ConfirmationMessage>
+
+const OrderMessage = z.object({
+  kind: z.enum(['join', 'open', 'close', 'stage']),
+  /** Id and address of the engine that is ordered. */
+  node: z.string(),
+  address: z.string(),
+  replica: z.string(),
+  epoch: z.number(),
+  model: z.string().optional(),
+  members: z.array(z.string()).optional(),
+  manner: z.enum(['finish', 'cut']).optional(),
+  loads: z.boolean(),
+  spare: z.boolean().optional(),
+  fence: z.number()
+})
+
+const ResultMessage = z.object({ result: z.enum(['taken', 'refused', 'stale', 'closed', 'unanswered']) })
+
+/** The target that asks another gateway to confirm a revision. */
+export function confirmationTarget (revision: number): string {
+  return `${paths.confirmation}?revision=${revision}`
+}
+
+/** The revision that a target asks about; 0 where it names none. */
+export function askedRevision (target: string): number {
+  return Number(new URL(target, 'http://gateway').searchParams.get('revision') ?? 0)
+}
+
+/** @param age ms, or Infinity where nothing was ever confirmed */
+export function encodeConfirmation (revision: number, age: number, traffic: Traffic | undefined): string {
+  return JSON.stringify({ revision, age: Number.isFinite(age) ? age : neverConfirmed, traffic })
+}
+
+/** Throws where the text is no confirmation. */
+export function decodeConfirmation (text: string): Confirmation {
+  return ConfirmationMessage.parse(JSON.parse(text))
+}
+
+export function encodeOrder ({ kind, node, address, replica, epoch, model, members, manner, loads, spare, fence }: Order): string {
+  return JSON.stringify({ kind, node, address, replica, epoch, model, members, manner, loads, spare, fence })
+}
+
+/** Throws where the text is no order. */
+export function decodeOrder (text: string): Order {
+  return OrderMessage.parse(JSON.parse(text))
+}
+
+export function encodeResult (result: OrderResult): string {
+  return JSON.stringify({ result })
+}
+
+/** Throws where the text is no result. */
+export function decodeResult (text: string): OrderResult {
+  return ResultMessage.parse(JSON.parse(text)).result
+}
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -1,14 +1,18 @@
+/**
+ * Metrics of a gateway in Prometheus' text format, served over HTTP. Names and labels are read by operators' tools and do
+ * not change (docs/operators/metrics.md). Owns the counters, the histogram and the listener; gauges are read when asked for.
+ */
 import { createServer, type Server } from 'node:http'
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 import { type CallerRequest } from '@eiderwind/forward'
 import { listen } from '@eiderwind/wire'
 
-/** What is read at the moment when the figures are asked for. */
+/** The gauges' values, read when the metrics are asked for. */
 export interface Reading {
   readonly revision: number
   /** Age of the newest confirmation, in s. */
   readonly confirmationAge: number
-  /** Engines by what their replica does. */
+  /** Engines by the state of their membership, `none` for engines in no replica. */
   readonly replicas: Readonly<Record<string, number>>
   readonly flights: number
   readonly waiting: number
@@ -17,11 +21,12 @@
 }
 
 const path = '/metrics'
+const notFound = 404
 
-/** Bounds of the histograms, in s. */
+/** Bounds of the histogram, in s: around the objectives (0.2 to 0.5 s) and deadlines (1 to 8 s) of both sites. */
 const buckets = [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8]
 
-/** Counters and latency histograms of a direct entry in Prometheus' text form. Labels are kinds, services and outcomes: few. */
+/** Counters, a latency histogram and gauges. Labels are kinds, services and outcomes, which are few. */
 export class Metrics {
   readonly #registry = new Registry()
   readonly #server: Server
@@ -41,13 +46,13 @@
     this.#refusals = new Counter({ name: 'eiderwind_refusals_total', help: 'Requests refused before any upstream was chosen, by code.', labelNames: ['code'], registers })
     this.#times = new Histogram({ name: 'eiderwind_request_seconds', help: 'Time from a request to its end.', labelNames: ['kind'], buckets, registers })
     this.#attempts = new Counter({ name: 'eiderwind_attempts_total', help: 'Sends to upstreams, by how they ended.', labelNames: ['kind', 'ending'], registers })
-    this.#suspicions = new Counter({ name: 'eiderwind_suspicions_total', help: 'Heads suspected to stand still.', registers })
-    this.#resumptions = new Counter({ name: 'eiderwind_resumptions_total', help: 'Streams that went on at another replica.', registers })
+    this.#suspicions = new Counter({ name: 'eiderwind_suspicions_total', help: 'Heads suspected of having stalled.', registers })
+    this.#resumptions = new Counter({ name: 'eiderwind_resumptions_total', help: 'Streams that were resumed at another replica.', registers })
     this.#orders = new Counter({ name: 'eiderwind_orders_total', help: 'Orders to engines, by answer.', labelNames: ['kind', 'result'], registers })
     this.#gauges(registers)
     this.#server = createServer((request, response) => {
       if (request.url !== path) {
-        response.statusCode = 404
+        response.statusCode = notFound
         response.end()
         return
       }
@@ -67,7 +72,7 @@
     this.#server.closeAllConnections()
   }
 
-  /** All figures in text form. */
+  /** All metrics as text. */
   async text (): Promise<string> {
     return await this.#registry.metrics()
   }
@@ -94,7 +99,6 @@
   #gauges (registers: Registry[]): void {
     const single = (name: string, help: string, value: (reading: Reading) => number): void => {
       const read = this.#read
-      // The gauge is set when the figures are asked for.
       const gauge: Gauge = new Gauge({ name, help, registers, collect: () => gauge.set(value(read())) })
     }
     const several = (name: string, help: string, label: string, values: (reading: Reading) => Readonly<Record<string, number>>): void => {
@@ -112,11 +116,11 @@
     }
     single('eiderwind_configuration_revision', 'Revision of the configuration in force.', each => each.revision)
     single('eiderwind_confirmation_age_seconds', 'Age of the newest confirmation of the configuration.', each => each.confirmationAge)
-    single('eiderwind_flights', 'Requests under way at upstreams.', each => each.flights)
-    single('eiderwind_waiting', 'Requests that wait for room.', each => each.waiting)
+    single('eiderwind_flights', 'Requests in flight at upstreams.', each => each.flights)
+    single('eiderwind_waiting', 'Requests queued for an upstream.', each => each.waiting)
     single('eiderwind_connections_opened_total', 'Connections opened to upstreams.', each => each.connections)
     single('eiderwind_memory_bytes', 'Resident memory of the process.', () => process.memoryUsage.rss())
-    several('eiderwind_engines', 'Engines by what their replica does.', 'state', each => each.replicas)
-    several('eiderwind_repeats_left', 'Repeats that are left in the running window.', 'service', each => each.repeatsLeft)
+    several('eiderwind_engines', 'Engines by the state of their membership.', 'state', each => each.replicas)
+    several('eiderwind_repeats_left', 'Retries left in the running window.', 'service', each => each.repeatsLeft)
   }
 }
--- /dev/null
+++ b/packages/gateway/src/peerserver.ts
@@ -0,0 +1,68 @@
+/**
+ * Answers other gateways over HTTP: with the age of this gateway's newest confirmation and, where the asker's is older,
+ * the whole configuration; and gives engines the orders that other gateways relay.
+ * Owns the TCP listener of the peers' address. The messages are in `messages.ts`.
+ */
+import { type IncomingMessage, type Server, type ServerResponse } from 'node:http'
+import { type Clock } from '@eiderwind/clock'
+import { type OrderResult, type Orders } from '@eiderwind/forming'
+import { listen, makeServer, readBody } from '@eiderwind/wire'
+import { type GatewayBoard } from './facts.js'
+import { askedRevision, decodeOrder, encodeConfirmation, encodeResult, orderLimit, paths } from './messages.js'
+
+/** Dependencies of `PeerServer`. */
+export interface PeerServerOptions {
+  readonly clock: Clock
+  readonly board: GatewayBoard
+  /** `host:port` on which other gateways ask. */
+  readonly address: string
+  /** Gives engines the orders that others relay. */
+  readonly orders: Orders
+}
+
+/** The server for other gateways. */
+export class PeerServer {
+  readonly #options: PeerServerOptions
+  readonly #server: Server
+
+  constructor (options: PeerServerOptions) {
+    this.#options = options
+    this.#server = makeServer({ handler: (request, response) => this.#handle(request, response) })
+  }
+
+  async start (): Promise<void> {
+    await listen(this.#server, this.#options.address)
+  }
+
+  stop (): void {
+    this.#server.close()
+    this.#server.closeAllConnections()
+  }
+
+  #handle (request: IncomingMessage, response: ServerResponse): void {
+    if (request.url === paths.order) return this.#answerOrder(request, response)
+    response.setHeader('content-type', 'application/json')
+    response.end(this.#confirmation(askedRevision(request.url ?? '/')))
+  }
+
+  #answerOrder (request: IncomingMessage, response: ServerResponse): void {
+    this.#give(request).then(result => response.end(encodeResult(result)), () => {
+      // A cut connection is "unanswered" to the gateway that relays; an order that does not decode deserves no more.
+      response.destroy()
+    })
+  }
+
+  async #give (request: IncomingMessage): Promise<OrderResult> {
+    const body = await readBody(request, orderLimit)
+    if (body.isErr()) return 'unanswered'
+    return await this.#options.orders.give(decodeOrder(body.value.toString()))
+  }
+
+  #confirmation (theirs: number): string {
+    const { clock, board } = this.#options
+    const traffic = board.read('inForce')?.traffic
+    const own = traffic?.revision ?? 0
+    const age = clock.now() - board.read('confirmedAt')
+    return encodeConfirmation(own, age, own > theirs ? traffic : undefined)
+  }
+}
--- /dev/null
+++ b/packages/gateway/src/requestlog.ts
@@ -0,0 +1,47 @@
+/**
+ * Records each request that has ended: in the metrics, and in the log unless it was an ordinary success. Owns the count by
+ * which ordinary successes are sampled.
+ */
+import { type Clock } from '@eiderwind/clock'
+import { type CallerRequest } from '@eiderwind/forward'
+import { type Log } from '@eiderwind/log'
+import { type Metrics } from './metrics.js'
+
+/** One ordinary success in this many is logged: at 100 requests a second two lines a second. Chosen, not measured. */
+const sampling = 50
+
+/** Outcomes of an ordinary success: a collected answer, and a stream that was passed on to its end. */
+const successes = new Set(['answered 200', 'answered'])
+
+/** Dependencies of `RequestLog`. */
+export interface RequestLogOptions {
+  readonly clock: Clock
+  readonly log: Log
+  readonly metrics: Metrics
+}
+
+/** Log and metrics of ended requests. */
+export class RequestLog {
+  readonly #options: RequestLogOptions
+  #ordinary = 0
+
+  constructor (options: RequestLogOptions) {
+    this.#options = options
+  }
+
+  /** Records a request that has ended with an outcome, such as `answered 200` or `busy 429`. */
+  ended (request: CallerRequest, outcome: string): void {
+    const { clock, metrics } = this.#options
+    const took = clock.now() - request.arrivedAt
+    metrics.ended(request, outcome, took / 1000)
+    const retried = request.story.length >= 2
+    if (successes.has(outcome) && !retried && ++this.#ordinary % sampling !== 0) return
+    this.#write(request, outcome, Math.round(took))
+  }
+
+  #write ({ id, route, service, team, story, running }: CallerRequest, outcome: string, took: number): void {
+    const underWay = running === undefined ? [] : [`${running} under way`]
+    const attempts = [...story, ...underWay].join('; ')
+    this.#options.log.write('request-ended', { request: id, route: route.name, service, team: team?.name, outcome, took, attempts })
+  }
+}
--- /dev/null
+++ b/packages/gateway/src/settings.ts
@@ -0,0 +1,33 @@
+/**
+ * What a gateway is configured with, checked and derived from the operators' settings by the platform's adapter.
+ * The INI names of what operators set are in `settings` (docs/operators/settings.md).
+ */
+
+/** Settings of a gateway. Spans are in ms. */
+export interface GatewaySettings {
+  /** Id of this gateway among all, and the data centre it runs in. */
+  readonly id: string
+  readonly dataCentre: string
+  /** Whether the whole system starts for the first time, so that no caller can have been served yet. */
+  readonly first: boolean
+  /** `host:port` for callers, for the balancer's health check, and for other gateways (TCP and UDP). */
+  readonly callers: string
+  readonly health: string
+  readonly peers: string
+  /** `host:port` that serves the metrics; empty: none are served. */
+  readonly metrics: string
+  /** How old the newest confirmation of the configuration may be for requests that need a key. */
+  readonly freshness: number
+  /** Retries per request of callers; `retrySlack` more are allowed to all gateways together in any `retryWindow`. */
+  readonly retryRatio: number
+  readonly retrySlack: number
+  readonly retryWindow: number
+  /** How long all streams of a replica's head may be silent before it is suspected. */
+  readonly silence: number
+  /** Time between two heartbeats of an upstream at the platform. */
+  readonly pulse: number
+  /** Times since the signal to stop: when the balancer has noticed, when new requests are refused, when the process ends. */
+  readonly notice: number
+  readonly refuseAfter: number
+  readonly grace: number
+}
--- a/packages/gateway/test/digest.test.ts
+++ b/packages/gateway/test/digest.test.ts
@@ -53,7 +53,7 @@
     const found = draw < 0.3 ? choice.head('chat', 'large', engine, tried) : draw < 0.6 ? choice.head('chat', 'small', engine, tried) : draw < 0.8 ? choice.plain('plain', tried) : undefined
     lines.push(found?.id ?? '-')
     if (found !== undefined) {
-      suspects.sent(found.id)
+      suspects.tried(found.id)
       running.push(flights.begin(found.id, 'm'))
     }
     if (draw > 0.8 || running.length > 20) {
@@ -64,7 +64,7 @@
       }
     }
     if (random() < 0.02) suspects.add(`u${Math.floor(random() * 6)}`)
-    if (random() < 0.02) suspects.heard(`u${Math.floor(random() * 6)}`)
+    if (random() < 0.02) suspects.received(`u${Math.floor(random() * 6)}`)
   }
   t.is(digest(lines), 'fb32c2f8299b26ed')
 })
@@ -151,14 +151,14 @@
     if (random() < 0.003) clock.freeze(500 + Math.floor(random() * 2000))
     const id = `u${Math.floor(random() * 10)}`
     if (random() < 0.1) {
-      lines.push(`${id} ${String(suspects.passes(id))}`)
-      suspects.sent(id)
+      lines.push(`${id} ${String(suspects.mayTry(id))}`)
+      suspects.tried(id)
       running.push(flights.begin(id, 'm', () => lines.push(`stalled ${id}`)))
     }
     for (const flight of running) {
       if (random() < 0.03 && flight.upstream !== 'u2') {
-        flights.heard(flight)
-        suspects.heard(flight.upstream)
+        flights.received(flight)
+        suspects.received(flight.upstream)
       }
     }
     if (random() < 0.12 && running.length > 0) flights.end(running.splice(Math.floor(random() * running.length), 1)[0])
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -519,8 +519,8 @@
     name: 'act-on-half-a-list',
     point: 2,
     rule: 'an entry that starts again acts only on a list that is surely whole',
-    file: 'packages/gateway/dist/src/gateway.js',
-    find: '!this.#options.settings.first && !this.#outage.whole',
+    file: 'packages/gateway/dist/src/leadership.js',
+    find: '!firstStart && !outage.whole',
     replace: 'false',
     test: 'platform/dist/test/path.test.js',
     title: 'an entry that starts again acts*'
