--- a/packages/detect/src/inflight.ts
+++ b/packages/detect/src/inflight.ts
@@ -46,6 +46,11 @@
     return this.#loads.get(upstream)?.requests.size ?? 0
   }
 
+  /** All requests in flight. */
+  get total (): number {
+    return [...this.#loads.values()].reduce((sum, { requests }) => sum + requests.size, 0)
+  }
+
   /** Requests in flight by upstream; upstreams without any are left out. */
   get counts (): Record<string, number> {
     return Object.fromEntries([...this.#loads].map(([id, { requests }]) => [id, requests.size]))
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -3,7 +3,7 @@
  * the steps of a planned stop; which part holds which rule is in the README.
  * Owns every part and the board that they share. Relies on `Platform` for all that the users' platform says and keeps.
  */
-import { type Clock, type Subscription } from '@eiderwind/clock'
+import { type Clock } from '@eiderwind/clock'
 import { InFlight, Pauses, Stalls, Suspects } from '@eiderwind/detect'
 import { Choice, Queue } from '@eiderwind/dispatch'
 import { Forming, type Order, type OrderResult } from '@eiderwind/forming'
@@ -20,11 +20,12 @@
 import { following } from './following.js'
 import { Health } from './health.js'
 import { Leadership } from './leadership.js'
-import { Metrics, type Reading } from './metrics.js'
+import { Metrics } from './metrics.js'
 import { PeerServer } from './peerserver.js'
 import { type Platform } from './platform.js'
 import { Relay } from './relay.js'
 import { RequestLog } from './requestlog.js'
+import { Sampling } from './sampling.js'
 import { type GatewaySettings } from './settings.js'
 
 /** What a gateway is made from. */
@@ -39,9 +40,6 @@
 const heartbeatInterval = 250
 const heartbeatPatience = 1000
 
-/** Time between two samples of the load by model, and of what this gateway should watch and poll, in ms. Chosen, not measured. */
-const sampleInterval = 500
-
 /** How long a new connection to an upstream may take, in ms: over 100 times the way there and back (1.4 ms each). */
 const connectTime = 350
 
@@ -53,7 +51,7 @@
   readonly #options: GatewayOptions
   readonly #board = gatewayBoard()
   readonly #connections = new Connections({ connectTime })
-  readonly #metrics = new Metrics(() => this.#reading())
+  readonly #metrics: Metrics
   readonly #modelLoad = new ModelLoad()
   readonly #pauses: Pauses
   readonly #outage: Outage
@@ -70,8 +68,7 @@
   readonly #health: Health
   readonly #stalls: Stalls
   readonly #forming: Forming
-  #timer: Subscription | undefined
-  #unconfirmed = false
+  readonly #sampling: Sampling
 
   constructor (options: GatewayOptions) {
     const { clock, log, platform, settings } = options
@@ -87,12 +84,14 @@
     const peers = this.#peers
     this.#leadership = new Leadership({ clock, log, board, outage: this.#outage, pauses: this.#pauses, peers, id: settings.id, firstStart: settings.first })
     this.#budgets = new Budgets({ clock, board, peers, settings })
+    this.#metrics = new Metrics({ clock, board, roster: this.#roster, inFlight: this.#inFlight, queue: this.#queue, connections: this.#connections, budgets: this.#budgets })
     this.#callers = this.#makeCallers()
     this.#confirmations = new Confirmations({ clock, board, peers, connections: this.#connections })
     this.#peerServer = new PeerServer({ clock, board, address: settings.peers, orders: platform.orders })
     this.#health = new Health(settings.health, () => this.ready)
     this.#stalls = this.#makeStalls()
     this.#forming = this.#makeForming()
+    this.#sampling = new Sampling({ clock, log, board, platform, peers, inFlight: this.#inFlight, modelLoad: this.#modelLoad, leadership: this.#leadership, fresh: () => this.#callers.fresh })
     this.#roster.listen(() => this.#queue.wake())
   }
 
@@ -112,7 +111,7 @@
     this.#pauses.start()
     this.#stalls.start()
     this.#forming.start()
-    this.#timer = clock.every(sampleInterval, () => this.#sample())
+    this.#sampling.start()
   }
 
   /**
@@ -129,8 +128,7 @@
       await clock.wait(stopInterval)
     }
     this.#callers.close()
-    this.#timer?.cancel()
-    for (const part of [this.#forming, this.#stalls, this.#pauses, this.#confirmations, this.#peerServer, this.#peers, this.#health, this.#metrics, this.#options.platform]) part.stop()
+    for (const part of [this.#sampling, this.#forming, this.#stalls, this.#pauses, this.#confirmations, this.#peerServer, this.#peers, this.#health, this.#metrics, this.#options.platform]) part.stop()
     this.#connections.close()
   }
 
@@ -198,7 +196,7 @@
   #heartbeat (): Beat {
     return {
       id: this.#options.settings.id,
-      revision: this.#revision,
+      revision: this.#board.read('inForce')?.traffic.revision ?? 0,
       able: this.#leadership.eligible,
       loads: this.#inFlight.counts,
       suspects: this.#suspects.all,
@@ -206,38 +204,4 @@
       served: this.#callers.served
     }
   }
-
-  #reading (): Reading {
-    const { clock } = this.#options
-    const replicas: Record<string, number> = {}
-    for (const { membership } of this.#roster.all) {
-      const state = membership?.state ?? 'none'
-      replicas[state] = (replicas[state] ?? 0) + 1
-    }
-    return {
-      revision: this.#revision,
-      confirmationAge: (clock.now() - this.#board.read('confirmedAt')) / 1000,
-      replicas,
-      flights: Object.values(this.#inFlight.counts).reduce((sum, each) => sum + each, 0),
-      waiting: this.#queue.count,
-      connections: this.#connections.opened,
-      repeatsLeft: this.#budgets.left
-    }
-  }
-
-  /** Samples the load, adapts how closely the platform is followed, and logs when confirmations end or return. */
-  #sample (): void {
-    const { log, platform } = this.#options
-    this.#modelLoad.sample([this.#inFlight.models, ...this.#peers.live.map(each => each.models)])
-    platform.hurry(this.#leadership.planning)
-    platform.confirms(this.#leadership.polls)
-    const unconfirmed = this.#board.read('inForce') !== undefined && !this.#callers.fresh
-    if (unconfirmed === this.#unconfirmed) return
-    this.#unconfirmed = unconfirmed
-    log.write(unconfirmed ? 'configuration-unconfirmed' : 'configuration-confirmed', { revision: this.#board.read('inForce')?.traffic.revision })
-  }
-
-  get #revision (): number {
-    return this.#board.read('inForce')?.traffic.revision ?? 0
-  }
 }
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -3,21 +3,25 @@
  * not change (docs/operators/metrics.md). Owns the counters, the histogram and the listener; gauges are read when asked for.
  */
 import { createServer, type Server } from 'node:http'
+import { type Clock } from '@eiderwind/clock'
+import { type InFlight } from '@eiderwind/detect'
+import { type Queue } from '@eiderwind/dispatch'
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 import { type CallerRequest } from '@eiderwind/forward'
-import { listen } from '@eiderwind/wire'
+import { type Roster } from '@eiderwind/roster'
+import { listen, type Connections } from '@eiderwind/wire'
+import { type Budgets } from './budgets.js'
+import { type GatewayBoard } from './facts.js'
 
-/** The gauges' values, read when the metrics are asked for. */
-export interface Reading {
-  readonly revision: number
-  /** Age of the newest confirmation, in s. */
-  readonly confirmationAge: number
-  /** Engines by the state of their membership, `none` for engines in no replica. */
-  readonly replicas: Readonly<Record<string, number>>
-  readonly flights: number
-  readonly waiting: number
-  readonly connections: number
-  readonly repeatsLeft: Readonly<Record<string, number>>
+/** The parts that the gauges read. */
+export interface MetricsOptions {
+  readonly clock: Clock
+  readonly board: GatewayBoard
+  readonly roster: Roster
+  readonly inFlight: InFlight
+  readonly queue: Queue
+  readonly connections: Connections
+  readonly budgets: Budgets
 }
 
 const path = '/metrics'
@@ -30,7 +34,7 @@
 export class Metrics {
   readonly #registry = new Registry()
   readonly #server: Server
-  readonly #read: () => Reading
+  readonly #options: MetricsOptions
   readonly #requests: Counter<'kind' | 'service' | 'outcome'>
   readonly #refusals: Counter<'code'>
   readonly #times: Histogram<'kind'>
@@ -39,8 +43,8 @@
   readonly #resumptions: Counter
   readonly #orders: Counter<'kind' | 'result'>
 
-  constructor (read: () => Reading) {
-    this.#read = read
+  constructor (options: MetricsOptions) {
+    this.#options = options
     const registers = [this.#registry]
     this.#requests = new Counter({ name: 'eiderwind_requests_total', help: 'Requests that ended, by how.', labelNames: ['kind', 'service', 'outcome'], registers })
     this.#refusals = new Counter({ name: 'eiderwind_refusals_total', help: 'Requests refused before any upstream was chosen, by code.', labelNames: ['code'], registers })
@@ -97,12 +101,11 @@
   }
 
   #gauges (registers: Registry[]): void {
-    const single = (name: string, help: string, value: (reading: Reading) => number): void => {
-      const read = this.#read
-      const gauge: Gauge = new Gauge({ name, help, registers, collect: () => gauge.set(value(read())) })
+    const { clock, board, inFlight, queue, connections, budgets } = this.#options
+    const single = (name: string, help: string, read: () => number): void => {
+      const gauge: Gauge = new Gauge({ name, help, registers, collect: () => gauge.set(read()) })
     }
-    const several = (name: string, help: string, label: string, values: (reading: Reading) => Readonly<Record<string, number>>): void => {
-      const read = this.#read
+    const labelled = (name: string, help: string, label: string, read: () => Readonly<Record<string, number>>): void => {
       const gauge: Gauge = new Gauge({
         name,
         help,
@@ -110,17 +113,27 @@
         registers,
         collect: () => {
           gauge.reset()
-          for (const [key, value] of Object.entries(values(read()))) gauge.set({ [label]: key }, value)
+          for (const [key, value] of Object.entries(read())) gauge.set({ [label]: key }, value)
         }
       })
     }
-    single('eiderwind_configuration_revision', 'Revision of the configuration in force.', each => each.revision)
-    single('eiderwind_confirmation_age_seconds', 'Age of the newest confirmation of the configuration.', each => each.confirmationAge)
-    single('eiderwind_flights', 'Requests in flight at upstreams.', each => each.flights)
-    single('eiderwind_waiting', 'Requests queued for an upstream.', each => each.waiting)
-    single('eiderwind_connections_opened_total', 'Connections opened to upstreams.', each => each.connections)
+    single('eiderwind_configuration_revision', 'Revision of the configuration in force.', () => board.read('inForce')?.traffic.revision ?? 0)
+    single('eiderwind_confirmation_age_seconds', 'Age of the newest confirmation of the configuration.', () => (clock.now() - board.read('confirmedAt')) / 1000)
+    single('eiderwind_flights', 'Requests in flight at upstreams.', () => inFlight.total)
+    single('eiderwind_waiting', 'Requests queued for an upstream.', () => queue.count)
+    single('eiderwind_connections_opened_total', 'Connections opened to upstreams.', () => connections.opened)
     single('eiderwind_memory_bytes', 'Resident memory of the process.', () => process.memoryUsage.rss())
-    several('eiderwind_engines', 'Engines by the state of their membership.', 'state', each => each.replicas)
-    several('eiderwind_repeats_left', 'Retries left in the running window.', 'service', each => each.repeatsLeft)
+    labelled('eiderwind_engines', 'Engines by the state of their membership.', 'state', () => this.#engines())
+    labelled('eiderwind_repeats_left', 'Retries left in the running window.', 'service', () => budgets.left)
+  }
+
+  /** Listed upstreams by the state of their membership, `none` for those in no replica. */
+  #engines (): Record<string, number> {
+    const counts: Record<string, number> = {}
+    for (const { membership } of this.#options.roster.all) {
+      const state = membership?.state ?? 'none'
+      counts[state] = (counts[state] ?? 0) + 1
+    }
+    return counts
   }
 }
--- /dev/null
+++ b/packages/gateway/src/sampling.ts
@@ -0,0 +1,65 @@
+/**
+ * What a gateway does twice a second: samples the load by model, adapts how closely the platform is watched to what this
+ * gateway does for the fleet, and logs when the confirmation of the configuration has become too old, or young again.
+ */
+import { type Clock, type Subscription } from '@eiderwind/clock'
+import { type InFlight } from '@eiderwind/detect'
+import { type Log } from '@eiderwind/log'
+import { type Peers } from '@eiderwind/peers'
+import { type ModelLoad } from './demand.js'
+import { type GatewayBoard } from './facts.js'
+import { type Leadership } from './leadership.js'
+import { type Platform } from './platform.js'
+
+/** Dependencies of `Sampling`. */
+export interface SamplingOptions {
+  readonly clock: Clock
+  readonly log: Log
+  readonly board: GatewayBoard
+  readonly platform: Platform
+  readonly peers: Peers
+  readonly inFlight: InFlight
+  readonly modelLoad: ModelLoad
+  readonly leadership: Leadership
+  /** Whether the newest confirmation is young enough for requests with keys. */
+  readonly fresh: () => boolean
+}
+
+/** Time between two samples, in ms. The weights in `demand.ts` are chosen for it. Chosen, not measured. */
+const interval = 500
+
+/** Samples at a steady interval. */
+export class Sampling {
+  readonly #options: SamplingOptions
+  #timer: Subscription | undefined
+  #unconfirmed = false
+
+  constructor (options: SamplingOptions) {
+    this.#options = options
+  }
+
+  start (): void {
+    this.#timer = this.#options.clock.every(interval, () => this.#sample())
+  }
+
+  stop (): void {
+    this.#timer?.cancel()
+  }
+
+  #sample (): void {
+    const { platform, peers, inFlight, modelLoad, leadership } = this.#options
+    modelLoad.sample([inFlight.models, ...peers.live.map(each => each.models)])
+    platform.hurry(leadership.planning)
+    platform.confirms(leadership.polls)
+    this.#logFreshness()
+  }
+
+  #logFreshness (): void {
+    const { log, board, fresh } = this.#options
+    const inForce = board.read('inForce')
+    const unconfirmed = inForce !== undefined && !fresh()
+    if (unconfirmed === this.#unconfirmed) return
+    this.#unconfirmed = unconfirmed
+    log.write(unconfirmed ? 'configuration-unconfirmed' : 'configuration-confirmed', { revision: inForce?.traffic.revision })
+  }
+}
