--- a/packages/ctl/src/explain.ts
+++ b/packages/ctl/src/explain.ts
@@ -1,4 +1,10 @@
-/** A line of a log: one numbered event with its fields. */
+/**
+ * Finds out from gateways' logs what happened to one id: a request, an upstream, a replica, a domain, or a revision. Pure:
+ * lines in, an explanation out. Relies on the names and fields of log events, which never change (docs/operators/events.md),
+ * so logs of earlier builds are read as well.
+ */
+
+/** A log line: one numbered event with its fields. */
 export interface LogLine {
   readonly time: string
   readonly name: string
@@ -6,81 +12,82 @@
   readonly [field: string]: unknown
 }
 
-/** What the logs tell of one id. */
+/** What the logs say about one id. */
 export interface Explanation {
-  /** The lines that speak of it, and those that speak of the upstreams that it met, in order of time. */
+  /** Lines that name it and, for a request, lines about its upstreams and its gateway shortly before its end; by time. */
   readonly story: readonly LogLine[]
-  /** What happened and why, in a sentence. */
+  /** What happened and why, in one sentence. */
   readonly cause: string
 }
 
-/** Lines about an upstream count as long as they are this close to the request, in ms. */
-const nearTime = 8000
+/** Lines are related to a request for this long before its end, in ms: the longest deadline of both sites (8 s). */
+const relatedTime = 8000
 
-/** Events that say something of an upstream or of what an entry believed. */
-const context = new Set(['upstream-suspected', 'replica-decided', 'engine-order', 'store-lost', 'store-back', 'configuration-unconfirmed', 'configuration-confirmed', 'stopping'])
+/** Events about an upstream, or about what a gateway believed. */
+const relatedEvents = new Set(['upstream-suspected', 'replica-decided', 'engine-order', 'store-lost', 'store-back', 'configuration-unconfirmed', 'configuration-confirmed', 'stopping'])
 
-/** The line of a log file, or undefined where it is none. */
+/** Decodes one line of a log file; undefined where it is no event. Anything may stand before the JSON. */
 export function readLine (text: string): LogLine | undefined {
   const start = text.indexOf('{"time"')
   if (start < 0) return undefined
   try {
     return JSON.parse(text.slice(start)) as LogLine
   } catch {
+    // Other programs may write to the same file, and a line may be cut at its end: neither says anything of the id.
     return undefined
   }
 }
 
-/** Tells the story of a request, of an upstream, of a replica or of a revision of the configuration. */
+/** Explains a request, an upstream, a replica, a domain or a revision of the configuration. */
 export function explain (lines: readonly LogLine[], id: string): Explanation {
-  const own = lines.filter(line => speaksOf(line, id))
+  const own = lines.filter(line => names(line, id))
   const end = own.find(line => line.request === id && (line.name === 'request-ended' || line.name === 'request-refused'))
-  const around = end === undefined ? [] : lines.filter(line => !own.includes(line) && isNear(line, end))
+  const around = end === undefined ? [] : lines.filter(line => !own.includes(line) && isRelated(line, end))
   const story = [...own, ...around].sort((a, b) => a.time < b.time ? -1 : a.time > b.time ? 1 : 0)
   return { story, cause: end === undefined ? causeOfOther(own, id) : causeOfRequest(end, around) }
 }
 
-function speaksOf (line: LogLine, id: string): boolean {
+function names (line: LogLine, id: string): boolean {
   if (line.request === id || line.upstream === id || line.replica === id || line.domain === id || String(line.revision) === id) return true
   return line.name === 'replica-decided' && String(line.note).split(/[ :]/).includes(id)
 }
 
-/** Whether a line tells what was so around a request's end: of an upstream that it met, or of the entry that had it. */
-function isNear (line: LogLine, end: LogLine): boolean {
-  if (!context.has(line.name)) return false
+/** Whether a line shortly before a request's end is about an upstream of its attempts, or about the gateway that had it. */
+function isRelated (line: LogLine, end: LogLine): boolean {
+  if (!relatedEvents.has(line.name)) return false
   const apart = Date.parse(end.time) - Date.parse(line.time)
-  if (apart < 0 || apart > nearTime) return false
-  const upstreams = metUpstreams(end)
+  if (apart < 0 || apart > relatedTime) return false
+  const upstreams = attemptedUpstreams(end)
   if (upstreams.some(each => line.upstream === each || String(line.note ?? '').includes(each))) return true
   return line.node === end.node && line.upstream === undefined && line.note === undefined
 }
 
-function metUpstreams (end: LogLine): string[] {
+function attemptedUpstreams (end: LogLine): string[] {
   return String(end.attempts ?? '').split('; ').map(each => each.split(' ')[0]).filter(each => each !== '')
 }
 
 function causeOfRequest (end: LogLine, around: readonly LogLine[]): string {
-  const entry = `Entry ${end.node ?? '?'}`
-  if (end.name === 'request-refused') return `${entry} refused it with ${String(end.status)}: ${reasons[String(end.code)] ?? String(end.code)} (its configuration was confirmed ${String(end.confirmed)} ms before).`
+  const gateway = `Gateway ${end.node ?? '?'}`
+  if (end.name === 'request-refused') return `${gateway} refused it with ${String(end.status)}: ${reasons[String(end.code)] ?? String(end.code)} (its configuration was confirmed ${String(end.confirmed)} ms before).`
   const outcome = String(end.outcome)
   const attempts = String(end.attempts ?? '')
   const suspected = around.filter(each => each.name === 'upstream-suspected').map(each => String(each.upstream))
   const dissolved = around.filter(each => each.name === 'replica-decided' && String(each.note).includes('dissolved')).map(each => String(each.note))
   const evidence = [
-    ...suspected.length > 0 ? [`${[...new Set(suspected)].join(', ')} stood still`] : [],
+    ...suspected.length > 0 ? [`${[...new Set(suspected)].join(', ')} stalled`] : [],
     ...dissolved.length > 0 ? [`the planner found: ${dissolved.join('; ')}`] : []
   ].join('; ')
   const [code] = outcome.split(' ')
   const reason = reasons[code] ?? `it ended as "${outcome}"`
-  return `${entry} had it for ${String(end.took)} ms: ${reason}. Attempts: ${attempts === '' ? 'none' : attempts}.${evidence === '' ? '' : ` Around it: ${evidence}.`}`
+  return `${gateway} had it for ${String(end.took)} ms: ${reason}. Attempts: ${attempts === '' ? 'none' : attempts}.${evidence === '' ? '' : ` Shortly before: ${evidence}.`}`
 }
 
-/** What the codes of refusals and outcomes mean. */
+/** What happened, by the code of a refusal or the first word of an outcome. */
 const reasons: Readonly<Record<string, string>> = {
   'unknown-path': 'no route of the configuration in force fits its host and path',
   'bad-key': 'its key belongs to no team of the configuration in force',
-  behind: 'the entry had no configuration that it could trust',
-  leaving: 'the entry was about to end',
+  behind: 'the gateway had no configuration that it could trust',
+  leaving: 'the gateway was about to end',
   busy: 'every replica of its model was full, and it was refused before it waited too long; it did not run',
   'no-replica': 'no replica of its model was open; it did not run',
   'upstream-down': 'no upstream took it; it did not run',
@@ -92,7 +99,7 @@
 }
 
 function causeOfOther (own: readonly LogLine[], id: string): string {
-  if (own.length === 0) return `No line speaks of ${id}. Ordinary successes are sampled; look at the entries' other files.`
+  if (own.length === 0) return `No line names ${id}. Ordinary successes are sampled; look at the logs of the other gateways.`
   const last = own[own.length - 1]
-  return `${own.length} lines speak of ${id}; the last is ${last.name} at ${last.time}${last.note === undefined ? '' : `: ${String(last.note)}`}.`
+  return `${own.length} lines name ${id}; the last is ${last.name} at ${last.time}${last.note === undefined ? '' : `: ${String(last.note)}`}.`
 }
--- a/packages/ctl/src/explaining.ts
+++ b/packages/ctl/src/explaining.ts
@@ -1,16 +1,17 @@
+/** `eiderwindctl explain`: reads log files, prints the explanation as text or JSON, and gives the exit status. */
 import { readFileSync } from 'node:fs'
 import { explain, readLine, type LogLine } from './explain.js'
 import { type Print } from './session.js'
 import { statuses } from './usage.js'
 
-/** What is asked for. */
+/** What `explain` is called with. */
 export interface Question {
   readonly id: string
   readonly files: readonly string[]
   readonly json: boolean
 }
 
-/** Reads logs and prints the story of an id and its cause. Gives the exit status. */
+/** Prints the lines about an id and the cause. Returns the exit status: bad usage where a file cannot be read. */
 export function explainFiles ({ id, files, json }: Question, { out, error }: { readonly out: Print, readonly error: Print }): number {
   const lines: LogLine[] = []
   for (const file of files) {
--- a/packages/ctl/test/explain.test.ts
+++ b/packages/ctl/test/explain.test.ts
@@ -15,13 +15,13 @@
 test('a stream that was cut: its attempts, the suspicion and what the planner found', t => {
   const { story, cause } = explain(lines, 'r1')
   t.deepEqual(story.map(each => each.name), ['upstream-suspected', 'replica-decided', 'request-ended'])
-  t.regex(cause, /Entry entry-1 had it for 900 ms: its stream broke off/)
-  t.regex(cause, /i-1 stood still/)
+  t.regex(cause, /Gateway entry-1 had it for 900 ms: its stream broke off/)
+  t.regex(cause, /i-1 stalled/)
   t.regex(cause, /d\.4 of large dissolved: i-9 missing/)
 })
 
 test('a refusal names its reason and how old the entry\'s knowledge was', t => {
-  t.regex(explain(lines, 'r2').cause, /refused it with 503: the entry had no configuration that it could trust \(its configuration was confirmed 4100 ms before\)/)
+  t.regex(explain(lines, 'r2').cause, /refused it with 503: the gateway had no configuration that it could trust \(its configuration was confirmed 4100 ms before\)/)
 })
 
 test('a request that was refused under load did not run', t => {
@@ -31,5 +31,5 @@
 test('an upstream and a replica have stories too, and an unknown id says so', t => {
   t.is(explain(lines, 'i-2').story.length, 1)
   t.is(explain(lines, 'd.4').story.length, 1)
-  t.regex(explain(lines, 'nobody').cause, /No line speaks of nobody/)
+  t.regex(explain(lines, 'nobody').cause, /No line names nobody/)
 })
