--- a/packages/dispatch/src/choice.ts
+++ b/packages/dispatch/src/choice.ts
@@ -1,6 +1,6 @@
 import { type Clock, type Random } from '@eiderwind/clock'
 import { type InFlight, type Suspects } from '@eiderwind/detect'
-import { type Beat, type Peers } from '@eiderwind/peers'
+import { type Heartbeat, type Peers } from '@eiderwind/peers'
 import { type Roster, type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
 
@@ -44,8 +44,8 @@
   head (service: string, model: string, engine: Engine, tried: ReadonlySet<string>): Upstream | undefined {
     const { roster, suspects } = this.#options
     const heads = roster.heads(service, model).filter(({ id }) => !tried.has(id) && suspects.mayTry(id))
-    const beats = this.#options.peers.live
-    const load = ({ id }: Upstream): number => this.#load(id, beats)
+    const heartbeats = this.#options.peers.live
+    const load = ({ id }: Upstream): number => this.#load(id, heartbeats)
     const best = this.#least(heads, load)
     return best !== undefined && load(best) < engine.slots * (1 + overhang) ? best : undefined
   }
@@ -66,8 +66,8 @@
   }
 
   /** Requests under way at an upstream: this entry's, and what the others told last. */
-  #load (id: string, beats: readonly Beat[]): number {
-    const others = beats.reduce((sum, { loads }) => sum + (loads[id] ?? 0), 0)
+  #load (id: string, heartbeats: readonly Heartbeat[]): number {
+    const others = heartbeats.reduce((sum, { inFlight }) => sum + (inFlight[id] ?? 0), 0)
     return this.#options.inFlight.count(id) + others
   }
 
--- a/packages/gateway/src/following.ts
+++ b/packages/gateway/src/following.ts
@@ -29,7 +29,7 @@
     changes: changes => roster.apply(changes),
     entries: entries => {
       board.write('listed', true)
-      peers.list(entries)
+      peers.setAddresses(entries)
     },
     answered: () => {
       outage.answered()
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -9,7 +9,7 @@
 import { Forming, type Order, type OrderResult } from '@eiderwind/forming'
 import { type Context } from '@eiderwind/forward'
 import { type Log } from '@eiderwind/log'
-import { Peers, type Beat } from '@eiderwind/peers'
+import { Peers, type Heartbeat } from '@eiderwind/peers'
 import { Outage, Roster } from '@eiderwind/roster'
 import { Connections } from '@eiderwind/wire'
 import { Budgets } from './budgets.js'
@@ -38,7 +38,7 @@
 
 /** Time between two heartbeats to other gateways, and silence after which one counts as gone, in ms. Chosen, not measured. */
 const heartbeatInterval = 250
-const heartbeatPatience = 1000
+const heartbeatTimeout = 1000
 
 /** How long a new connection to an upstream may take, in ms: over 100 times the way there and back (1.4 ms each). */
 const connectTime = 350
@@ -80,7 +80,7 @@
     this.#suspects = new Suspects(clock, this.#roster)
     this.#queue = new Queue(clock)
     this.#inFlight = new InFlight(clock, () => this.#queue.wake())
-    this.#peers = new Peers({ clock, id: settings.id, address: settings.peers, beat: () => this.#heartbeat(), interval: heartbeatInterval, patience: heartbeatPatience })
+    this.#peers = new Peers({ clock, id: settings.id, address: settings.peers, heartbeat: () => this.#heartbeat(), interval: heartbeatInterval, timeout: heartbeatTimeout })
     const peers = this.#peers
     this.#leadership = new Leadership({ clock, log, board, outage: this.#outage, pauses: this.#pauses, peers, id: settings.id, firstStart: settings.first })
     this.#budgets = new Budgets({ clock, board, peers, settings })
@@ -161,7 +161,7 @@
       silence,
       suspected: () => {
         this.#metrics.suspected()
-        this.#peers.tell()
+        this.#peers.send()
       }
     })
   }
@@ -193,14 +193,14 @@
   }
 
   /** What other gateways hear of this one. */
-  #heartbeat (): Beat {
+  #heartbeat (): Heartbeat {
     return {
       id: this.#options.settings.id,
       revision: this.#board.read('inForce')?.traffic.revision ?? 0,
-      able: this.#leadership.eligible,
-      loads: this.#inFlight.counts,
+      canPlan: this.#leadership.eligible,
+      inFlight: this.#inFlight.counts,
       suspects: this.#suspects.all,
-      models: this.#inFlight.models,
+      inFlightByModel: this.#inFlight.models,
       served: this.#callers.served
     }
   }
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -88,6 +88,6 @@
   /** Ids of the gateways that may plan, as far as this one has heard lately. */
   get #candidates (): string[] {
     const { id, peers } = this.#options
-    return this.eligible ? [id, ...peers.able] : peers.able
+    return this.eligible ? [id, ...peers.planners] : peers.planners
   }
 }
--- a/packages/gateway/src/sampling.ts
+++ b/packages/gateway/src/sampling.ts
@@ -48,7 +48,7 @@
 
   #sample (): void {
     const { platform, peers, inFlight, modelLoad, leadership } = this.#options
-    modelLoad.sample([inFlight.models, ...peers.live.map(each => each.models)])
+    modelLoad.sample([inFlight.models, ...peers.live.map(each => each.inFlightByModel)])
     platform.hurry(leadership.planning)
     platform.confirms(leadership.polls)
     this.#logFreshness()
--- a/packages/gateway/test/digest.test.ts
+++ b/packages/gateway/test/digest.test.ts
@@ -32,8 +32,8 @@
 }
 
 function alone (clock: ManualClock): Peers {
-  const beat = { id: 'e', revision: 0, able: false, loads: {}, suspects: [], models: {}, served: false }
-  return new Peers({ clock, id: 'e', address: '127.0.0.1:1', beat: () => beat, interval: 250, patience: 1000 })
+  const heartbeat = { id: 'e', revision: 0, canPlan: false, inFlight: {}, suspects: [], inFlightByModel: {}, served: false }
+  return new Peers({ clock, id: 'e', address: '127.0.0.1:1', heartbeat: () => heartbeat, interval: 250, timeout: 1000 })
 }
 
 test('choices among heads and plain upstreams', t => {
@@ -79,7 +79,8 @@
   const { port } = socket.address()
   socket.close()
   const beat = { id: 'e', revision: 0, able: false, loads: {}, suspects: [], models: {}, served: false }
-  const peers = new Peers({ clock, id: 'e', address: `127.0.0.1:${port}`, beat: () => beat, interval: 250, patience: 1000 })
+  const heartbeat = { id: 'e', revision: 0, canPlan: false, inFlight: {}, suspects: [], inFlightByModel: {}, served: false }
+  const peers = new Peers({ clock, id: 'e', address: `127.0.0.1:${port}`, heartbeat: () => heartbeat, interval: 250, timeout: 1000 })
   await peers.start()
   const other = createSocket('udp4')
   const choice = new Choice({ clock, roster, inFlight: flights, peers, suspects: new Suspects(clock, roster), dataCentre: 'dc1', random: seeded(43) })
--- /dev/null
+++ b/packages/peers/src/heartbeat.ts
@@ -0,0 +1,60 @@
+/**
+ * A heartbeat between gateways: the inner type, and its datagram. This is the only place that knows the keys on the
+ * wire. Gateways of two builds serve one site together during a restart, so keys are never renamed or dropped; new ones
+ * must be optional.
+ */
+import { z } from 'zod'
+
+/** What a gateway says of itself, several times a second. */
+export interface Heartbeat {
+  /** The sender. */
+  readonly id: string
+  /** Revision of the configuration in force at the sender; 0 where it has none yet. */
+  readonly revision: number
+  /** Whether the sender reaches the store and may plan replicas. */
+  readonly canPlan: boolean
+  /** Its requests in flight, by upstream id. */
+  readonly inFlight: Readonly<Record<string, number>>
+  /** Ids of the replica heads that it suspects of having stalled. */
+  readonly suspects: readonly string[]
+  /** Its requests in flight, by model. */
+  readonly inFlightByModel: Readonly<Record<string, number>>
+  /** Whether it has ever received a request from a caller. */
+  readonly served: boolean
+}
+
+/** The datagram: JSON with these keys. Unknown keys are dropped, so that a newer gateway may send more. */
+const Datagram = z.object({
+  id: z.string(),
+  revision: z.int(),
+  /** `canPlan`. */
+  able: z.boolean(),
+  /** `inFlight`. */
+  loads: z.record(z.string(), z.int()),
+  suspects: z.array(z.string()),
+  /** `inFlightByModel`. */
+  models: z.record(z.string(), z.int()),
+  served: z.boolean()
+})
+
+/** The datagram of a heartbeat. */
+export function encode ({ id, revision, canPlan, inFlight, suspects, inFlightByModel, served }: Heartbeat): string {
+  return JSON.stringify({ id, revision, able: canPlan, loads: inFlight, suspects, models: inFlightByModel, served })
+}
+
+/** The heartbeat in a datagram, or undefined where the datagram is not one. */
+export function decode (message: Buffer): Heartbeat | undefined {
+  const { data } = Datagram.safeParse(parsed(message))
+  if (data === undefined) return undefined
+  const { id, revision, able: canPlan, loads: inFlight, suspects, models: inFlightByModel, served } = data
+  return { id, revision, canPlan, inFlight, suspects, inFlightByModel, served }
+}
+
+function parsed (message: Buffer): unknown {
+  try {
+    return JSON.parse(message.toString())
+  } catch {
+    // Anything can arrive on a UDP port. A datagram that is not JSON fails the schema like any other foreign one.
+    return undefined
+  }
+}
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -1,3 +1,3 @@
-/** What entries tell each other, so that each knows who is there, who has how much, and which configuration is in force. */
-export { Beat } from './beat.js'
+/** Heartbeats between gateways: who is alive, what each has in flight, and which configuration is in force there. */
+export { type Heartbeat } from './heartbeat.js'
 export { Peers, type PeerAddress, type PeersOptions } from './peers.js'
--- a/packages/peers/src/peers.ts
+++ b/packages/peers/src/peers.ts
@@ -1,43 +1,54 @@
+/**
+ * Membership of the gateways by heartbeats over UDP, without a reply or a retry. `Peers` owns the socket, the newest
+ * heartbeat of each peer and the list of addresses; it relies on the caller for that list (the store's) and for what
+ * to say. What peers say only steers choices: no decision that must be safe depends on it.
+ */
 import { createSocket, type Socket } from 'node:dgram'
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { ranked } from '@eiderwind/hash'
 import { splitAddress } from '@eiderwind/wire'
-import { Beat } from './beat.js'
+import { decode, encode, type Heartbeat } from './heartbeat.js'
 
-/** Another entry: its id and the address of its datagrams. */
+/** Where a gateway listens for other gateways, under the id that it has in the store. */
 export interface PeerAddress {
   readonly id: string
+  /** `host:port`, for heartbeats over UDP and for calls over TCP. */
   readonly address: string
 }
 
-/** What an entry's part in the exchange stands on. Spans are in ms. */
+/** Dependencies and settings of `Peers`. Spans are in ms. */
 export interface PeersOptions {
   readonly clock: Clock
+  /** This gateway's id. Heartbeats that carry it are ignored. */
   readonly id: string
-  /** `host:port` on which it listens. */
+  /** `host:port` on which heartbeats are received. */
   readonly address: string
-  /** What it tells of itself now. */
-  readonly beat: () => Beat
-  /** Time between two beats. */
+  /** Gives the heartbeat to send now. */
+  readonly heartbeat: () => Heartbeat
+  /** Time between two heartbeats. */
   readonly interval: number
-  /** Silence after which another entry counts as gone. */
-  readonly patience: number
+  /** Silence after which a peer no longer counts as alive. */
+  readonly timeout: number
 }
 
-/** Entries that one entry tells; in a larger fleet each tells only some. */
+/**
+ * Peers that one gateway sends its heartbeats to at most, so that the messages of a large fleet grow with its size and
+ * not with its square. Chosen, not measured; in a fleet of up to 13 gateways each sends to all others.
+ */
 const fanOut = 12
 
-interface Heard {
-  readonly beat: Beat
+interface Receipt {
+  readonly heartbeat: Heartbeat
+  /** When it arrived, on `Clock.now`. */
   readonly at: number
 }
 
-/** Tells other entries by datagrams what this one has, and keeps what they tell. All of it only steers. */
+/** Sends this gateway's heartbeat to its peers and keeps the newest one of each peer. */
 export class Peers {
   readonly #options: PeersOptions
-  readonly #heard = new Map<string, Heard>()
+  readonly #received = new Map<string, Receipt>()
   #addresses: readonly PeerAddress[] = []
-  #told: readonly PeerAddress[] = []
+  #recipients: readonly PeerAddress[] = []
   #socket: Socket | undefined
   #timer: Subscription | undefined
 
@@ -45,29 +56,30 @@
     this.#options = options
   }
 
-  /** What each entry told last that was heard of lately. */
-  get live (): Beat[] {
-    const since = this.#options.clock.now() - this.#options.patience
-    return [...this.#heard.values()].filter(each => each.at >= since).map(each => each.beat)
+  /** The peers that are alive, each as its newest heartbeat. */
+  get live (): Heartbeat[] {
+    const since = this.#options.clock.now() - this.#options.timeout
+    return [...this.#received.values()].filter(each => each.at >= since).map(each => each.heartbeat)
   }
 
-  /** The other entries that the platform lists. */
+  /** The other gateways that the store lists, alive or not. */
   get addresses (): readonly PeerAddress[] {
     return this.#addresses
   }
 
-  /** Ids of the other entries that are there and able to act. */
-  get able (): string[] {
-    return this.live.filter(each => each.able).map(each => each.id)
+  /** Ids of the live peers that may plan replicas. */
+  get planners (): string[] {
+    return this.live.filter(each => each.canPlan).map(each => each.id)
   }
 
-  /** Takes the list of all entries. */
-  list (entries: readonly PeerAddress[]): void {
-    this.#addresses = entries.filter(each => each.id !== this.#options.id)
+  /** Takes the store's list of all gateways, this one included or not. */
+  setAddresses (gateways: readonly PeerAddress[]): void {
+    this.#addresses = gateways.filter(each => each.id !== this.#options.id)
     const byId = new Map(this.#addresses.map(each => [each.id, each]))
-    this.#told = ranked(this.#options.id, [...byId.keys()]).slice(0, fanOut).map(id => byId.get(id) as PeerAddress)
+    this.#recipients = ranked(this.#options.id, [...byId.keys()]).slice(0, fanOut).map(id => byId.get(id) as PeerAddress)
   }
 
+  /** Binds the socket and begins to send. Rejects where the address cannot be bound. */
   async start (): Promise<void> {
     const { clock, address, interval } = this.#options
     const socket = createSocket('udp4')
@@ -76,17 +88,19 @@
       socket.once('error', reject)
       socket.bind(port, host, resolve)
     })
+    // A lost datagram needs no handling: the next follows within `interval`, and `timeout` decides who is alive.
     socket.on('error', () => {})
-    socket.on('message', message => this.#take(message))
+    socket.on('message', message => this.#receive(message))
     this.#socket = socket
-    this.#timer = clock.every(interval, () => this.tell())
+    this.#timer = clock.every(interval, () => this.send())
   }
 
-  /** Tells the others now, beside the interval. */
-  tell (): void {
-    const message = JSON.stringify(this.#options.beat())
-    for (const { address } of this.#told) {
+  /** Sends a heartbeat now, in addition to the regular ones. */
+  send (): void {
+    const message = encode(this.#options.heartbeat())
+    for (const { address } of this.#recipients) {
       const { host, port } = splitAddress(address)
+      // Failures are ignored for the same reason as the socket's errors in `start`.
       this.#socket?.send(message, port, host, () => {})
     }
   }
@@ -97,16 +111,13 @@
     this.#socket = undefined
   }
 
-  #take (message: Buffer): void {
-    const beat = read(message)
-    if (beat !== undefined && beat.id !== this.#options.id) this.#heard.set(beat.id, { beat, at: this.#options.clock.now() })
-  }
-}
-
-function read (message: Buffer): Beat | undefined {
-  try {
-    return Beat.safeParse(JSON.parse(message.toString())).data
-  } catch {
-    return undefined
+  /**
+   * Keeps a heartbeat as its sender's newest. A datagram that does not fit the schema is dropped without a line: anything
+   * may reach the port, and a sender whose heartbeats never fit counts as not alive, as it would if it sent none.
+   */
+  #receive (message: Buffer): void {
+    const heartbeat = decode(message)
+    if (heartbeat === undefined || heartbeat.id === this.#options.id) return
+    this.#received.set(heartbeat.id, { heartbeat, at: this.#options.clock.now() })
   }
 }
--- /dev/null
+++ b/packages/peers/test/peers.test.ts
@@ -0,0 +1,146 @@
+/** Heartbeats between gateways: what is sent to whom, what is understood, and who counts as alive. */
+import { createSocket, type RemoteInfo, type Socket } from 'node:dgram'
+import test, { type ExecutionContext } from 'ava'
+import { ManualClock } from '@eiderwind/clock'
+import { ranked } from '@eiderwind/hash'
+import { Peers, type Heartbeat } from '../src/index.js'
+import { decode, encode } from '../src/heartbeat.js'
+
+const interval = 250
+const timeout = 1000
+
+/** The datagram of `heartbeat()`, as every build of the gateway sends and reads it. */
+const datagram = '{"id":"self","revision":7,"able":true,"loads":{"u":3},"suspects":["h"],"models":{"m":2},"served":true}'
+
+function heartbeat (difference: Partial<Heartbeat> = {}): Heartbeat {
+  return { id: 'self', revision: 7, canPlan: true, inFlight: { u: 3 }, suspects: ['h'], inFlightByModel: { m: 2 }, served: true, ...difference }
+}
+
+/** A socket that notes what it receives. */
+interface Peer {
+  readonly id: string
+  readonly address: string
+  readonly socket: Socket
+  readonly received: Array<{ readonly text: string, readonly from: RemoteInfo }>
+}
+
+async function peer (t: ExecutionContext, id: string): Promise<Peer> {
+  const socket = createSocket('udp4')
+  const received: Peer['received'] = []
+  socket.on('message', (message, from) => received.push({ text: message.toString(), from }))
+  await new Promise<void>(resolve => socket.bind(0, '127.0.0.1', resolve))
+  t.teardown(() => { socket.close() })
+  return { id, address: `127.0.0.1:${socket.address().port}`, socket, received }
+}
+
+async function startedPeers (t: ExecutionContext, clock: ManualClock): Promise<Peers> {
+  const peers = new Peers({ clock, id: 'self', address: '127.0.0.1:0', heartbeat, interval, timeout })
+  await peers.start()
+  t.teardown(() => peers.stop())
+  return peers
+}
+
+async function until (condition: () => boolean): Promise<void> {
+  while (!condition()) await new Promise(resolve => setImmediate(resolve))
+}
+
+/** Has `from` send a text to whoever sent it a heartbeat. */
+async function reply (from: Peer, text: string): Promise<void> {
+  await until(() => from.received.length > 0)
+  const { port, address } = from.received[0].from
+  await new Promise(resolve => from.socket.send(text, port, address, resolve))
+}
+
+test('a heartbeat is sent as its datagram and read back', t => {
+  t.is(encode(heartbeat()), datagram)
+  t.deepEqual(decode(Buffer.from(datagram)), heartbeat())
+})
+
+test('keys that a newer gateway adds are ignored', t => {
+  const newer = JSON.stringify({ ...JSON.parse(datagram), more: { than: 'this' } })
+  t.deepEqual(decode(Buffer.from(newer)), heartbeat())
+})
+
+for (const [name, text] of [
+  ['that lacks a key, as an older gateway\'s might', datagram.replace(',"served":true', '')],
+  ['with a value of another type', datagram.replace('"able":true', '"able":"yes"')],
+  ['with a count that is no whole number', datagram.replace('"u":3', '"u":3.5')],
+  ['that is JSON, but no object', '7'],
+  ['that is cut short', datagram.slice(0, 40)],
+  ['that is empty', '']
+] as const) {
+  test(`a datagram ${name} is no heartbeat`, t => {
+    t.is(decode(Buffer.from(text)), undefined)
+  })
+}
+
+test('heartbeats are sent to the listed peers at each interval and on demand, not to oneself', async t => {
+  const clock = new ManualClock()
+  const peers = await startedPeers(t, clock)
+  const [other, self] = await Promise.all([peer(t, 'other'), peer(t, 'self')])
+  peers.setAddresses([other, self])
+  t.deepEqual(peers.addresses.map(each => each.id), ['other'])
+  clock.advance(interval - 1)
+  peers.send()
+  await until(() => other.received.length === 1)
+  clock.advance(1)
+  await until(() => other.received.length === 2)
+  t.deepEqual(other.received.map(each => each.text), [datagram, datagram])
+  t.is(self.received.length, 0)
+})
+
+test('in a large fleet a gateway sends to the 12 peers that rendezvous hashing prefers for it', async t => {
+  const peers = await startedPeers(t, new ManualClock())
+  const others = await Promise.all(Array.from({ length: 16 }, (_each, index) => peer(t, `g${index}`)))
+  const reached = (): string[] => others.filter(each => each.received.length > 0).map(each => each.id)
+  peers.setAddresses(others)
+  peers.send()
+  await until(() => reached().length >= 12)
+  // One more datagram, sent later, comes after all that were on their way.
+  peers.setAddresses([others[0]])
+  const before = others[0].received.length
+  peers.send()
+  await until(() => others[0].received.length > before)
+  const expected = ranked('self', others.map(each => each.id)).slice(0, 12)
+  t.deepEqual(reached().sort(), [...new Set([...expected, 'g0'])].sort())
+})
+
+test('a peer is alive until nothing was received from it for the timeout', async t => {
+  const clock = new ManualClock()
+  const peers = await startedPeers(t, clock)
+  const other = await peer(t, 'other')
+  peers.setAddresses([other])
+  peers.send()
+  await reply(other, encode(heartbeat({ id: 'other', revision: 1 })))
+  await until(() => peers.live.length === 1)
+  clock.advance(600)
+  await reply(other, encode(heartbeat({ id: 'other', revision: 2 })))
+  await until(() => peers.live[0].revision === 2)
+  clock.advance(timeout)
+  t.deepEqual(peers.live, [heartbeat({ id: 'other', revision: 2 })])
+  clock.advance(1)
+  t.deepEqual(peers.live, [])
+})
+
+test('own and foreign datagrams are dropped, and only live peers that may plan are planners', async t => {
+  const peers = await startedPeers(t, new ManualClock())
+  const other = await peer(t, 'other')
+  peers.setAddresses([other])
+  peers.send()
+  for (const text of ['nonsense', datagram, encode(heartbeat({ id: 'idle', canPlan: false })), encode(heartbeat({ id: 'other' }))]) {
+    await reply(other, text)
+  }
+  await until(() => peers.live.length === 2)
+  t.deepEqual(peers.live.map(each => each.id), ['idle', 'other'])
+  t.deepEqual(peers.planners, ['other'])
+})
+
+test('a datagram that cannot be sent does not disturb the others', async t => {
+  const peers = await startedPeers(t, new ManualClock())
+  const other = await peer(t, 'other')
+  // The system refuses to send to the broadcast address.
+  peers.setAddresses([{ id: 'refused', address: '255.255.255.255:9' }, other])
+  peers.send()
+  await until(() => other.received.length === 1)
+  t.is(other.received[0].text, datagram)
+})
