--- a/packages/traffic/src/routes.ts
+++ b/packages/traffic/src/routes.ts
@@ -1,6 +1,10 @@
+/**
+ * Route look-up. `RouteTable` indexes the routes of one configuration by host and prefix, so that a look-up costs one step
+ * for each slash of the path, whatever the number of routes.
+ */
 import { type Route } from './shape.js'
 
-/** Finds the route of a request: that of its host with the longest prefix that begins its path. */
+/** Finds a request's route: of the routes of its host, the one with the longest prefix of its path. */
 export class RouteTable {
   readonly #hosts = new Map<string, Map<string, Route>>()
 
@@ -10,7 +14,7 @@
 
   /**
    * @param host the Host header, with or without a port
-   * @param target the request target: a path, with or without a query
+   * @param target the request target: a path, with or without a query string
    */
   find (host: string, target: string): Route | undefined {
     const routes = this.#hosts.get(hostName(host))
@@ -24,6 +28,7 @@
     return undefined
   }
 
+  /** Of two routes with one host and prefix, the later one counts. */
   #add (route: Route): void {
     const host = hostName(route.host)
     const routes = this.#hosts.get(host) ?? new Map<string, Route>()
--- a/packages/traffic/src/split.ts
+++ b/packages/traffic/src/split.ts
@@ -1,8 +1,9 @@
+/** The split of a route's requests between services, as a pure function of a random draw. */
 import { type Share } from './shape.js'
 
 /**
- * The service that a request goes to, in proportion to the weights.
- * @param draw evenly spread from 0 up to, not including, 1
+ * The service of a request. Over many draws, each service is picked in proportion to its weight.
+ * @param draw a uniform random number in [0, 1)
  */
 export function pickShare (shares: readonly Share[], draw: number): string {
   const total = shares.reduce((sum, { weight }) => sum + weight, 0)
