--- a/packages/log/src/log.ts
+++ b/packages/log/src/log.ts
@@ -1,23 +1,27 @@
+/**
+ * The structured log: one JSON object a line, with the number of its event. A process makes one `Log` and passes it to its
+ * parts. It relies on the catalogue in `events.ts`, and on its callers to keep secrets out of fields.
+ */
 import loglevel from 'loglevel'
 import { events, type EventName, type Level } from './events.js'
 
-/** What an event says beside its number and name. Values are never secrets. */
+/** Fields of an event beside its number and name. Never keys or tokens. */
 export type Fields = Readonly<Record<string, string | number | boolean | undefined>>
 
-/** Takes one finished line. */
+/** Takes one line, without its line break. */
 export type Sink = (line: string) => void
 
 /** Options of a log. */
 export interface LogOptions {
-  /** The least level that is written. Default: `info`. */
+  /** Lowest level that is written. Default: `info`. */
   readonly level?: Level
   /** Where lines go. Default: standard error. */
   readonly sink?: Sink
-  /** Fields that stand in every line, such as the process's id. */
+  /** Fields of every line, such as the process's id. */
   readonly fields?: Fields
 }
 
-/** A structured log: one JSON object a line, with the number of its event. */
+/** Writes events as lines. */
 export class Log {
   readonly #logger: loglevel.Logger
   readonly #fields: Fields
@@ -25,12 +29,13 @@
   constructor (options: LogOptions = {}) {
     const sink = options.sink ?? (line => { process.stderr.write(`${line}\n`) })
     this.#fields = options.fields ?? {}
+    // The library keeps loggers by name; a symbol of its own keeps two logs of one process apart.
     this.#logger = loglevel.getLogger(Symbol('eiderwind'))
     this.#logger.methodFactory = () => sink
     this.#logger.setLevel(options.level ?? 'info', false)
   }
 
-  /** Writes one event. */
+  /** Writes an event. */
   write (name: EventName, fields: Fields = {}): void {
     const { number, level } = events[name]
     this.#logger[level](JSON.stringify({ time: new Date().toISOString(), event: number, name, level, ...this.#fields, ...fields }))
--- a/packages/log/src/metric.ts
+++ b/packages/log/src/metric.ts
@@ -1,20 +1,30 @@
+/**
+ * The StatsD metrics of the roles `entry` and `worker`. Names and kinds are an interface; docs/operators/metrics.md holds
+ * the same list, and a test compares them. The gateway has its own metrics, in Prometheus' form (`gateway/src/metrics.ts`).
+ */
 import { StatsD } from 'hot-shots'
 
-/** The metrics that the system sends, with their kind and meaning, for docs/operators/metrics.md. */
+/** Largest datagram, in bytes: fits into an Ethernet frame of 1500 together with the IP and UDP headers. */
+const datagramSize = 1400
+
+/** How long metrics are gathered into one datagram, in ms. Chosen, not measured. */
+const flushInterval = 500
+
+/** Every metric, with its kind and meaning. */
 export const metrics = {
-  'request.count': { kind: 'counter', text: 'Requests answered, tagged with service, team and status.' },
+  'request.count': { kind: 'counter', text: 'Requests answered, by service, team and status.' },
   'request.first_byte_ms': { kind: 'timing', text: 'Time from a request to the first byte of its answer.' },
   'request.total_ms': { kind: 'timing', text: 'Time from a request to the end of its answer.' },
-  'request.retry': { kind: 'counter', text: 'Attempts after the first one.' },
+  'request.retry': { kind: 'counter', text: 'Attempts after the first one of a request.' },
   'request.resumed': { kind: 'counter', text: 'Streams resumed on another replica.' },
-  'request.unknown': { kind: 'counter', text: 'Requests that ended with outcome unknown.' },
-  'answer.foreign': { kind: 'counter', text: 'Answers dropped because they named another attempt.' },
+  'request.unknown': { kind: 'counter', text: 'Requests that ended with outcome `unknown`.' },
+  'answer.foreign': { kind: 'counter', text: 'Answers dropped because they belong to another attempt.' },
   'stream.open': { kind: 'gauge', text: 'Streams open in this process.' },
   'admission.running': { kind: 'gauge', text: 'Requests running in this worker.' },
-  'admission.queued': { kind: 'gauge', text: 'Requests waiting in this worker.' },
+  'admission.queued': { kind: 'gauge', text: 'Requests queued in this worker.' },
   'admission.refused': { kind: 'counter', text: 'Requests refused by the admission queue.' },
-  'replica.serving': { kind: 'gauge', text: '1 while this head holds every grant, else 0.' },
-  'configuration.revision': { kind: 'gauge', text: 'The revision in force in this process.' }
+  'replica.serving': { kind: 'gauge', text: '1 while this head holds a lease from every member, else 0.' },
+  'configuration.revision': { kind: 'gauge', text: 'Revision of the configuration in force in this process.' }
 } as const
 
 /** The name of a metric. */
@@ -23,15 +33,15 @@
 /** Tags of a metric. */
 export type Tags = Readonly<Record<string, string>>
 
-/** Where StatsD listens. */
+/** Where StatsD listens, and what every metric says. */
 export interface MetricOptions {
   readonly host: string
   readonly port: number
-  /** Tags that stand in every metric. */
+  /** Tags of every metric. */
   readonly tags?: Tags
 }
 
-/** Sends the system's metrics to StatsD over UDP; sends nothing where no address is set. */
+/** Sends metrics to StatsD over UDP. Without options it sends nothing. */
 export class Metric {
   readonly #client: StatsD | undefined
 
@@ -42,8 +52,9 @@
       port: options.port,
       prefix: 'eiderwind.',
       globalTags: { ...options.tags },
-      maxBufferSize: 1400,
-      bufferFlushInterval: 500,
+      maxBufferSize: datagramSize,
+      bufferFlushInterval: flushInterval,
+      // A lost metric is no reason to fail or to fill the log; StatsD shows the gap itself.
       errorHandler: () => {}
     })
   }
@@ -52,6 +63,7 @@
     this.#client?.increment(name, 1, { ...tags })
   }
 
+  /** @param ms a duration, in ms */
   timing (name: MetricName, ms: number, tags: Tags = {}): void {
     this.#client?.timing(name, ms, { ...tags })
   }
@@ -62,6 +74,7 @@
 
   /** Sends what is buffered and closes the socket. */
   close (): void {
+    // The process ends next; a metric that cannot be sent any more is dropped as above.
     this.#client?.close(() => {})
   }
 }
--- /dev/null
+++ b/packages/log/src/output.ts
@@ -0,0 +1,77 @@
+/**
+ * Output of log lines for a process that must not wait for the reader of its log while it serves. It owns a token bucket and a bounded
+ * buffer; lines beyond either are dropped and counted, and the process reports the count as `lines-dropped`.
+ */
+import sonic, { type SonicBoom } from 'sonic-boom'
+import { type Sink } from './log.js'
+
+/** File descriptor of standard output. */
+const standardOutput = 1
+
+/** Lines a second on average. Chosen, not measured. */
+const rate = 100
+
+/** Lines at once after a pause: three seconds' worth. Chosen, not measured. */
+const burst = 300
+
+/** Bytes that wait for a slow reader: somewhat more than a burst of lines of 800 bytes. Chosen, not measured. */
+const bufferSize = 256 * 1024
+
+/** Options of an output. */
+export interface OutputOptions {
+  /** File descriptor that lines go to. Default: standard output. */
+  readonly fd?: number
+  /** Steady time, in ms. */
+  readonly now: () => number
+}
+
+/** Writes lines without blocking, and counts those that it drops. */
+export class Output {
+  readonly #stream: SonicBoom
+  readonly #now: () => number
+  #tokens = burst
+  /** When the tokens were last counted. */
+  #at: number
+  #dropped = 0
+
+  constructor ({ fd = standardOutput, now }: OutputOptions) {
+    this.#stream = new sonic.SonicBoom({ fd, sync: false, maxLength: bufferSize })
+    this.#stream.on('drop', () => { this.#dropped++ })
+    // There is no better place to report it: this is the log. A process serves on also when its log has lost its reader.
+    this.#stream.on('error', () => {})
+    this.#now = now
+    this.#at = now()
+  }
+
+  /** The sink, for a log. */
+  readonly sink: Sink = line => {
+    const now = this.#now()
+    this.#tokens = Math.min(burst, this.#tokens + (now - this.#at) / 1000 * rate)
+    this.#at = now
+    if (this.#tokens < 1) {
+      this.#dropped++
+      return
+    }
+    this.#tokens--
+    this.#stream.write(`${line}\n`)
+  }
+
+  /** Lines dropped since the last call. */
+  takeDropped (): number {
+    const dropped = this.#dropped
+    this.#dropped = 0
+    return dropped
+  }
+
+  /**
+   * Writes what is buffered; for the end of the process. Where a reader holds a pipe open and has stopped reading, this and
+   * the exit itself wait for it: the write blocks in the system.
+   */
+  end (): void {
+    try {
+      this.#stream.flushSync()
+    } catch {
+      // A reader that is gone loses the last lines. There is nowhere else to report it.
+    }
+  }
+}
