--- a/packages/entry/src/attempting.ts
+++ b/packages/entry/src/attempting.ts
@@ -3,7 +3,7 @@
 import { failure, workerFault, type AttemptEnd } from './outcome.js'
 import { type Target } from './targets.js'
 import { Fault } from '@eiderwind/fault'
-import { Collect, send, wireHeaders, type Call, type Collected } from '@eiderwind/wire'
+import { Collector, send, wireHeaders, type Call, type Collected } from '@eiderwind/wire'
 
 /** What a try adds to the request. */
 export interface TryOptions {
@@ -26,7 +26,7 @@
       targets.close(target.worker)
       resolve(end)
     }
-    const cancel = send(dispatcher, attemptCall(context, exchange, attempt, options.headers), new Collect({
+    const cancel = send(dispatcher, attemptCall(context, exchange, attempt, options.headers), new Collector({
       whole: answer => finish(judge(context, attempt, answer)),
       failed: ({ sent }) => finish(broken(sent, late(exchange, clock)))
     }))
--- a/packages/entry/src/part.ts
+++ b/packages/entry/src/part.ts
@@ -1,6 +1,6 @@
 import { type ServerResponse } from 'node:http'
 import { Fault } from '@eiderwind/fault'
-import { Receiver, wireHeaders, type AnswerHeaders, type Break, type Flow } from '@eiderwind/wire'
+import { Receiver, wireHeaders, type AnswerHeaders, type CallFailure, type Flow } from '@eiderwind/wire'
 import { ownAnswer } from './attempting.js'
 import { type Context } from './context.js'
 import { type Attempt } from './exchange.js'
@@ -61,7 +61,7 @@
     else this.#listener.ended(this.#listener.pass(this.#status, this.#headers, body))
   }
 
-  fail ({ sent }: Break): void {
+  fail ({ sent }: CallFailure): void {
     this.#failed(sent ? 'interrupted' : 'upstream-down')
   }
 
--- a/packages/forward/src/attempt.ts
+++ b/packages/forward/src/attempt.ts
@@ -1,5 +1,5 @@
 import { type InFlightRequest } from '@eiderwind/detect'
-import { Receiver, type AnswerHeaders, type Break, type Cancel, type Flow } from '@eiderwind/wire'
+import { Receiver, type AnswerHeaders, type CallFailure, type Cancel, type Flow } from '@eiderwind/wire'
 import { type Upstream } from '@eiderwind/roster'
 import { answerHeader, belongs, saysNotRun } from './answers.js'
 import { type Context } from './context.js'
@@ -138,7 +138,7 @@
     this.#end({ kind: 'answered', status: this.#status, headers: this.#headers, body: Buffer.concat(this.#chunks) })
   }
 
-  fail ({ error, sent }: Break): void {
+  fail ({ error, sent }: CallFailure): void {
     if (this.#over) return
     // An upstream that says that it did not run the request has said so with its head.
     const refused = this.#status > 0 && saysNotRun(this.#status, this.#headers, this.#options.context.names)
--- a/packages/wire/src/answer.ts
+++ b/packages/wire/src/answer.ts
@@ -1,12 +1,13 @@
+/** Answers with a fault, such that the caller gets the whole answer and never takes part of another one as whole. */
 import { type ServerResponse } from 'node:http'
 import { type Clock } from '@eiderwind/clock'
 import { type Fault } from '@eiderwind/fault'
 import { callerHeaders } from './headers.js'
 
-/** How long the rest of a refused body is read for at the most, in ms. */
+/** Longest time that the rest of a refused body is read, in ms. Chosen, not measured. */
 const lingerTime = 1000
 
-/** Answers a request with a fault. Where an answer has begun, the connection is cut, so that it cannot pass for whole. */
+/** Answers with a fault. Where an answer has begun, closes the connection instead, so that the answer cannot look whole. */
 export function answerFault (response: ServerResponse, fault: Fault): void {
   if (response.headersSent) {
     response.destroy()
@@ -17,10 +18,9 @@
 }
 
 /**
- * Answers with a fault a request whose body may not have been read. The whole answer goes out at once, and the
- * connection is closed so that the rest of the body is not taken for a request; but first that rest is read and
- * dropped for a while, because closing over unread data resets the connection, and the caller may then lose the answer
- * (RFC 9112, section 9.6).
+ * Answers a request whose body may not have been read with a fault. The whole answer is sent at once. Then the rest of the
+ * body is read and dropped for a while, and the connection is closed: the rest must not be taken as a request, and
+ * closing with unread data would reset the connection, by which the caller may lose the answer (RFC 9112, section 9.6).
  */
 export function refuse (response: ServerResponse, fault: Fault, clock: Clock): void {
   const request = response.req
--- a/packages/wire/src/call.ts
+++ b/packages/wire/src/call.ts
@@ -1,6 +1,11 @@
+/**
+ * One HTTP call to another process, and the receiver of its answer. `send` works on the client library's own events, without
+ * a stream object for each answer, and decides whether a failed call may have reached the other side. That decision
+ * is what retries rest on: a call that is reported as not sent is never sent.
+ */
 import { type Dispatcher } from 'undici'
 
-/** An HTTP request to another process. */
+/** A request to another process. */
 export interface Call {
   /** Such as `http://127.0.0.1:8090`. */
   readonly origin: string
@@ -10,46 +15,49 @@
   readonly body: Buffer | undefined
 }
 
-/** The headers of an answer, as undici gives them. */
+/** Headers of an answer, in lower case; several values where a header came more than once. */
 export type AnswerHeaders = Readonly<Record<string, string | string[] | undefined>>
 
-/** Controls the flow of one answer. */
+/** Flow control of one answer. */
 export interface Flow {
   pause (): void
   resume (): void
-  /** Cuts the connection. */
+  /** Closes the connection. */
   abort (reason: Error): void
 }
 
-/** Why a call ended without a whole answer. */
-export interface Break {
+/** The end of a call that got no whole answer. */
+export interface CallFailure {
   readonly error: Error
   /** Whether the request may have reached the other side. */
   readonly sent: boolean
 }
 
-/** Takes the answer to one call, part by part. Exactly one of `end` and `fail` comes last. */
+/** Receives the answer to one call, part by part. Exactly one of `end` and `fail` is called, last. */
 export abstract class Receiver {
   abstract head (status: number, headers: AnswerHeaders, flow: Flow): void
   abstract data (chunk: Buffer): void
   abstract end (): void
-  abstract fail (failure: Break): void
+  abstract fail (failure: CallFailure): void
 }
 
-/** Errors after which a request was certainly never sent. */
-const unsent = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND'])
+/** The client library's code of a connection that took too long. */
+export const connectTimeoutCode = 'UND_ERR_CONNECT_TIMEOUT'
+
+/** Error codes after which a request was certainly not sent: there was no connection. */
+const unsentCodes = new Set(['ECONNREFUSED', connectTimeoutCode, 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND'])
 
 /**
- * Cancels a call under way. Its receiver is told of a failure at once, unless the call has ended. A call that still
- * waits for a connection is never sent afterwards, so the failure says so.
+ * Cancels a call. Its receiver fails at once, unless the call has ended. A call that still waits for a connection fails
+ * as not sent, and is not sent afterwards.
  */
 export type Cancel = (reason: Error) => void
 
-/** Sends a call through `dispatcher` and hands the answer to `receiver`. Works on undici's own events, without a stream for each answer. */
+/** Sends a call through `dispatcher` and hands the answer to `receiver`. */
 export function send (dispatcher: Dispatcher, call: Call, receiver: Receiver): Cancel {
   let flow: Flow | undefined
   let over = false
-  const fail = (failure: Break): void => {
+  const fail = (failure: CallFailure): void => {
     if (over) return
     over = true
     receiver.fail(failure)
@@ -72,7 +80,7 @@
     },
     onResponseError (_controller, error) {
       const code = (error as { code?: string }).code ?? ''
-      fail({ error, sent: flow !== undefined && !unsent.has(code) })
+      fail({ error, sent: flow !== undefined && !unsentCodes.has(code) })
     }
   })
   return reason => {
--- a/packages/wire/src/calls.ts
+++ b/packages/wire/src/calls.ts
@@ -1,3 +1,7 @@
+/**
+ * The calls between `entry` and `worker`: their messages, the abstract classes that processes implement, and the tRPC routers
+ * that check inputs and find procedures. Procedures and fields are names on the wire: never rename one.
+ */
 import { initTRPC } from '@trpc/server'
 import { z } from 'zod'
 import { type Answer } from '@eiderwind/lease'
@@ -8,7 +12,7 @@
   holder: z.string(),
   term: z.string(),
   period: z.number(),
-  /** Revision of the list of granters that the holder goes by. */
+  /** Revision of the list of granters that the holder uses. */
   revision: z.int()
 })
 const Settle = z.object({ attempt: z.string(), incarnation: z.string(), age: z.number() })
@@ -23,24 +27,24 @@
   ages: z.array(z.number())
 })
 
-/** A claim as it is sent, with what the granter needs to judge it. */
+/** A claim to a lease, with what the granter needs to decide on it. */
 export type ClaimMessage = z.infer<typeof Claim>
 
 /** A granter's answer, with whether its engine is ready for the holder's work. */
 export interface ClaimAnswer {
   readonly answer: Answer
   readonly ready: boolean
-  /** Whether the granter is about to stop, so that the holder should finish and release. */
+  /** Whether the granter is about to stop. The holder should then finish and release. */
   readonly leaving: boolean
 }
 
-/** A question for the fate of an attempt. */
+/** Asks whether an attempt has started, and keeps it from starting if it has not. */
 export type SettleMessage = z.infer<typeof Settle>
 
-/** `stranger`: another incarnation was meant, so nobody knows. */
+/** `tombstoned`: it did not start and never will. `started`: it did. `stranger`: the incarnation that would know has ended. */
 export type SettleAnswer = 'tombstoned' | 'started' | 'stranger'
 
-/** What one entry tells another. */
+/** What an entry sends to another one at intervals. */
 export const Exchange = z.object({
   from: EntryAddress,
   /** The configuration revision in force at the sender. */
@@ -49,16 +53,16 @@
   known: z.int(),
   /** Whole reports. */
   reports: z.array(Aged),
-  /** Counts of reports that the receiver was told before, by columns. */
+  /** Counters of reports that the receiver already has, by columns. */
   beats: Beats
 })
 export type Exchange = z.infer<typeof Exchange>
 
-/** What the receiver of an exchange has itself, so that the sender can fetch what it lacks. */
+/** What the receiver of an exchange has, so that the sender can fetch what it lacks itself. */
 export interface ExchangeAnswer {
   readonly revision: number
   readonly known: number
-  /** Workers of beats whose report the receiver does not have. */
+  /** Workers whose reports the receiver lacks. */
   readonly lacking: readonly string[]
 }
 
@@ -77,7 +81,7 @@
   abstract claim (message: ClaimMessage): Promise<ClaimAnswer>
   abstract release (message: ClaimMessage): Promise<void>
   abstract settle (message: SettleMessage): Promise<SettleAnswer>
-  /** Offers the book of a slot of keys. Answers whether it was taken. */
+  /** Offers the records of a slot of keys. Resolves to whether they were taken. */
   abstract inherit (handover: Handover): Promise<boolean>
 }
 
@@ -89,7 +93,7 @@
   abstract known (): Promise<Known>
   /** The heads of the replicas of a model service that serve in the entry's region. Each has its replica's id. */
   abstract heads (message: { readonly service: string }): Promise<Peer[]>
-  /** Gives a configuration that was just accepted. Answers with the revision in force afterwards. */
+  /** Passes on a configuration that was just accepted. Resolves to the revision in force afterwards. */
   abstract offer (configuration: Configuration): Promise<number>
 }
 
@@ -104,6 +108,7 @@
     inherit: trpc.procedure.input(Handover).mutation(({ input }) => calls.inherit(input))
   })
 }
+/** The router of a worker. */
 export type WorkerRouter = ReturnType<typeof workerRouter>
 
 /** The tRPC router over an entry's calls. */
@@ -117,4 +122,5 @@
     offer: trpc.procedure.input(Configuration).mutation(({ input }) => calls.offer(input))
   })
 }
+/** The router of an entry. */
 export type EntryRouter = ReturnType<typeof entryRouter>
--- a/packages/wire/src/client.ts
+++ b/packages/wire/src/client.ts
@@ -1,35 +1,43 @@
+/** Clients for the calls between `entry` and `worker`: one for each address, over kept connections, with a deadline a call. */
 import { Agent, request, type Dispatcher } from 'undici'
 import { type Configuration, type Handover, type Peer, type Report, type ReportAnswer } from '@eiderwind/schema'
 import { EntryCalls, WorkerCalls, type ClaimAnswer, type ClaimMessage, type Exchange, type ExchangeAnswer, type Known, type SettleAnswer, type SettleMessage } from './calls.js'
 import { callsPath } from './headers.js'
+import { statuses } from './serve.js'
 
-/** How long a call between processes may take, in ms, unless said otherwise. */
+/** Longest time for a call, in ms. Chosen, not measured. */
 const callTimeout = 1500
 
-/** Makes and keeps the clients through which a process calls others. Connections are kept open. */
+/** Connections to one address. Chosen, not measured. */
+const connections = 4
+
+/** How long an idle connection is kept, in ms: shorter than servers keep it (60 s, `serve.ts`). */
+const keepAliveTime = 30_000
+
+/** The clients through which a process calls others. Makes each once. */
 export class Clients {
   readonly #agent: Agent
   readonly #timeout: number
   readonly #workers = new Map<string, RemoteWorker>()
   readonly #entries = new Map<string, RemoteEntry>()
 
-  /** @param timeout how long a call may take, in ms. Default: 1500 */
+  /** @param timeout longest time for a call, in ms */
   constructor (timeout = callTimeout) {
     this.#timeout = timeout
-    this.#agent = new Agent({ connections: 4, keepAliveTimeout: 30_000, connect: { timeout }, headersTimeout: timeout, bodyTimeout: timeout })
+    this.#agent = new Agent({ connections, keepAliveTimeout: keepAliveTime, connect: { timeout }, headersTimeout: timeout, bodyTimeout: timeout })
   }
 
-  /** The calls of the worker at `host:port`. They reject when there is no answer in time. */
+  /** The calls of the worker at `host:port`. They reject where there is no answer in time. */
   worker (address: string): WorkerCalls {
-    return known(this.#workers, address, () => new RemoteWorker(this.#caller(address)))
+    return cached(this.#workers, address, () => new RemoteWorker(this.#caller(address)))
   }
 
-  /** The calls of the entry at `host:port`. They reject when there is no answer in time. */
+  /** The calls of the entry at `host:port`. They reject where there is no answer in time. */
   entry (address: string): EntryCalls {
-    return known(this.#entries, address, () => new RemoteEntry(this.#caller(address)))
+    return cached(this.#entries, address, () => new RemoteEntry(this.#caller(address)))
   }
 
-  /** Closes every connection. Calls under way fail. */
+  /** Closes every connection. Calls in flight fail. */
   async close (): Promise<void> {
     await this.#agent.destroy()
   }
@@ -39,7 +47,7 @@
   }
 }
 
-/** Makes calls to one process: a POST with the input as JSON, answered with the output as JSON. */
+/** Calls the procedures of one process: a POST with the input as JSON, answered with the output as JSON. */
 class Caller {
   readonly #dispatcher: Dispatcher
   readonly #url: string
@@ -59,7 +67,7 @@
       body: input === undefined ? undefined : JSON.stringify(input)
     })
     const text = await response.body.text()
-    if (response.statusCode !== 200) throw new Error(`${this.#url}/${name} answered ${response.statusCode}: ${text}`)
+    if (response.statusCode !== statuses.ok) throw new Error(`${this.#url}/${name} answered ${response.statusCode}: ${text}`)
     return (text === '' ? undefined : JSON.parse(text)) as Output
   }
 }
@@ -124,7 +132,7 @@
   }
 }
 
-function known<Calls> (clients: Map<string, Calls>, address: string, make: () => Calls): Calls {
+function cached<Calls> (clients: Map<string, Calls>, address: string, make: () => Calls): Calls {
   const present = clients.get(address)
   if (present !== undefined) return present
   const made = make()
--- a/packages/wire/src/collect.ts
+++ b/packages/wire/src/collector.ts
@@ -1,4 +1,5 @@
-import { Receiver, type AnswerHeaders, type Break, type Flow } from './call.js'
+/** A receiver that keeps a whole answer in memory, for calls whose answers are short. It does not bound their length. */
+import { Receiver, type AnswerHeaders, type CallFailure, type Flow } from './call.js'
 
 /** A whole answer. */
 export interface Collected {
@@ -7,20 +8,20 @@
   readonly body: Buffer
 }
 
-/** What a collector tells at its end: exactly one of the two. */
-export interface CollectOptions {
+/** Callbacks of a collector. Exactly one of them is called, once. */
+export interface CollectorOptions {
   readonly whole: (answer: Collected) => void
-  readonly failed: (failure: Break) => void
+  readonly failed: (failure: CallFailure) => void
 }
 
-/** Collects a whole answer in memory. */
-export class Collect extends Receiver {
-  readonly #options: CollectOptions
+/** Collects an answer and hands it over when it is whole. */
+export class Collector extends Receiver {
+  readonly #options: CollectorOptions
   readonly #chunks: Buffer[] = []
   #status = 0
   #headers: AnswerHeaders = {}
 
-  constructor (options: CollectOptions) {
+  constructor (options: CollectorOptions) {
     super()
     this.#options = options
   }
@@ -38,7 +39,7 @@
     this.#options.whole({ status: this.#status, headers: this.#headers, body: Buffer.concat(this.#chunks) })
   }
 
-  fail (failure: Break): void {
+  fail (failure: CallFailure): void {
     this.#options.failed(failure)
   }
 }
--- a/packages/wire/src/connections.ts
+++ b/packages/wire/src/connections.ts
@@ -1,77 +1,95 @@
+/**
+ * Connections to upstreams, to the store and to other gateways, and the rule by which an answer counts as whole. The
+ * client library is too generous there: it takes any answer on a connection that will not be kept as whole once the
+ * connection ends, be it by a reset or in the middle of a chunk. Relies on `call.ts` for the calls themselves.
+ */
 import { connect, type Socket } from 'node:net'
 import { Client } from 'undici'
-import { Receiver, send, type AnswerHeaders, type Break, type Call, type Cancel, type Flow } from './call.js'
+import { Receiver, connectTimeoutCode, send, type AnswerHeaders, type Call, type CallFailure, type Cancel, type Flow } from './call.js'
 
 /** Options of a set of connections. Spans are in ms. */
 export interface ConnectionsOptions {
-  /** Time within which a new connection has to come up. Default: 1000. */
+  /** Longest time to establish a connection. Default: 1000. */
   readonly connectTime?: number
-  /** How long an idle connection is kept where the other side does not tell. Default: 1000. */
+  /** How long an idle connection is kept where the other side does not say. Default: 1000. */
   readonly idleTime?: number
-  /** Idle connections that are kept to one address. Default: 32. */
-  readonly mostIdle?: number
 }
 
-/** A call is over `late` ms before the time that the other side tells for its idle connections. */
+/** Defaults of the options, in ms. Chosen, not measured. */
+const defaultConnectTime = 1000
+const defaultIdleTime = 1000
+
+/** Idle connections kept to one address. Chosen, not measured. */
+const maxIdle = 32
+
+/**
+ * A connection is given up this long before the other side will close it by its `Keep-Alive`, in ms, so that no call is
+ * sent on a connection that is being closed. Chosen, not measured.
+ */
 const keepAliveMargin = 600
 
-/** One connection. */
-interface Lane {
+/** A connection, with a client of its own that sends one call at a time on it. */
+interface Connection {
   readonly client: Client
-  ended: boolean
-  /** How the other side's half came to its end, if it has. */
-  over: 'closed' | 'reset' | undefined
+  /** Whether this side has given it up. */
+  closed: boolean
+  /** How the other side ended it, if it has. */
+  ending: 'closed' | 'reset' | undefined
 }
 
 /**
- * Connections to other processes, one call at a time on each. A connection is used again only after a whole answer
- * with nothing behind it, and within the time that the other side tells.
+ * Sends calls, one at a time on each connection. A connection is used again only after a whole answer with no bytes
+ * behind it, and only as long as the other side keeps it.
  */
 export class Connections {
   readonly #connectTime: number
   readonly #idleTime: number
-  readonly #mostIdle: number
-  readonly #idle = new Map<string, Lane[]>()
-  readonly #open = new Set<Lane>()
+  readonly #idle = new Map<string, Connection[]>()
+  readonly #open = new Set<Connection>()
   #opened = 0
 
-  constructor ({ connectTime = 1000, idleTime = 1000, mostIdle = 32 }: ConnectionsOptions = {}) {
+  constructor ({ connectTime = defaultConnectTime, idleTime = defaultIdleTime }: ConnectionsOptions = {}) {
     this.#connectTime = connectTime
     this.#idleTime = idleTime
-    this.#mostIdle = mostIdle
   }
 
-  /** Connections that were ever opened. */
+  /** Connections opened since the start. */
   get opened (): number {
     return this.#opened
   }
 
-  /** Sends a call on an idle connection, or on a new one, always on a new one where `fresh` says so. */
+  /** Sends a call on an idle connection or a new one. @param fresh on a new one in any case */
   send (call: Call, receiver: Receiver, fresh = false): Cancel {
-    const lane = (fresh ? undefined : this.#take(call.origin)) ?? this.#make(call.origin)
-    return send(lane.client, call, new LaneReceiver(receiver, lane, whole => this.#done(call.origin, lane, whole)))
+    const connection = (fresh ? undefined : this.#takeIdle(call.origin)) ?? this.#make(call.origin)
+    return send(connection.client, call, new FramedReceiver(receiver, connection, whole => this.#done(call.origin, connection, whole)))
   }
 
-  /** Cuts every connection. */
+  /** Closes every connection. Calls in flight fail. */
   close (): void {
-    for (const lane of this.#open) this.#end(lane)
+    for (const connection of this.#open) this.#close(connection)
     this.#idle.clear()
   }
 
-  #take (origin: string): Lane | undefined {
-    const lanes = this.#idle.get(origin)
-    for (let lane = lanes?.pop(); lane !== undefined; lane = lanes?.pop()) {
-      if (!lane.ended) return lane
+  #takeIdle (origin: string): Connection | undefined {
+    const idle = this.#idle.get(origin)
+    for (let connection = idle?.pop(); connection !== undefined; connection = idle?.pop()) {
+      if (!connection.closed) return connection
     }
     this.#idle.delete(origin)
     return undefined
   }
 
-  #make (origin: string): Lane {
+  #make (origin: string): Connection {
     this.#opened++
     const client: Client = new Client(origin, {
       connect: (options, done) => {
-        open({ host: options.hostname, port: Number(options.port), time: this.#connectTime, opened: socket => done(null, watched(socket, lane)), failed: error => done(error, null) })
+        openSocket({
+          host: options.hostname,
+          port: Number(options.port),
+          time: this.#connectTime,
+          opened: socket => done(null, watched(socket, connection)),
+          failed: error => done(error, null)
+        })
       },
       pipelining: 1,
       headersTimeout: 0,
@@ -79,50 +97,50 @@
       keepAliveTimeout: this.#idleTime,
       keepAliveTimeoutThreshold: keepAliveMargin
     })
-    const lane: Lane = { client, ended: false, over: undefined }
-    this.#open.add(lane)
-    client.on('disconnect', () => this.#end(lane))
-    return lane
+    const connection: Connection = { client, closed: false, ending: undefined }
+    this.#open.add(connection)
+    client.on('disconnect', () => this.#close(connection))
+    return connection
   }
 
-  #done (origin: string, lane: Lane, whole: boolean): void {
-    if (!whole || lane.ended) return this.#end(lane)
-    // The client library reads on after a turn: bytes behind the answer that came with it end the connection first.
-    setImmediate(() => setImmediate(() => this.#park(origin, lane)))
+  #done (origin: string, connection: Connection, whole: boolean): void {
+    if (!whole || connection.closed) return this.#close(connection)
+    // The library reads on a turn later. Bytes that came behind the answer close the connection before it is kept.
+    setImmediate(() => setImmediate(() => this.#keep(origin, connection)))
   }
 
-  #park (origin: string, lane: Lane): void {
-    if (lane.ended) return
-    const lanes = this.#idle.get(origin) ?? []
-    if (lanes.length >= this.#mostIdle) return this.#end(lane)
-    lanes.push(lane)
-    this.#idle.set(origin, lanes)
+  #keep (origin: string, connection: Connection): void {
+    if (connection.closed) return
+    const idle = this.#idle.get(origin) ?? []
+    if (idle.length >= maxIdle) return this.#close(connection)
+    idle.push(connection)
+    this.#idle.set(origin, idle)
   }
 
-  #end (lane: Lane): void {
-    if (lane.ended) return
-    lane.ended = true
-    this.#open.delete(lane)
-    lane.client.destroy(new Error('The connection is no longer used.')).catch(() => {})
+  #close (connection: Connection): void {
+    if (connection.closed) return
+    connection.closed = true
+    this.#open.delete(connection)
+    // A call in flight fails through its receiver; an error of the closing itself concerns nothing that is still used.
+    connection.client.destroy(new Error('The connection is no longer used.')).catch(() => {})
   }
 }
 
 /**
- * Passes everything on and tells when the call is over. The client library takes any answer of a connection that will not
- * be kept for whole when the connection ends, be it by a reset or in the middle of a chunk; here such an answer
- * fails (RFC 9112, section 8): only one without a length may end with its connection, and not by a reset.
+ * Decides whether an answer that the library takes as whole is whole (RFC 9112, section 8): one with a length or in chunks
+ * must be complete before its connection ends; one without either may end with its connection, but not by a reset.
  */
-class LaneReceiver extends Receiver {
+class FramedReceiver extends Receiver {
   readonly #receiver: Receiver
-  readonly #lane: Lane
-  readonly #over: (whole: boolean) => void
+  readonly #connection: Connection
+  readonly #done: (whole: boolean) => void
   #framed = false
 
-  constructor (receiver: Receiver, lane: Lane, over: (whole: boolean) => void) {
+  constructor (receiver: Receiver, connection: Connection, done: (whole: boolean) => void) {
     super()
     this.#receiver = receiver
-    this.#lane = lane
-    this.#over = over
+    this.#connection = connection
+    this.#done = done
   }
 
   head (status: number, headers: AnswerHeaders, flow: Flow): void {
@@ -135,40 +153,41 @@
   }
 
   end (): void {
-    const { over } = this.#lane
-    if (over === 'reset' || (over === 'closed' && this.#framed)) {
-      return this.fail({ error: new Error(`The connection was ${over} before the answer was whole.`), sent: true })
+    const { ending } = this.#connection
+    if (ending === 'reset' || (ending === 'closed' && this.#framed)) {
+      return this.fail({ error: new Error(`The connection was ${ending} before the answer was whole.`), sent: true })
     }
-    this.#over(true)
+    this.#done(true)
     this.#receiver.end()
   }
 
-  fail (failure: Break): void {
-    this.#over(false)
+  fail (failure: CallFailure): void {
+    this.#done(false)
     this.#receiver.fail(failure)
   }
 }
 
-/** Notes how a connection ends before the client library hears of it. */
-function watched (socket: Socket, lane: Lane): Socket {
-  socket.on('error', () => { lane.over = 'reset' })
-  socket.on('end', () => { lane.over ??= 'closed' })
+/** Notes how a socket ends, before the library's own listeners run. */
+function watched (socket: Socket, connection: Connection): Socket {
+  // The library gets the same error and fails the call with it.
+  socket.on('error', () => { connection.ending = 'reset' })
+  socket.on('end', () => { connection.ending ??= 'closed' })
   return socket
 }
 
-interface Opening {
+interface SocketOptions {
   readonly host: string
   readonly port: number
-  /** How long it may take, in ms. */
+  /** Longest time that it may take, in ms. */
   readonly time: number
   readonly opened: (socket: Socket) => void
   readonly failed: (error: Error) => void
 }
 
-function open ({ host, port, time, opened, failed }: Opening): void {
+function openSocket ({ host, port, time, opened, failed }: SocketOptions): void {
   const socket = connect({ host, port, noDelay: true })
   const timer = setTimeout(() => {
-    socket.destroy(Object.assign(new Error(`No connection to ${host}:${port} within ${time} ms.`), { code: 'UND_ERR_CONNECT_TIMEOUT' }))
+    socket.destroy(Object.assign(new Error(`No connection to ${host}:${port} within ${time} ms.`), { code: connectTimeoutCode }))
   }, time)
   const broke = (error: Error): void => {
     clearTimeout(timer)
--- a/packages/wire/src/headers.ts
+++ b/packages/wire/src/headers.ts
@@ -1,14 +1,18 @@
+/**
+ * Header names and paths of the roles `entry` and `worker`, and what is true of headers in general. The gateway's header
+ * names come from its platform (`platform/src/names.ts`). All of these are on the wire: never rename one.
+ */
 import { type IncomingMessage } from 'node:http'
 
 /** Header names between caller and entry. */
 export const callerHeaders = {
   session: 'eiderwind-session',
-  /** Milliseconds that the caller will wait. */
+  /** Time that the caller will wait, in ms. */
   deadline: 'eiderwind-deadline-ms',
   /** `false` marks a request that may not be repeated. */
   repeatable: 'eiderwind-repeatable',
   key: 'idempotency-key',
-  /** Offset of the last event that the caller has, where it goes on with a stream (HTML, server-sent events). */
+  /** Offset of the last event that the caller has, where it resumes a stream (HTML, server-sent events). */
   lastEvent: 'last-event-id',
   outcome: 'eiderwind-outcome'
 } as const
@@ -17,20 +21,20 @@
 export const wireHeaders = {
   attempt: 'eiderwind-attempt',
   incarnation: 'eiderwind-incarnation',
-  /** Milliseconds that are left. */
+  /** Time left until the deadline, in ms. */
   deadline: 'eiderwind-left-ms',
   team: 'eiderwind-team',
   service: 'eiderwind-service',
   key: 'eiderwind-key',
-  /** The home's tenure, where the entry has just minted the key for this very attempt. */
+  /** The home's tenure, where the entry made the key for this very attempt, so that no earlier one can have used it. */
   fresh: 'eiderwind-fresh',
-  /** `1` on a refusal by the home of a key that knows that the key's request has not run in any earlier try either. */
+  /** `1` on a refusal by the home of a key, where no earlier attempt with the key has run either. */
   judged: 'eiderwind-judged',
-  /** The caller's session, with its team, by which the engine keeps its KV cache. Goes on to the engine. */
+  /** The caller's session, with its team, by which the engine keeps its KV cache. Forwarded to the engine. */
   session: 'eiderwind-session-key',
   /** The version that a session's KV cache belongs to. */
   version: 'eiderwind-version',
-  /** `1` on an answer that an earlier attempt with the same key got. */
+  /** `1` on the stored answer of an earlier attempt with the same key. */
   replayed: 'eiderwind-replayed'
 } as const
 
@@ -39,13 +43,13 @@
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'host', 'expect'
 ])
 
-/** Where a worker takes the KV cache of a session from another worker. */
+/** Path at which a worker receives the KV cache of a session from another worker. */
 export const sessionsPath = '/sessions/'
 
-/** Where the calls of the system's own processes are served. */
+/** Path below which processes serve each other's calls. */
 export const callsPath = '/trpc'
 
-/** One header of a request; the first value where it came more than once. */
+/** A header of a request; its first value where it came more than once. */
 export function header (request: IncomingMessage, name: string): string | undefined {
   const value = request.headers[name]
   return Array.isArray(value) ? value[0] : value
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,4 +1,4 @@
-/** The protocol between the system's own processes. */
+/** HTTP between processes: connections and calls, receivers of answers, servers, and the calls of `entry` and `worker`. */
 export { callerHeaders, callsPath, header, hopHeaders, sessionsPath, wireHeaders } from './headers.js'
 export {
   EntryCalls, Exchange, WorkerCalls, entryRouter, workerRouter,
@@ -8,8 +8,8 @@
 export { answerFault, refuse } from './answer.js'
 export { listen, makeServer, serve, splitAddress, type Handler, type ServeOptions } from './serve.js'
 export { readBody } from './body.js'
-export { Receiver, send, type AnswerHeaders, type Break, type Call, type Cancel, type Flow } from './call.js'
+export { Receiver, send, type AnswerHeaders, type CallFailure, type Call, type Cancel, type Flow } from './call.js'
 export { Relay, endToEnd, type RelayOptions } from './relay.js'
-export { Collect, type CollectOptions, type Collected } from './collect.js'
+export { Collector, type Collected, type CollectorOptions } from './collector.js'
 export { Connections, type ConnectionsOptions } from './connections.js'
 export { Unanswered, ask } from './ask.js'
--- a/packages/wire/src/relay.ts
+++ b/packages/wire/src/relay.ts
@@ -1,21 +1,25 @@
+/**
+ * Passes an answer on to a caller's response as it arrives. An answer that breaks off breaks the response off too, so that
+ * no part of an answer ever looks whole.
+ */
 import { type ServerResponse } from 'node:http'
-import { Receiver, type AnswerHeaders, type Break, type Flow } from './call.js'
+import { Receiver, type AnswerHeaders, type CallFailure, type Flow } from './call.js'
 import { hopHeaders } from './headers.js'
 
-/** What a relay needs to know. */
+/** Options of a relay. */
 export interface RelayOptions {
   readonly response: ServerResponse
-  /** Headers that are set beside those of the answer. */
+  /** Headers added to those of the answer. */
   readonly headers?: Readonly<Record<string, string>>
-  /** Asked before each part is passed on; false cuts both connections. Default: always true. */
+  /** Checked before each part is passed on; false closes both connections. Default: always true. */
   readonly guard?: () => boolean
-  /** Told once when nothing more will come. `whole` is false where the answer was cut. */
+  /** Called once when an answer that had begun has ended. `whole` is false where it broke off. */
   readonly done: (whole: boolean) => void
-  /** Told when the call failed before an answer began; the response is still free. */
-  readonly failed: (failure: Break) => void
+  /** Called once when the call failed before an answer began; nothing was written to the response. */
+  readonly failed: (failure: CallFailure) => void
 }
 
-/** Passes an answer on to a response as it comes, no faster than the response takes it. A cut answer cuts the response. */
+/** Passes an answer on, no faster than the response takes it. */
 export class Relay extends Receiver {
   readonly #options: RelayOptions
   #flow: Flow | undefined
@@ -46,7 +50,7 @@
     this.#options.done(true)
   }
 
-  fail (failure: Break): void {
+  fail (failure: CallFailure): void {
     if (!this.#begun) {
       this.#options.failed(failure)
       return
@@ -55,7 +59,7 @@
     this.#options.done(false)
   }
 
-  /** Writes a part and holds the answer back while the response is full. */
+  /** Writes a part, and pauses the answer while the response's buffer is full. */
   protected write (chunk: Buffer | string): void {
     const { response } = this.#options
     if (response.write(chunk) || this.#flow === undefined) return
@@ -66,12 +70,12 @@
 
   #allowed (): boolean {
     if (this.#options.guard?.() !== false) return true
-    this.#flow?.abort(new Error('No longer allowed to pass the answer on.'))
+    this.#flow?.abort(new Error('The answer may no longer be passed on.'))
     return false
   }
 }
 
-/** The headers of an answer without those that belong to its connection. */
+/** The headers of an answer without those that belong to one connection (RFC 9110, section 7.6.1). */
 export function endToEnd (headers: AnswerHeaders): Record<string, string | string[]> {
   const kept: Record<string, string | string[]> = {}
   for (const [name, value] of Object.entries(headers)) {
--- a/packages/wire/src/serve.ts
+++ b/packages/wire/src/serve.ts
@@ -1,3 +1,4 @@
+/** HTTP servers: for callers' requests, and for calls between processes by tRPC procedures. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { TRPCError } from '@trpc/server'
 import { type EntryRouter, type WorkerRouter } from './calls.js'
@@ -5,29 +6,38 @@
 import { readBody } from './body.js'
 import { callsPath } from './headers.js'
 
-/** Longest call between processes, in bytes: a configuration is the longest. */
+/** Longest body of a call between processes, in bytes: a configuration is the longest. Chosen, not measured. */
 const callLimit = 8 * 2 ** 20
 
+/** How long an idle connection is kept, in ms. Chosen, not measured. */
+const keepAliveTime = 60_000
+
+/** Longest time for a request's head, in ms. Longer than an idle connection is kept, as Node.js advises. */
+const headTime = 65_000
+
+/** Statuses of calls between processes. */
+export const statuses = { ok: 200, badRequest: 400, notFound: 404, internalError: 500 } as const
+
 /** Handles one HTTP request. */
 export type Handler = (request: IncomingMessage, response: ServerResponse) => void
 
 /** Options of a server. */
 export interface ServeOptions {
-  /** The calls that are served below `/trpc/`. */
+  /** Procedures served below `/trpc/`. */
   readonly router?: EntryRouter | WorkerRouter
   /** Handles every other path. Default: answers 404. */
   readonly handler?: Handler
 }
 
-/** An HTTP server for calls between processes and for requests. It does not listen yet; without options it answers 404 until `serve` is called. */
+/** Makes a server that does not listen yet. Without options it answers 404 until `serve` is called. */
 export function makeServer (options: ServeOptions = {}): Server {
-  const server = createServer({ keepAliveTimeout: 60_000, requestTimeout: 0, noDelay: true })
-  server.headersTimeout = 65_000
+  const server = createServer({ keepAliveTimeout: keepAliveTime, requestTimeout: 0, noDelay: true })
+  server.headersTimeout = headTime
   serve(server, options)
   return server
 }
 
-/** Has a server serve something else from now on. */
+/** Replaces what a server serves. */
 export function serve (server: Server, options: ServeOptions): void {
   const calls = options.router === undefined ? undefined : callsHandler(options.router)
   const handler = options.handler ?? notFound
@@ -38,7 +48,7 @@
   })
 }
 
-/** Listens on `host:port` and gives the port that was taken, which matters for port 0. */
+/** Listens on `host:port` and resolves to the port, which the system chooses where port 0 is given. Rejects where it is taken. */
 export function listen (server: Server, address: string): Promise<number> {
   const { host, port } = splitAddress(address)
   return new Promise((resolve, reject) => {
@@ -50,7 +60,7 @@
   })
 }
 
-/** The parts of `host:port`. */
+/** The parts of `host:port`, whose form the settings have checked. */
 export function splitAddress (address: string): { host: string, port: number } {
   const colon = address.lastIndexOf(':')
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) }
@@ -71,6 +81,7 @@
     const name = (request.url ?? '').slice(callsPath.length + 1)
     const procedure = names.has(name) ? caller[name] : undefined
     if (procedure === undefined) return notFound(request, response)
+    // `answerCall` answers errors itself. Where even that fails, the caller sees a closed connection.
     answerCall(procedure, request, response).catch(() => response.destroy())
   }
 }
@@ -83,12 +94,13 @@
     const output = await procedure(input)
     response.end(output === undefined ? '' : JSON.stringify(output))
   } catch (error) {
-    response.statusCode = error instanceof TRPCError || error instanceof SyntaxError ? 400 : 500
+    // The caller reports it: the message is part of the error that its call rejects with.
+    response.statusCode = error instanceof TRPCError || error instanceof SyntaxError ? statuses.badRequest : statuses.internalError
     response.end(JSON.stringify({ message: (error as Error).message }))
   }
 }
 
 function notFound (_request: IncomingMessage, response: ServerResponse): void {
-  response.statusCode = 404
+  response.statusCode = statuses.notFound
   response.end()
 }
--- a/packages/wire/test/call.test.ts
+++ b/packages/wire/test/call.test.ts
@@ -4,13 +4,13 @@
 import { Agent } from 'undici'
 import { ManualClock } from '@eiderwind/clock'
 import { Fault } from '@eiderwind/fault'
-import { Receiver, listen, makeServer, readBody, refuse, send, type Break, type Call, type Handler } from '../src/index.js'
+import { Receiver, listen, makeServer, readBody, refuse, send, type CallFailure, type Call, type Handler } from '../src/index.js'
 
 /** Notes what it is told, and how it ended. */
 class Notes extends Receiver {
-  readonly ended: Promise<Break | undefined>
+  readonly ended: Promise<CallFailure | undefined>
   readonly told: string[] = []
-  #settle!: (failure: Break | undefined) => void
+  #settle!: (failure: CallFailure | undefined) => void
 
   constructor () {
     super()
@@ -28,7 +28,7 @@
     this.#settle(undefined)
   }
 
-  fail (failure: Break): void {
+  fail (failure: CallFailure): void {
     this.told.push('fail')
     this.#settle(failure)
   }
--- a/packages/worker/src/model.ts
+++ b/packages/worker/src/model.ts
@@ -2,7 +2,7 @@
 import { Fault } from '@eiderwind/fault'
 import { type Queue, type Ticket } from '@eiderwind/admit'
 import { type Attempts } from '@eiderwind/run'
-import { Relay, answerFault, send, wireHeaders, type Break, type RelayOptions } from '@eiderwind/wire'
+import { Relay, answerFault, send, wireHeaders, type CallFailure, type RelayOptions } from '@eiderwind/wire'
 import { z } from 'zod'
 import { type Flights } from './flights.js'
 import { type Head } from './head.js'
@@ -90,7 +90,7 @@
 }
 
 /** The fault for a call to an upstream that broke before an answer began. */
-export function broken ({ sent }: Break): Fault {
+export function broken ({ sent }: CallFailure): Fault {
   return new Fault(sent ? 'lost' : 'upstream-down')
 }
 
--- a/packages/worker/src/plain.ts
+++ b/packages/worker/src/plain.ts
@@ -3,7 +3,7 @@
 import { Fault } from '@eiderwind/fault'
 import { type Queue, type Ticket } from '@eiderwind/admit'
 import { readKey, type Attempts, type Book, type Key, type StoredAnswer } from '@eiderwind/run'
-import { Collect, Relay, answerFault, endToEnd, send, wireHeaders, type Call, type Collected } from '@eiderwind/wire'
+import { Collector, Relay, answerFault, endToEnd, send, wireHeaders, type Call, type Collected } from '@eiderwind/wire'
 import { type WorkerBoard } from './facts.js'
 import { upstreamHeaders, type Inbound } from './inbound.js'
 import { broken } from './model.js'
@@ -88,7 +88,7 @@
       home.abandon(key)
       return new Fault('tombstoned')
     }
-    send(upstream.dispatcher, this.#call(inbound), new Collect({
+    send(upstream.dispatcher, this.#call(inbound), new Collector({
       whole: collected => {
         ticket.done()
         const answer = stored(collected)
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -440,7 +440,7 @@
     point: 3,
     rule: 'an answer that was reset is not whole (MIXED)',
     file: 'packages/wire/dist/src/connections.js',
-    find: 'over === \'reset\' || ',
+    find: 'ending === \'reset\' || ',
     replace: '',
     test: 'packages/wire/dist/test/connections.test.js',
     title: 'no length, reset: not whole'
