--- a/packages/board/src/controller.ts
+++ b/packages/board/src/controller.ts
@@ -1,42 +1,46 @@
+/**
+ * Control loops: `Controller` is one, `Scheduler` runs those of a process. Each update runs as an actor's message, so that it
+ * never overlaps another update of the same controller. The roles `entry` and `worker` are built of these; the gateway
+ * uses timers of its own.
+ */
 import { dispatch, spawn, start, stop, type ActorSystemRef, type Ref } from 'nact'
 import { type Clock, type Subscription } from '@eiderwind/clock'
 
-/** A part that looks at the board again and again and does what is due. */
+/** A control loop: at each update it reads the board, acts, and writes what it found. */
 export abstract class Controller {
+  /** Unique in the process. */
   abstract readonly name: string
   /** Time between two updates, in ms. */
   abstract readonly interval: number
-  /** Looks and acts. An error is told to the crew's `failed` and the next update comes as usual. */
+  /** One round of the loop. Where it rejects, the scheduler reports the error and the next round runs as usual. */
   abstract update (): Promise<void>
 }
 
-/** Wakes one controller. */
+/** The message that makes a controller update. */
 interface Wake {
   readonly type: 'wake'
 }
 
-interface Hand {
+interface Running {
   readonly actor: Ref<Wake>
   readonly timer: Subscription
 }
 
-/**
- * Runs controllers as actors: each handles one wake at a time, so that an update never overlaps itself, and a wake
- * that comes while one is already waiting is dropped.
- */
-export class Crew {
+/** Runs controllers, each at its interval and on demand. A wake is dropped where one is already waiting. */
+export class Scheduler {
   readonly #clock: Clock
   readonly #system: ActorSystemRef = start()
   readonly #failed: (controller: string, error: unknown) => void
-  readonly #hands = new Map<string, Hand>()
+  readonly #running = new Map<string, Running>()
   readonly #waiting = new Set<string>()
 
+  /** @param failed called with each error of an update */
   constructor (clock: Clock, failed: (controller: string, error: unknown) => void) {
     this.#clock = clock
     this.#failed = failed
   }
 
-  /** Starts a controller: now, and then at each interval. */
+  /** Starts a controller. Its first update runs now. */
   add (controller: Controller): void {
     const actor = spawn(this.#system, async (state: undefined, _wake: Wake) => {
       this.#waiting.delete(controller.name)
@@ -44,22 +48,22 @@
       return state
     }, controller.name)
     const timer = this.#clock.every(controller.interval, () => this.wake(controller.name))
-    this.#hands.set(controller.name, { actor, timer })
+    this.#running.set(controller.name, { actor, timer })
     this.wake(controller.name)
   }
 
-  /** Has a controller look now, beside its interval. */
+  /** Updates a controller now, in addition to its interval. */
   wake (name: string): void {
-    const hand = this.#hands.get(name)
-    if (hand === undefined || this.#waiting.has(name)) return
+    const running = this.#running.get(name)
+    if (running === undefined || this.#waiting.has(name)) return
     this.#waiting.add(name)
-    dispatch(hand.actor, { type: 'wake' })
+    dispatch(running.actor, { type: 'wake' })
   }
 
-  /** Stops every controller after the update that it is in. */
+  /** Stops every controller. Updates that are running finish. */
   stop (): void {
-    for (const { timer } of this.#hands.values()) timer.cancel()
-    this.#hands.clear()
+    for (const { timer } of this.#running.values()) timer.cancel()
+    this.#running.clear()
     stop(this.#system)
   }
 }
--- a/packages/board/src/index.ts
+++ b/packages/board/src/index.ts
@@ -1,3 +1,3 @@
-/** The blackboard, and the controllers that read and write it. */
+/** The blackboard of a process, and the control loops that read and write it. */
 export { Board, type FactListener } from './board.js'
-export { Controller, Crew } from './controller.js'
+export { Controller, Scheduler } from './controller.js'
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -2,7 +2,7 @@
 import { Server as TcpServer } from 'node:net'
 import { connectNodeAdapter } from '@connectrpc/connect-node'
 import { Agent } from 'undici'
-import { Crew } from '@eiderwind/board'
+import { Scheduler } from '@eiderwind/board'
 import { seeded, type Clock } from '@eiderwind/clock'
 import { Current } from '@eiderwind/config'
 import { digest } from '@eiderwind/hash'
@@ -78,7 +78,7 @@
   readonly #current = new Current()
   readonly #clients = new Clients()
   readonly #dispatcher = new Agent({ pipelining: 1, bodyTimeout: 0, headersTimeout: 0, keepAliveTimeout: 30_000, connect: { timeout: 2000 } })
-  readonly #crew: Crew
+  readonly #scheduler: Scheduler
   readonly #reports: Reports
   readonly #servers: Server[] = []
   #operators: DualListener | undefined
@@ -90,7 +90,7 @@
   constructor (options: EntryOptions) {
     this.#options = options
     this.#reports = new Reports(options.clock)
-    this.#crew = new Crew(options.clock, (controller, error) => options.log.write('controller-failed', { controller, cause: String(error) }))
+    this.#scheduler = new Scheduler(options.clock, (controller, error) => options.log.write('controller-failed', { controller, cause: String(error) }))
   }
 
   /** Listens on all three addresses and starts the controllers. */
@@ -136,7 +136,7 @@
 
   /** Ends at once. */
   async kill (): Promise<void> {
-    this.#crew.stop()
+    this.#scheduler.stop()
     this.#flights?.stop()
     this.#operators?.close()
     for (const server of this.#servers) {
@@ -151,20 +151,20 @@
     const current = this.#current
     const reports = this.#reports
     const spreader = new Spreader({ board, clock, current, reports, peers, clients: this.#clients, self, seeds })
-    this.#crew.add(new Registrar(board, store, self, peers))
-    this.#crew.add(new Watcher(board, current, store, self))
-    this.#crew.add(new Fence({ board, clock, current, reports, log }))
-    this.#crew.add(new NodeReader(board, store, clock, self))
-    this.#crew.add(spreader)
-    this.#crew.add(new Planning({ board, clock, current, reports, store, planner: new Repairing({ restart }), self, log, lostAfter }))
-    this.#crew.add(new Voting({ board, clock, current, reports, store, self }))
+    this.#scheduler.add(new Registrar(board, store, self, peers))
+    this.#scheduler.add(new Watcher(board, current, store, self))
+    this.#scheduler.add(new Fence({ board, clock, current, reports, log }))
+    this.#scheduler.add(new NodeReader(board, store, clock, self))
+    this.#scheduler.add(spreader)
+    this.#scheduler.add(new Planning({ board, clock, current, reports, store, planner: new Repairing({ restart }), self, log, lostAfter }))
+    this.#scheduler.add(new Voting({ board, clock, current, reports, store, self }))
     board.listen('platform', up => log.write(up ? 'store-back' : 'store-lost'))
-    board.listen('placements', () => this.#crew.wake('spreader'))
+    board.listen('placements', () => this.#scheduler.wake('spreader'))
     current.listen(configuration => {
       log.write('configuration-new', { revision: configuration.revision })
       metric.gauge('configuration.revision', configuration.revision)
       spreader.urge()
-      this.#crew.wake('spreader')
+      this.#scheduler.wake('spreader')
     })
     return spreader
   }
--- a/packages/life/src/index.ts
+++ b/packages/life/src/index.ts
@@ -1,2 +1,2 @@
-/** Runs a process from its start to its planned end. */
+/** The life cycle of a process, from its start to its planned stop. */
 export { run, type Addresses, type Daemon } from './run.js'
--- a/packages/worker/src/worker.ts
+++ b/packages/worker/src/worker.ts
@@ -1,7 +1,7 @@
 import { type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { v7 } from 'uuid'
 import { Queue } from '@eiderwind/admit'
-import { Crew } from '@eiderwind/board'
+import { Scheduler } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
 import { Fault, asFault } from '@eiderwind/fault'
 import { type Log, type Metric } from '@eiderwind/log'
@@ -72,7 +72,7 @@
   readonly #queue: Queue
   readonly #grants: Grants
   readonly #upstream: Upstream
-  readonly #crew: Crew
+  readonly #scheduler: Scheduler
   readonly #server: Server
   #receive = async (_request: IncomingMessage, response: ServerResponse): Promise<void> => answerFault(response, new Fault('not-serving'))
   #stopHead = async (): Promise<void> => {}
@@ -85,7 +85,7 @@
     this.#queue = new Queue(clock, { concurrency: 1, queue: 0 })
     this.#queue.close('not-serving')
     this.#grants = new Grants(clock, { longest: options.period, origin: this.#incarnation })
-    this.#crew = new Crew(clock, (controller, error) => log.write('controller-failed', { controller, cause: String(error) }))
+    this.#scheduler = new Scheduler(clock, (controller, error) => log.write('controller-failed', { controller, cause: String(error) }))
     this.#upstream = makeUpstream(options.upstream)
     const calls = new Calls({ clock, board: this.#board, grants: this.#grants, attempts: this.#attempts, incarnation: this.#incarnation, inherit: handover => this.#inherit(handover) })
     this.#server = makeServer({ router: workerRouter(calls), handler: (request, response) => { this.#handle(request, response) } })
@@ -95,7 +95,7 @@
   async start (): Promise<string> {
     const port = await listen(this.#server, this.#options.listen)
     const address = `${splitAddress(this.#options.listen).host}:${port}`
-    this.#crew.add(new Health(this.#board, this.#upstream, this.#options.log))
+    this.#scheduler.add(new Health(this.#board, this.#upstream, this.#options.log))
     if (this.#upstream instanceof EngineUpstream) this.#startModel(this.#upstream)
     else this.#startPlain()
     this.#startReporter(address)
@@ -106,18 +106,18 @@
   async stop (): Promise<void> {
     const { clock, stop } = this.#options
     this.#board.write('stopping', true)
-    this.#crew.wake('reporter')
-    this.#crew.wake('plain-state')
+    this.#scheduler.wake('reporter')
+    this.#scheduler.wake('plain-state')
     const end = clock.now() + stop
     while (clock.now() < end && this.#busy) await clock.wait(stopInterval)
     await this.#stopHead()
-    this.#crew.stop()
+    this.#scheduler.stop()
     await this.kill()
   }
 
   /** Ends at once. */
   async kill (): Promise<void> {
-    this.#crew.stop()
+    this.#scheduler.stop()
     this.#server.closeAllConnections()
     this.#server.close()
     await Promise.all([this.#clients.close(), this.#upstream.close()])
@@ -149,9 +149,9 @@
     const path = new ModelPath({ clock, queue: this.#queue, attempts: this.#attempts, upstream: engine, flights: this.#flights, head, sessions })
     this.#serve = inbound => path.serve(inbound)
     this.#stopHead = () => head.stop()
-    this.#crew.add(head)
-    this.#crew.add(new Orders(this.#board, engine, this.#grants, log))
-    this.#board.listen('assignment', () => this.#crew.wake('head'))
+    this.#scheduler.add(head)
+    this.#scheduler.add(new Orders(this.#board, engine, this.#grants, log))
+    this.#board.listen('assignment', () => this.#scheduler.wake('head'))
   }
 
   #startPlain (): void {
@@ -173,17 +173,17 @@
     const path = new PlainPath({ clock, board: this.#board, queue: this.#queue, attempts: this.#attempts, upstream: this.#upstream, book: key => homes.book(key) })
     this.#serve = inbound => path.serve(inbound)
     this.#stopHead = () => homes.stop()
-    this.#crew.add(new PlainState(this.#board, this.#queue))
-    this.#crew.add(homes)
+    this.#scheduler.add(new PlainState(this.#board, this.#queue))
+    this.#scheduler.add(homes)
     this.#board.listen('told', () => {
-      this.#crew.wake('plain-state')
-      this.#crew.wake('homes')
+      this.#scheduler.wake('plain-state')
+      this.#scheduler.wake('homes')
     })
   }
 
   #startReporter (address: string): void {
     const { node, dataCentre, seeds, metric } = this.#options
-    this.#crew.add(new Reporter({
+    this.#scheduler.add(new Reporter({
       board: this.#board,
       queue: this.#queue,
       clients: this.#clients,
@@ -194,8 +194,8 @@
       dataCentre,
       seeds
     }))
-    this.#board.listen('serving', () => this.#crew.wake('reporter'))
-    this.#board.listen('slots', () => this.#crew.wake('reporter'))
+    this.#board.listen('serving', () => this.#scheduler.wake('reporter'))
+    this.#board.listen('slots', () => this.#scheduler.wake('reporter'))
   }
 
   async #handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
