--- a/packages/log/src/index.ts
+++ b/packages/log/src/index.ts
@@ -1,5 +1,5 @@
-/** The structured log with its catalogue of events, its bounded output, and the StatsD metrics. */
+/** The structured log with its catalogue of events, its bounded writer, and the StatsD metrics. */
 export { events, type Event, type EventName, type Level } from './events.js'
 export { Log, type Fields, type LogOptions, type Sink } from './log.js'
 export { Metric, metrics, type MetricName, type MetricOptions, type Tags } from './metric.js'
-export { Output, type OutputOptions } from './output.js'
+export { LineWriter, type LineWriterOptions } from './linewriter.js'
--- a/packages/log/src/output.ts
+++ b/packages/log/src/linewriter.ts
@@ -1,6 +1,6 @@
 /**
- * Output of log lines for a process that must not wait for the reader of its log while it serves. It owns a token bucket and a bounded
- * buffer; lines beyond either are dropped and counted, and the process reports the count as `lines-dropped`.
+ * Writes log lines for a process that must not wait for the reader of its log while it serves. It owns a token bucket and a
+ * bounded buffer; lines beyond either are dropped and counted, and the process reports the count as `lines-dropped`.
  */
 import sonic, { type SonicBoom } from 'sonic-boom'
 import { type Sink } from './log.js'
@@ -17,8 +17,8 @@
 /** Bytes that wait for a slow reader: somewhat more than a burst of lines of 800 bytes. Chosen, not measured. */
 const bufferSize = 256 * 1024
 
-/** Options of an output. */
-export interface OutputOptions {
+/** Options of a line writer. */
+export interface LineWriterOptions {
   /** File descriptor that lines go to. Default: standard output. */
   readonly fd?: number
   /** Steady time, in ms. */
@@ -26,7 +26,7 @@
 }
 
 /** Writes lines without blocking, and counts those that it drops. */
-export class Output {
+export class LineWriter {
   readonly #stream: SonicBoom
   readonly #now: () => number
   #tokens = burst
@@ -34,7 +34,7 @@
   #at: number
   #dropped = 0
 
-  constructor ({ fd = standardOutput, now }: OutputOptions) {
+  constructor ({ fd = standardOutput, now }: LineWriterOptions) {
     this.#stream = new sonic.SonicBoom({ fd, sync: false, maxLength: bufferSize })
     this.#stream.on('drop', () => { this.#dropped++ })
     // There is no better place to report it: this is the log. A process serves on also when its log has lost its reader.
--- a/packages/log/test/output.test.ts
+++ b/packages/log/test/linewriter.test.ts
@@ -1,11 +1,11 @@
-/** The output of log lines drops what is too much, and says how much that was. */
+/** The writer of log lines drops what is too much, and says how much that was. */
 import { closeSync, mkdtempSync, openSync, readFileSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import test, { type ExecutionContext } from 'ava'
-import { Output } from '../src/index.js'
+import { LineWriter } from '../src/index.js'
 
-/** Lines that an output takes at once, and in a second after that. */
+/** Lines that a writer takes at once, and in a second after that. */
 const burst = 300
 const rate = 100
 
@@ -18,7 +18,7 @@
 }
 
 function file (t: ExecutionContext): File {
-  const folder = mkdtempSync(join(tmpdir(), 'eiderwind-output-'))
+  const folder = mkdtempSync(join(tmpdir(), 'eiderwind-lines-'))
   const path = join(folder, 'log')
   const fd = openSync(path, 'w')
   t.teardown(() => {
@@ -37,29 +37,29 @@
 test('lines beyond the burst and the rate are dropped and counted once', async t => {
   const log = file(t)
   let now = 0
-  const output = new Output({ fd: log.fd, now: () => now })
+  const writer = new LineWriter({ fd: log.fd, now: () => now })
   const write = (count: number): void => {
-    for (let index = 0; index < count; index++) output.sink(`line ${index}`)
+    for (let index = 0; index < count; index++) writer.sink(`line ${index}`)
   }
   write(burst + 5)
-  t.is(output.takeDropped(), 5)
-  t.is(output.takeDropped(), 0)
+  t.is(writer.takeDropped(), 5)
+  t.is(writer.takeDropped(), 0)
   now += 1000
   write(rate + 3)
-  t.is(output.takeDropped(), 3)
+  t.is(writer.takeDropped(), 3)
   now += 3_600_000
   write(burst + 1)
-  t.is(output.takeDropped(), 1, 'a long pause allows one burst and no more')
+  t.is(writer.takeDropped(), 1, 'a long pause allows one burst and no more')
   t.is((await linesOf(log, 2 * burst + rate)).length, 2 * burst + rate)
 })
 
 test('lines that a reader has not taken fill the buffer, and those beyond it are dropped and counted', async t => {
   const log = file(t)
-  const output = new Output({ fd: log.fd, now: () => 0 })
+  const writer = new LineWriter({ fd: log.fd, now: () => 0 })
   const line = 'x'.repeat(8 * 1024 - 1)
   // Writing begins only after this turn.
-  for (let index = 0; index < 40; index++) output.sink(line)
+  for (let index = 0; index < 40; index++) writer.sink(line)
   const fitting = bufferSize / (line.length + 1)
-  t.is(output.takeDropped(), 40 - fitting)
+  t.is(writer.takeDropped(), 40 - fitting)
   t.deepEqual(await linesOf(log, fitting), Array.from({ length: fitting }, () => line))
 })
--- a/packages/wire/src/client.ts
+++ b/packages/wire/src/client.ts
@@ -3,7 +3,7 @@
 import { type Configuration, type Handover, type Peer, type Report, type ReportAnswer } from '@eiderwind/schema'
 import { EntryCalls, WorkerCalls, type ClaimAnswer, type ClaimMessage, type Exchange, type ExchangeAnswer, type Known, type SettleAnswer, type SettleMessage } from './calls.js'
 import { callsPath } from './headers.js'
-import { statuses } from './serve.js'
+import { callStatuses } from './serve.js'
 
 /** Longest time for a call, in ms. Chosen, not measured. */
 const callTimeout = 1500
@@ -67,7 +67,7 @@
       body: input === undefined ? undefined : JSON.stringify(input)
     })
     const text = await response.body.text()
-    if (response.statusCode !== statuses.ok) throw new Error(`${this.#url}/${name} answered ${response.statusCode}: ${text}`)
+    if (response.statusCode !== callStatuses.ok) throw new Error(`${this.#url}/${name} answered ${response.statusCode}: ${text}`)
     return (text === '' ? undefined : JSON.parse(text)) as Output
   }
 }
--- a/packages/wire/src/serve.ts
+++ b/packages/wire/src/serve.ts
@@ -16,7 +16,7 @@
 const headTime = 65_000
 
 /** Statuses of calls between processes. */
-export const statuses = { ok: 200, badRequest: 400, notFound: 404, internalError: 500 } as const
+export const callStatuses = { ok: 200, badRequest: 400, notFound: 404, internalError: 500 } as const
 
 /** Handles one HTTP request. */
 export type Handler = (request: IncomingMessage, response: ServerResponse) => void
@@ -95,12 +95,12 @@
     response.end(output === undefined ? '' : JSON.stringify(output))
   } catch (error) {
     // The caller reports it: the message is part of the error that its call rejects with.
-    response.statusCode = error instanceof TRPCError || error instanceof SyntaxError ? statuses.badRequest : statuses.internalError
+    response.statusCode = error instanceof TRPCError || error instanceof SyntaxError ? callStatuses.badRequest : callStatuses.internalError
     response.end(JSON.stringify({ message: (error as Error).message }))
   }
 }
 
 function notFound (_request: IncomingMessage, response: ServerResponse): void {
-  response.statusCode = statuses.notFound
+  response.statusCode = callStatuses.notFound
   response.end()
 }
