--- a/packages/roster/src/outage.ts
+++ b/packages/roster/src/outage.ts
@@ -6,8 +6,8 @@
 import { type Clock } from '@eiderwind/clock'
 
 /**
- * Shortest outage, in ms. Chosen, not measured: the store drops an upstream's record after three heartbeats of silence
- * (3.6 s at the deployments' 1.2 s), so that no record lapses because of a shorter outage.
+ * Shortest outage in which records may lapse, in ms. Chosen, not measured, below the three heartbeats of silence after
+ * which the store drops a record (3.6 s where a heartbeat takes 1.2 s).
  */
 const minimumOutage = 2500
 
