--- a/packages/log/test/catalogue.test.ts
+++ b/packages/log/test/catalogue.test.ts
@@ -1,9 +1,39 @@
 /** The catalogues in docs and the code hold together. */
-import { readFileSync } from 'node:fs'
+import { readFileSync, readdirSync } from 'node:fs'
 import test from 'ava'
 import { Log, events, metrics } from '../src/index.js'
 
-const operators = new URL('../../../../docs/operators/', import.meta.url)
+const root = new URL('../../../../', import.meta.url)
+const operators = new URL('docs/operators/', root)
+
+/** The folders whose sources make up a program, apart from those of all programs. */
+const programs: Readonly<Record<string, readonly string[]>> = {
+  all: ['packages/life'],
+  gateway: ['platform', 'packages/gateway', 'packages/forward', 'packages/dispatch', 'packages/detect', 'packages/forming', 'packages/peers', 'packages/roster'],
+  '`eiderwind entry`': ['packages/entry'],
+  '`eiderwind worker`': ['packages/worker']
+}
+
+/** A call that writes an event, or one of two. */
+const calls = /log\.write\([^'()]*'([a-z-]+)'(?:\s*:\s*'([a-z-]+)')?/g
+
+/** Numbers of the events that sources in these folders write. */
+function written (folders: readonly string[]): Set<number> {
+  const names = folders.flatMap(sources).flatMap(source => [...source.matchAll(calls)].flatMap(([, first, second = first]) => [first, second]))
+  return new Set(Object.entries(events).filter(([name]) => names.includes(name)).map(([, { number }]) => number))
+}
+
+function sources (folder: string): string[] {
+  const names = readdirSync(new URL(`${folder}/src/`, root)).filter(name => name.endsWith('.ts'))
+  return names.map(name => readFileSync(new URL(`${folder}/src/${name}`, root), 'utf8'))
+}
+
+/** Numbers of the events that the table in events.md says a program writes: single ones, and ranges such as `200 to 202`. */
+function said (program: string): Set<number> {
+  const row = readFileSync(new URL('events.md', operators), 'utf8').split('\n').find(line => line.startsWith(`| ${program} | `)) ?? ''
+  const ranges = [...row.matchAll(/(\d{3})(?: to (\d{3}))?/g)].map(([, first, last = first]) => [Number(first), Number(last)])
+  return new Set(Object.values(events).map(({ number }) => number).filter(number => ranges.some(([first, last]) => first <= number && number <= last)))
+}
 
 test('the catalogue of events lists every event with its number, level and text, and no other', t => {
   const rows = readFileSync(new URL('events.md', operators), 'utf8').split('\n').filter(line => /^\| \d+ /.test(line))
@@ -11,6 +41,15 @@
   t.deepEqual(rows, expected)
 })
 
+for (const [program, folders] of Object.entries(programs)) {
+  test(`the catalogue says which events are written by ${program}`, t => {
+    const found = written(folders)
+    // What a controller or a planner fails with is written by every program, each in its own sources.
+    const own = program === 'all' ? [...found, events['controller-failed'].number] : [...found].filter(number => number !== events['controller-failed'].number)
+    t.deepEqual([...said(program)].sort(), own.sort())
+  })
+}
+
 test('the list of metrics names every metric with its kind and text, and no other', t => {
   const rows = readFileSync(new URL('metrics.md', operators), 'utf8').split('\n').filter(line => line.startsWith('| eiderwind.'))
   const expected = Object.entries(metrics).map(([name, { kind, text }]) => `| eiderwind.${name} | ${kind} | ${text} |`)
