--- a/packages/forward/src/plain.ts
+++ b/packages/forward/src/plain.ts
@@ -53,7 +53,7 @@
 }
 
 /** Whether another attempt follows: the request may run again, or certainly did not run, and attempts and repeats are left. */
-function again (context: Context, exchange: CallerRequest, ending: Ending): boolean {
+export function again (context: Context, exchange: CallerRequest, ending: Ending): boolean {
   if (ending.kind === 'passed' || (ending.kind === 'answered' && ending.status < failureStatus)) return false
   if (ending.kind !== 'not-run' && !exchange.repeatable) return false
   if (!exchange.mayGoOn) return false
--- a/packages/forward/src/stream.ts
+++ b/packages/forward/src/stream.ts
@@ -45,7 +45,7 @@
       ending = await this.#attempt(upstream)
       if (exchange.over) return
       exchange.tell(upstream.id, ending, this.#progress.lastEvent)
-    } while (this.#again(ending))
+    } while (again(this.#context, exchange, ending))
     if (!exchange.over) this.#conclude(ending)
   }
 
@@ -82,15 +82,6 @@
     return repeatable && mayGoOn && this.#context.retryBudget(service).left > 0 && this.#choose() !== undefined
   }
 
-  #again (ending: Ending): boolean {
-    const { service, repeatable, mayGoOn } = this.#exchange
-    if (ending.kind === 'passed') return false
-    if (ending.kind === 'answered' && (ending.status < 500 || !repeatable)) return false
-    if (ending.kind === 'lost' && !repeatable) return false
-    if (!mayGoOn) return false
-    return (ending.kind === 'not-run' && !ending.sent) || this.#context.retryBudget(service).take()
-  }
-
   #conclude (ending: Ending | undefined): void {
     const exchange = this.#exchange
     if (ending?.kind === 'passed') {
@@ -113,3 +104,12 @@
     return new Fault('busy', { retryAfter: roomTime })
   }
 }
+
+/** Whether another attempt follows. */
+export function again (context: Context, { service, repeatable, mayGoOn }: CallerRequest, ending: Ending): boolean {
+  if (ending.kind === 'passed') return false
+  if (ending.kind === 'answered' && (ending.status < 500 || !repeatable)) return false
+  if (ending.kind === 'lost' && !repeatable) return false
+  if (!mayGoOn) return false
+  return (ending.kind === 'not-run' && !ending.sent) || context.retryBudget(service).take()
+}
