--- a/packages/fault/src/fault.ts
+++ b/packages/fault/src/fault.ts
@@ -1,47 +1,57 @@
+/**
+ * The error type that every refusal is made of, and its form in a JSON body. Owns nothing at run time; relies on `kinds`
+ * for what is fixed for each code.
+ */
 import { kinds, type Code, type Kind, type Outcome } from './kinds.js'
 
-/** A fault as it is written on the wire, under the key `error` of a JSON body. */
+/** A fault on the wire: the value of `error` in a JSON body. */
 export interface FaultBody {
   readonly code: Code
   readonly message: string
   readonly outcome: Outcome
 }
 
-/** What a fault may say beyond its kind. */
+/** What a fault may say beyond its kind, or in place of it. */
 export interface FaultOptions {
-  /** What is wrong in this case; the remedy of the kind is added behind it. */
+  /** What is wrong in this case, in full sentences; the remedy follows it in the message. */
   readonly detail?: string
-  /** Seconds after which coming back helps. Default: that of the kind. */
+  /** What the caller can do about it, in one sentence. Default: that of the kind. */
+  readonly remedy?: string
+  /** `Retry-After`, in seconds. Default: that of the kind. */
   readonly retryAfter?: number
   /** Default: that of the kind. */
   readonly outcome?: Outcome
 }
 
-/** A typed error of the system. Its message says what is wrong and then names the remedy. */
+/** A typed error of the system. Its message says what is wrong, then what to do about it. */
 export class Fault extends Error {
   readonly code: Code
   readonly outcome: Outcome
   readonly retryAfter: number | undefined
   readonly #detail: string | undefined
+  readonly #remedy: string | undefined
 
   constructor (code: Code, options: FaultOptions = {}) {
     const kind: Kind = kinds[code]
-    super(options.detail === undefined ? kind.remedy : `${options.detail} ${kind.remedy}`)
+    const remedy = options.remedy ?? kind.remedy
+    super(options.detail === undefined ? remedy : `${options.detail} ${remedy}`)
     this.name = 'Fault'
     this.code = code
     this.outcome = options.outcome ?? kind.outcome
     this.retryAfter = options.retryAfter ?? kind.retryAfter
     this.#detail = options.detail
+    this.#remedy = options.remedy
   }
 
+  /** HTTP status (RFC 9110). */
   get status (): number {
     return kinds[this.code].status
   }
 
-  /** The same fault with the outcome `unknown`, and with `reason` said after what is wrong. */
+  /** The same fault with the outcome `unknown` and with `reason` added to its detail. */
   doubted (reason: string): Fault {
     const detail = this.#detail === undefined ? reason : `${this.#detail} ${reason}`
-    return new Fault(this.code, { detail, outcome: 'unknown', retryAfter: this.retryAfter })
+    return new Fault(this.code, { detail, remedy: this.#remedy, outcome: 'unknown', retryAfter: this.retryAfter })
   }
 
   /** The body that is sent to a caller. */
@@ -49,13 +59,14 @@
     return { code: this.code, message: this.message, outcome: this.outcome }
   }
 
-  /** The fault in a body that another process of the system sent, or undefined where there is none. */
+  /** The fault in a body that another process of the system sent, or undefined if it holds none. */
   static read (text: string): Fault | undefined {
     try {
       const error = (JSON.parse(text) as { error?: Partial<FaultBody> }).error
       if (error?.code === undefined || !(error.code in kinds)) return undefined
       return new Fault(error.code, { outcome: error.outcome })
     } catch {
+      // A body that is no JSON holds no fault; the caller of this function decides what that means.
       return undefined
     }
   }
--- a/packages/fault/src/kinds.ts
+++ b/packages/fault/src/kinds.ts
@@ -1,18 +1,24 @@
-/** Whether the request that a fault answers has run: certainly, certainly not, or nobody can tell. */
+/**
+ * The one list of error codes, for all programs of the system: status, outcome, remedy and `Retry-After` of each. Relies
+ * on nothing. Where a program needs other values for a code, it passes them to `Fault`; those of the gateway are in
+ * `refusals` of `@eiderwind/dispatch`.
+ */
+
+/** Whether the refused request has run: certainly, certainly not, or unknown. */
 export type Outcome = 'ran' | 'not-run' | 'unknown'
 
-/** What is fixed for every fault of one kind. */
+/** Defaults for every fault of one code. */
 export interface Kind {
   /** HTTP status (RFC 9110). */
   readonly status: number
   readonly outcome: Outcome
   /** What the caller can do about it, in one sentence. */
   readonly remedy: string
-  /** Seconds after which coming back helps, where it does. */
+  /** `Retry-After` in seconds, if coming back can help. */
   readonly retryAfter?: number
 }
 
-/** Every kind of fault that the system answers with. The key is the code on the wire. */
+/** Every kind of fault, by its code on the wire. */
 export const kinds = {
   'bad-key': { status: 401, outcome: 'not-run', remedy: 'Send "Authorization: Bearer <key>" with a key of a team in the configuration.' },
   'bad-operator': { status: 401, outcome: 'not-run', remedy: 'Give the token of an operator in the configuration or in the entry\'s settings.' },
@@ -46,5 +52,5 @@
   'bad-settings': { status: 400, outcome: 'not-run', remedy: 'Correct the settings as listed.' }
 } as const satisfies Record<string, Kind>
 
-/** The code of a kind of fault, as it stands on the wire. */
+/** The code of a kind of fault, as sent in a body. */
 export type Code = keyof typeof kinds
