--- a/packages/dispatch/src/choice.ts
+++ b/packages/dispatch/src/choice.ts
@@ -1,90 +1,86 @@
-import { type Clock, type Random } from '@eiderwind/clock'
+/**
+ * Which upstream a request goes to: the replica head with most room for a model, or the plain upstream that should
+ * answer soonest. Relies on the roster for the candidates, on `InFlight` and the peers' heartbeats for their load, and on
+ * `Suspects` for heads to avoid. When none has room, `waiting.ts` says how long a request waits.
+ */
+import { type Random } from '@eiderwind/clock'
 import { type InFlight, type Suspects } from '@eiderwind/detect'
 import { type Heartbeat, type Peers } from '@eiderwind/peers'
 import { type Roster, type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
+import { Observations } from './observations.js'
 
-/** What the choice stands on. */
+/** Dependencies of `Choice`. */
 export interface ChoiceOptions {
-  readonly clock: Clock
   readonly roster: Roster
   readonly inFlight: InFlight
   readonly peers: Peers
   readonly suspects: Suspects
-  /** Where this entry is. Among equals, an upstream there is chosen. */
+  /** The data centre of this gateway. Among equals, an upstream there is chosen. */
   readonly dataCentre: string
-  /** Breaks ties between upstreams that are equally good. */
+  /** Breaks ties between upstreams that are equally good: one draw for each candidate. */
   readonly random: Random
 }
 
-/** Requests that a replica is sent beyond its slots, in parts of these: they wait there rather than be refused. */
+/**
+ * Requests that a replica is sent beyond its slots, as a share of the slots; they wait there. Measured against 0.5 on
+ * three days (commit 6614ae7; docs/design/platform.md, Requests): what waits longer at a full replica comes late.
+ */
 const overhang = 0.1
 
-/** Weight of the newest observation in what is known of a plain upstream. */
-const weight = 0.2
+/** Added to the cost of an upstream in another data centre: half a request in flight, or half a ms. Chosen, not measured. */
+const distanceCost = 0.5
 
-/** How much more loaded an upstream seems whose every request fails. */
-const failureCost = 8
+/** Greatest random part of a cost, so that gateways do not all choose the same one of several equals. Chosen, not measured. */
+const tieBreak = 0.1
 
-interface Record {
-  time: number
-  failures: number
-}
-
-/** Chooses upstreams by what this entry and the others have under way there. */
+/** Chooses upstreams by their load at all gateways. */
 export class Choice {
   readonly #options: ChoiceOptions
-  readonly #records = new Map<string, Record>()
+  readonly #observations = new Observations()
 
   constructor (options: ChoiceOptions) {
     this.#options = options
   }
 
-  /** The head with most room for a request of a model, or undefined where none has room. */
+  /** The head with most room for a request of a model, or undefined if none has room. */
   head (service: string, model: string, engine: Engine, tried: ReadonlySet<string>): Upstream | undefined {
-    const { roster, suspects } = this.#options
+    const { roster, suspects, peers } = this.#options
     const heads = roster.heads(service, model).filter(({ id }) => !tried.has(id) && suspects.mayTry(id))
-    const heartbeats = this.#options.peers.live
+    const heartbeats = peers.live
     const load = ({ id }: Upstream): number => this.#load(id, heartbeats)
-    const best = this.#least(heads, load)
+    const best = this.#cheapest(heads, load)
     return best !== undefined && load(best) < engine.slots * (1 + overhang) ? best : undefined
   }
 
-  /** The upstream of a plain service that will answer soonest. */
+  /** The upstream of a plain service that should answer soonest, or undefined if all were tried. */
   plain (service: string, tried: ReadonlySet<string>): Upstream | undefined {
-    const upstreams = this.#options.roster.available(service).filter(({ id }) => !tried.has(id))
-    return this.#least(upstreams, ({ id }) => this.#cost(id))
+    const { roster, inFlight } = this.#options
+    const upstreams = roster.available(service).filter(({ id }) => !tried.has(id))
+    return this.#cheapest(upstreams, ({ id }) => this.#observations.cost(id, inFlight.count(id)))
   }
 
-  /** Notes how a request at a plain upstream went. @param time until its answer, in ms */
+  /** Takes in how a request at a plain upstream went. @param time until its end, in ms */
   observe (id: string, time: number, failed: boolean): void {
-    const record = this.#records.get(id) ?? { time, failures: 0 }
-    if (!failed) record.time += weight * (time - record.time)
-    record.failures += weight * (Number(failed) - record.failures)
-    this.#records.set(id, record)
-    if (this.#records.size > 1000) this.#records.clear()
+    this.#observations.add(id, time, failed)
   }
 
-  /** Requests under way at an upstream: this entry's, and what the others told last. */
+  /** Requests in flight at an upstream: from this gateway, and from the others by their last heartbeats. */
   #load (id: string, heartbeats: readonly Heartbeat[]): number {
     const others = heartbeats.reduce((sum, { inFlight }) => sum + (inFlight[id] ?? 0), 0)
     return this.#options.inFlight.count(id) + others
   }
 
-  #cost (id: string): number {
-    const { time, failures } = this.#records.get(id) ?? { time: 1, failures: 0 }
-    return (this.#options.inFlight.count(id) + 1) * Math.max(time, 1) * (1 + failureCost * failures)
-  }
-
-  #least (upstreams: readonly Upstream[], cost: (upstream: Upstream) => number): Upstream | undefined {
+  #cheapest (upstreams: readonly Upstream[], cost: (upstream: Upstream) => number): Upstream | undefined {
+    const { dataCentre, random } = this.#options
     let best: Upstream | undefined
     let least = Infinity
     for (const upstream of upstreams) {
-      const near = upstream.dataCentre === this.#options.dataCentre ? 0 : 0.5
-      const own = cost(upstream) + near + this.#options.random() * 0.1
-      if (own >= least) continue
+      const distance = upstream.dataCentre === dataCentre ? 0 : distanceCost
+      const total = cost(upstream) + distance + random() * tieBreak
+      if (total >= least) continue
       best = upstream
-      least = own
+      least = total
     }
     return best
   }
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -1,4 +1,8 @@
-/** Where a request goes: the choice of an upstream, the queue for one, and the retry budget. */
+/** The decisions about a request: where it goes, how long it waits for room, whether it is sent again, and how it is refused. */
 export { Choice, type ChoiceOptions } from './choice.js'
 export { Queue } from './queue.js'
 export { RetryBudget, type RetryBudgetOptions } from './budget.js'
+export { decideRetry, mayMove, type MoveInputs, type RetryDecision, type RetryInputs } from './retry.js'
+export { isSuccess, preferredResult, type Answered, type AttemptResult } from './result.js'
+export { refusals } from './refusals.js'
+export { waitForRoom, type WaitInputs } from './waiting.js'
--- a/packages/dispatch/src/queue.ts
+++ b/packages/dispatch/src/queue.ts
@@ -1,17 +1,20 @@
+/**
+ * Requests that wait for an upstream with room. Owns their order: the most urgent first, among equals the oldest.
+ * Relies on `wake` being called whenever room may have appeared. How long a request may wait is decided in `waiting.ts`.
+ */
 import { type Clock } from '@eiderwind/clock'
 
 interface Waiter {
+  /** 0 is the most urgent. */
   readonly priority: number
-  readonly order: number
-  readonly attempt: () => boolean
-  readonly leave: () => void
+  /** Looks for room again, and ends the wait if there is some. */
+  readonly retry: () => void
 }
 
-/** Requests that wait for room, the most urgent first, then the oldest. */
+/** A queue of requests that wait for room. */
 export class Queue {
   readonly #clock: Clock
   readonly #waiters: Waiter[] = []
-  #order = 0
 
   constructor (clock: Clock) {
     this.#clock = clock
@@ -22,38 +25,42 @@
   }
 
   /**
-   * Waits until `find` gives something, for `time` ms at the most.
-   * @param left told of a function that ends the wait early
+   * Resolves with what `find` returns as soon as that is defined, or with undefined after `time` ms.
+   * @param onWait called with a function that ends the wait early, unless something was found at once
    */
-  wait<Value> (priority: number, time: number, find: () => Value | undefined, left?: (leave: () => void) => void): Promise<Value | undefined> {
+  wait<Value> (priority: number, time: number, find: () => Value | undefined, onWait?: (cancel: () => void) => void): Promise<Value | undefined> {
     const found = find()
     if (found !== undefined || time <= 0) return Promise.resolve(found)
     return new Promise(resolve => {
       const end = (value: Value | undefined): void => {
         timer.cancel()
-        const index = this.#waiters.indexOf(waiter)
-        if (index >= 0) this.#waiters.splice(index, 1)
+        this.#remove(waiter)
         resolve(value)
       }
-      const attempt = (): boolean => {
+      const retry = (): void => {
         const value = find()
         if (value !== undefined) end(value)
-        return value !== undefined
       }
-      const waiter: Waiter = { priority, order: this.#order++, attempt, leave: () => end(undefined) }
-      const timer = this.#clock.after(time, waiter.leave)
+      const cancel = (): void => end(undefined)
+      const waiter: Waiter = { priority, retry }
+      const timer = this.#clock.after(time, cancel)
       this.#insert(waiter)
-      left?.(waiter.leave)
+      onWait?.(cancel)
     })
   }
 
-  /** Looks again whether something was found for those that wait. */
+  /** Looks for room again for every waiting request, in the order of the queue. */
   wake (): void {
-    for (const waiter of [...this.#waiters]) waiter.attempt()
+    for (const waiter of [...this.#waiters]) waiter.retry()
   }
 
   #insert (waiter: Waiter): void {
     const index = this.#waiters.findIndex(each => each.priority > waiter.priority)
     this.#waiters.splice(index < 0 ? this.#waiters.length : index, 0, waiter)
   }
+
+  #remove (waiter: Waiter): void {
+    const index = this.#waiters.indexOf(waiter)
+    if (index >= 0) this.#waiters.splice(index, 1)
+  }
 }
--- /dev/null
+++ b/packages/dispatch/src/waiting.ts
@@ -0,0 +1,38 @@
+/**
+ * How long a request waits in the queue for an upstream with room, before it is refused or answered with what came of
+ * the attempts so far. Pure; relies only on its inputs. The queue itself is `Queue`.
+ */
+
+/**
+ * Longest wait before the first attempt, as a share of the route's latency objective: 42 ms of 193 ms up to 110 ms of
+ * 500 ms on the present deployments. A caller that waits so long still has most of its objective left, and can
+ * retry early. Chosen when this program was first written (c937403), never varied in a run: it lies
+ * just below the quarter of the objective up to which the deployments count a refusal as timely.
+ */
+const firstWaitShare = 0.22
+
+/**
+ * Longest wait of a stream for its next upstream, in ms. Callers leave after 2,000 ms without an event (a bound of the
+ * deployments), of which about 400 ms (setting `silence`) pass before a stall is noticed. Chosen, not measured.
+ */
+const resumeWait = 1500
+
+/** What the wait for room depends on. Times are in ms. */
+export interface WaitInputs {
+  readonly path: 'plain' | 'stream'
+  /** Whether an attempt was started before. */
+  readonly offered: boolean
+  /** The route's latency objective. */
+  readonly objective: number
+  /** Time until the request's deadline. */
+  readonly timeLeft: number
+}
+
+/**
+ * Longest wait for an upstream with room, in ms. A plain request that was offered before does not wait: if no other
+ * upstream has room now, its caller gets the result of the last attempts at once. Chosen, not measured.
+ */
+export function waitForRoom ({ path, offered, objective, timeLeft }: WaitInputs): number {
+  if (!offered) return Math.min(firstWaitShare * objective, timeLeft)
+  return path === 'stream' ? Math.min(resumeWait, timeLeft) : 0
+}
--- /dev/null
+++ b/packages/dispatch/test/decisions.test.ts
@@ -0,0 +1,72 @@
+/** How long a request waits, whether a stalled stream may be moved, and each refusal as it is sent. */
+import test from 'ava'
+import { mayMove, preferredResult, refusals, waitForRoom, type AttemptResult } from '../src/index.js'
+
+test('a request waits for 0.22 of its objective before its first attempt, never past its deadline', t => {
+  for (const path of ['plain', 'stream'] as const) {
+    t.is(waitForRoom({ path, offered: false, objective: 500, timeLeft: 6000 }), 110)
+    t.is(waitForRoom({ path, offered: false, objective: 500, timeLeft: 30 }), 30)
+  }
+})
+
+test('once offered, a plain request does not wait, and a stream waits for 1500 ms, never past its deadline', t => {
+  t.is(waitForRoom({ path: 'plain', offered: true, objective: 500, timeLeft: 6000 }), 0)
+  t.is(waitForRoom({ path: 'stream', offered: true, objective: 500, timeLeft: 6000 }), 1500)
+  t.is(waitForRoom({ path: 'stream', offered: true, objective: 500, timeLeft: 30 }), 30)
+})
+
+test('a stalled stream may be moved only if it may run again, and attempts and retries are left', t => {
+  t.true(mayMove({ repeatable: true, hasAttemptsLeft: true, retriesLeft: 1 }))
+  t.false(mayMove({ repeatable: false, hasAttemptsLeft: true, retriesLeft: 1 }))
+  t.false(mayMove({ repeatable: true, hasAttemptsLeft: false, retriesLeft: 1 }))
+  t.false(mayMove({ repeatable: true, hasAttemptsLeft: true, retriesLeft: 0 }))
+})
+
+test('an answer is preferred to none, and that a request may have run is not hidden by a later attempt', t => {
+  const answered: AttemptResult = { kind: 'answered', status: 503, headers: {}, body: Buffer.alloc(0) }
+  const lost: AttemptResult = { kind: 'lost', why: '' }
+  const notRun: AttemptResult = { kind: 'not-run', why: '', sent: true }
+  t.is(preferredResult(undefined, notRun), notRun)
+  for (const before of [answered, lost, notRun]) {
+    const later: AttemptResult = { ...answered, status: 500 }
+    t.is(preferredResult(before, later), later)
+  }
+  for (const latest of [{ ...lost }, { ...notRun }]) {
+    t.is(preferredResult(answered, latest), answered)
+    t.is(preferredResult(lost, latest), lost)
+    t.is(preferredResult(notRun, latest), latest)
+  }
+})
+
+test('each refusal has its code, status, outcome, Retry-After and a remedy that is true at a gateway', t => {
+  const all = [
+    refusals.behind(),
+    refusals.behind('Why.'),
+    refusals.leaving(),
+    refusals.headerTooLarge(),
+    refusals.badRequest('Why.'),
+    refusals.unknownPath(),
+    refusals.badKey('x-key'),
+    refusals.upstreamDown('Why.'),
+    refusals.noRoom(0),
+    refusals.noRoom(2),
+    refusals.lost('it broke'),
+    refusals.deadline(false),
+    refusals.deadline(true)
+  ]
+  t.deepEqual(all.map(({ code, status, outcome, retryAfter, message }) => `${code} ${status} ${outcome} ${retryAfter ?? '-'} ${message}`), [
+    'behind 503 not-run 0.2 Send the request again; another entry has the present configuration.',
+    'behind 503 not-run 0.2 Why. Send the request again; another entry has the present configuration.',
+    'leaving 503 not-run 0.2 Send the request again; another process will take it.',
+    'header-too-large 431 not-run - Send fewer or shorter headers.',
+    'bad-request 400 not-run - Why. Correct the request as the message says and send it again.',
+    'unknown-path 404 not-run - No route fits the host and path. Use the host and the path of a route in the configuration.',
+    'bad-key 401 not-run - Send the key of a team in the configuration in the header x-key.',
+    'upstream-down 503 not-run 0.3 Why. Come back after the time given; the upstream takes no connections.',
+    'no-replica 503 not-run 1.8 Come back after the time given; no replica is serving now.',
+    'busy 429 not-run 0.9 Come back after the time given; all replicas that could serve this are full.',
+    'lost 502 unknown - it broke. Look up whether the request ran before you send it again.',
+    'deadline 504 not-run 1 Give a later deadline, as far as the time limit of the route allows, or come back when there is less load.',
+    'deadline 504 unknown 1 Look up whether the request ran before you send it again.'
+  ])
+})
--- a/packages/gateway/src/budgets.ts
+++ b/packages/gateway/src/budgets.ts
@@ -35,7 +35,7 @@
     const known = this.#budgets.get(service)
     if (known !== undefined) return known
     const { clock, settings } = this.#options
-    const made = new RetryBudget(clock, { ratio: settings.retryRatio, slack: settings.retrySlack, window: settings.retryWindow, entries: () => this.#gateways })
+    const made = new RetryBudget(clock, { ratio: settings.retryRatio, slack: settings.retrySlack, window: settings.retryWindow, gateways: () => this.#gateways })
     this.#budgets.set(service, made)
     return made
   }
--- a/packages/gateway/test/digest.test.ts
+++ b/packages/gateway/test/digest.test.ts
@@ -42,7 +42,7 @@
   const roster = new Roster(clock)
   const flights = new InFlight(clock, () => {})
   const suspects = new Suspects(clock, roster)
-  const choice = new Choice({ clock, roster, inFlight: flights, peers: alone(clock), suspects, dataCentre: 'dc1', random: seeded(42) })
+  const choice = new Choice({ roster, inFlight: flights, peers: alone(clock), suspects, dataCentre: 'dc1', random: seeded(42) })
   const running: InFlightRequest[] = []
   const lines: string[] = []
   for (let step = 0; step < 2000; step++) {
@@ -83,7 +83,7 @@
   const peers = new Peers({ clock, id: 'e', address: `127.0.0.1:${port}`, heartbeat: () => heartbeat, interval: 250, timeout: 1000 })
   await peers.start()
   const other = createSocket('udp4')
-  const choice = new Choice({ clock, roster, inFlight: flights, peers, suspects: new Suspects(clock, roster), dataCentre: 'dc1', random: seeded(43) })
+  const choice = new Choice({ roster, inFlight: flights, peers, suspects: new Suspects(clock, roster), dataCentre: 'dc1', random: seeded(43) })
   const loads = { u0: 1, u1: 6, u2: 3, u3: 0, u4: 6, u5: 2 }
   other.send(JSON.stringify({ ...beat, id: 'f', loads }), port, '127.0.0.1')
   for (let turn = 0; turn < 200 && peers.live.length === 0; turn++) await new Promise(resolve => setTimeout(resolve, 5))
@@ -103,7 +103,7 @@
   const random = seeded(44)
   const clock = new ManualClock()
   let entries = 4
-  const repeats = new RetryBudget(clock, { ratio: 0.2, window: 10_000, slack: 40, entries: () => entries })
+  const repeats = new RetryBudget(clock, { ratio: 0.2, window: 10_000, slack: 40, gateways: () => entries })
   const lines: string[] = []
   for (let step = 0; step < 4000; step++) {
     clock.advance(Math.floor(random() * 120))
