--- a/packages/forward/src/attempt.ts
+++ b/packages/forward/src/attempt.ts
@@ -1,176 +1,166 @@
+/**
+ * One send of a request to one upstream, until its result is known. Owns the call and the collected bytes of its answer;
+ * reports to `InFlight` and `Suspects` what was sent to and received from the upstream. Relies on `Connections` to report
+ * whether anything of a failed call was sent.
+ */
 import { type InFlightRequest } from '@eiderwind/detect'
-import { Receiver, type AnswerHeaders, type CallFailure, type Cancel, type Flow } from '@eiderwind/wire'
+import { type AttemptResult } from '@eiderwind/dispatch'
 import { type Upstream } from '@eiderwind/roster'
+import { Receiver, type AnswerHeaders, type CallFailure, type Cancel, type Flow } from '@eiderwind/wire'
 import { answerHeader, belongs, saysNotRun } from './answers.js'
 import { type Context } from './context.js'
+import { outgoingCall } from './outgoing.js'
 import { type CallerRequest } from './request.js'
-import { outgoing } from './outgoing.js'
-
-/** A whole answer. */
-export interface Answered {
-  readonly kind: 'answered'
-  readonly status: number
-  readonly headers: AnswerHeaders
-  readonly body: Buffer
-}
-
-/** How one attempt at an upstream ended, for whoever decides what comes next. */
-export type Ending =
-  | Answered
-  /** Its answer was passed on whole. */
-  | { readonly kind: 'passed' }
-  /** It certainly did not run: the upstream said so, or nothing was sent. */
-  | { readonly kind: 'not-run', readonly why: string, readonly sent: boolean }
-  /** Nobody can tell whether it ran, or it ran and its answer is lost. */
-  | { readonly kind: 'lost', readonly why: string }
 
-/** Longest answer that is collected before it is passed on, in bytes. */
-const mostCollected = 8 * 2 ** 20
+/** Longest answer that is collected, in bytes. A bound on memory; chosen, not measured. */
+const maxCollected = 8 * 2 ** 20
 
-/** Errors after which an upstream is taken to be gone or cut off. */
-const unreached = new Set(['UND_ERR_CONNECT_TIMEOUT', 'ECONNREFUSED', 'EHOSTUNREACH'])
+/** Errors of a connection that did not come up, after which the upstream is suspected. */
+const unreachable = new Set(['UND_ERR_CONNECT_TIMEOUT', 'ECONNREFUSED', 'EHOSTUNREACH'])
 
-/** What is done to begin an attempt. */
+/** Options of an attempt. */
 export interface AttemptOptions {
   readonly context: Context
-  readonly exchange: CallerRequest
+  readonly request: CallerRequest
   readonly upstream: Upstream
-  /** The model that is asked for; empty where there is none. */
+  /** The model that is asked for; empty if there is none. */
   readonly model: string
+  /** Id of the last event that the caller has, if a stream is resumed. */
   readonly lastEvent?: number
-  /** Whether a new connection is opened for it. */
-  readonly fresh: boolean
-  readonly ended: (ending: Ending) => void
+  /** Whether it goes over a new connection, never over a kept one. */
+  readonly newConnection: boolean
+  /** Called when the upstream is suspected of having stalled; perhaps several times. */
+  readonly onStall?: () => void
+  /** Called once, with the result. */
+  readonly onEnd: (result: AttemptResult) => void
 }
 
-/** One send of a request to one upstream. Subclasses say what is done with an answer that came well. */
+/** One send of a request to one upstream. Subclasses say what is done with a good answer. */
 export abstract class Attempt extends Receiver {
-  readonly upstream: Upstream
   readonly #options: AttemptOptions
-  #flight: InFlightRequest | undefined
+  #inFlight: InFlightRequest | undefined
   #cancel: Cancel | undefined
   #flow: Flow | undefined
-  #headers: AnswerHeaders = {}
   #status = 0
+  #headers: AnswerHeaders = {}
+  #passedOn = false
   #chunks: Buffer[] = []
   #size = 0
-  #taken = false
-  #over = false
+  #ended = false
 
   constructor (options: AttemptOptions) {
     super()
     this.#options = options
-    this.upstream = options.upstream
   }
 
-  /** Whether answers of this status and head are taken part by part, and not collected. */
-  protected abstract takes (status: number, headers: AnswerHeaders): boolean
-  /** Begins to take an answer. */
-  protected abstract begin (status: number, headers: AnswerHeaders): void
-  protected abstract take (chunk: Buffer): void
-  /** Whether the answer that was taken is whole at its end. */
-  protected abstract whole (): boolean
-
-  protected get exchange (): CallerRequest {
-    return this.#options.exchange
-  }
-
-  protected get context (): Context {
-    return this.#options.context
+  /** Whether an answer is passed on while it arrives, and not collected. */
+  protected abstract passesOn (status: number): boolean
+  /** Passes on the status and headers of an answer. */
+  protected abstract onHead (status: number, headers: AnswerHeaders): void
+  /** Passes on a part of the body. */
+  protected abstract onChunk (chunk: Buffer): void
+  /** Whether an answer that was passed on is complete when it ends. */
+  protected abstract isComplete (): boolean
+
+  protected get request (): CallerRequest {
+    return this.#options.request
   }
 
   protected get flow (): Flow | undefined {
     return this.#flow
   }
 
-  /** Told when the upstream is taken to stand still. */
-  protected stalled (): void {}
-
   start (): void {
-    const { context, exchange, upstream, model, lastEvent, fresh } = this.#options
-    exchange.tried.add(upstream.id)
-    exchange.sends++
-    exchange.running = upstream.id
+    const { context, request, upstream, model, lastEvent, newConnection, onStall } = this.#options
+    request.beginAttempt(upstream.id)
     context.suspects.tried(upstream.id)
-    this.#flight = context.inFlight.begin(upstream.id, model, () => this.stalled())
-    this.#cancel = context.connections.send(outgoing(exchange, upstream, context.names, lastEvent), this, fresh)
-    if (this.#over) this.#cancel(new Error('The attempt is over.'))
-    else exchange.working(() => this.abandon('no longer waited for'))
+    this.#inFlight = context.inFlight.begin(upstream.id, model, onStall)
+    this.#cancel = context.connections.send(outgoingCall(request, upstream, context.names, lastEvent), this, newConnection)
+    if (this.#ended) this.#cancel(new Error('The attempt has ended.'))
+    else request.cancelWith(() => this.abort('the request has ended'))
   }
 
-  /** Stops it: its connection is cut and nothing more of it is taken. */
-  abandon (why: string): void {
+  /** Ends it with its answer lost, and cuts its connection. */
+  abort (why: string): void {
     this.#end({ kind: 'lost', why })
     this.#cancel?.(new Error(why))
   }
 
   head (status: number, headers: AnswerHeaders, flow: Flow): void {
-    if (this.#over) return
-    const { context, exchange } = this.#options
-    if (!belongs(headers, exchange.id, context.names)) {
-      context.log.write('answer-foreign', { request: exchange.id, upstream: this.upstream.id, other: answerHeader(headers, context.names.request) ?? '' })
-      return this.abandon('an answer of another request came')
+    if (this.#ended) return
+    const { context, request, upstream } = this.#options
+    if (!belongs(headers, request.id, context.names)) {
+      context.log.write('answer-foreign', { request: request.id, upstream: upstream.id, other: answerHeader(headers, context.names.request) ?? '' })
+      return this.abort('an answer of another request came')
     }
-    this.#heard()
+    this.#received()
     this.#flow = flow
     this.#status = status
     this.#headers = headers
-    this.#taken = !saysNotRun(status, headers, context.names) && this.takes(status, headers)
-    if (this.#taken) this.begin(status, headers)
+    this.#passedOn = !this.#saysNotRun && this.passesOn(status)
+    if (this.#passedOn) this.onHead(status, headers)
   }
 
   data (chunk: Buffer): void {
-    if (this.#over) return
-    this.#heard()
-    if (this.#taken) return this.take(chunk)
+    if (this.#ended) return
+    this.#received()
+    if (this.#passedOn) return this.onChunk(chunk)
     this.#size += chunk.length
     this.#chunks.push(chunk)
-    if (this.#size > mostCollected) this.abandon('the answer is too long')
+    if (this.#size > maxCollected) this.abort('the answer is too long')
   }
 
   end (): void {
-    if (this.#over) return
-    const { context } = this.#options
-    if (this.#taken) return this.#end(this.whole() ? { kind: 'passed' } : { kind: 'lost', why: 'the stream ended in the middle of an event' })
-    if (saysNotRun(this.#status, this.#headers, context.names)) {
+    if (this.#ended) return
+    if (this.#passedOn) {
+      return this.#end(this.isComplete() ? { kind: 'passed' } : { kind: 'lost', why: 'the stream ended in the middle of an event' })
+    }
+    if (this.#saysNotRun) {
       return this.#end({ kind: 'not-run', why: `the upstream answered ${this.#status}`, sent: true })
     }
     this.#end({ kind: 'answered', status: this.#status, headers: this.#headers, body: Buffer.concat(this.#chunks) })
   }
 
   fail ({ error, sent }: CallFailure): void {
-    if (this.#over) return
-    // An upstream that says that it did not run the request has said so with its head.
-    const refused = this.#status > 0 && saysNotRun(this.#status, this.#headers, this.#options.context.names)
-    if (unreached.has((error as { code?: string }).code ?? '')) this.#options.context.suspects.add(this.upstream.id)
+    if (this.#ended) return
+    const { context, upstream } = this.#options
+    if (unreachable.has((error as { code?: string }).code ?? '')) context.suspects.add(upstream.id)
+    // An upstream that says in the head of its answer that it did not run the request need not finish the answer.
+    const refused = this.#status > 0 && this.#saysNotRun
     if (refused || !sent) this.#end({ kind: 'not-run', why: error.message, sent: refused })
     else this.#end({ kind: 'lost', why: error.message })
   }
 
-  #heard (): void {
-    if (this.#flight !== undefined) this.#options.context.inFlight.received(this.#flight)
-    this.#options.context.suspects.received(this.upstream.id)
+  /** Whether the upstream has said that it did not run the request. */
+  get #saysNotRun (): boolean {
+    return saysNotRun(this.#status, this.#headers, this.#options.context.names)
+  }
+
+  #received (): void {
+    const { context, upstream } = this.#options
+    if (this.#inFlight !== undefined) context.inFlight.received(this.#inFlight)
+    context.suspects.received(upstream.id)
   }
 
-  #end (ending: Ending): void {
-    if (this.#over) return
-    this.#over = true
-    if (this.#flight !== undefined) this.#options.context.inFlight.end(this.#flight)
+  #end (result: AttemptResult): void {
+    if (this.#ended) return
+    this.#ended = true
+    if (this.#inFlight !== undefined) this.#options.context.inFlight.end(this.#inFlight)
     this.#chunks = []
-    this.#options.ended(ending)
+    this.#options.onEnd(result)
   }
 }
 
 /** An attempt whose answer is collected whole. */
 export class CollectAttempt extends Attempt {
-  protected takes (): boolean {
+  protected passesOn (): boolean {
     return false
   }
 
-  protected begin (): void {}
-  protected take (): void {}
+  protected onHead (): void {}
+  protected onChunk (): void {}
 
-  protected whole (): boolean {
+  protected isComplete (): boolean {
     return true
   }
 }
--- a/packages/forward/src/context.ts
+++ b/packages/forward/src/context.ts
@@ -1,3 +1,4 @@
+/** What all requests of a gateway share while they are forwarded. The gateway makes one and passes it to each path. */
 import { type Clock } from '@eiderwind/clock'
 import { type InFlight, type Suspects } from '@eiderwind/detect'
 import { type Choice, type Queue, type RetryBudget } from '@eiderwind/dispatch'
@@ -6,7 +7,7 @@
 import { type Connections } from '@eiderwind/wire'
 import { type HeaderNames } from './names.js'
 
-/** What the ways of a request share. */
+/** Dependencies of `PlainPath`, `StreamPath` and their attempts. */
 export interface Context {
   readonly clock: Clock
   readonly log: Log
--- a/packages/forward/src/events.ts
+++ b/packages/forward/src/events.ts
@@ -1,28 +1,38 @@
-/** One whole event of a stream. */
+/**
+ * Cuts a stream of server-sent events (HTML, section 9.2) into complete events, so that a caller never gets a part of an
+ * event from one upstream and the rest from another. Owns the bytes of the event that is not complete yet.
+ */
+
+/** A complete event of a stream. */
 export interface StreamEvent {
   readonly bytes: Buffer
-  /** Its id as a number, where it has one. */
+  /** Its id as a number, if it has one. */
   readonly id: number | undefined
 }
 
-const newline = 10
+const lineFeed = 10
+const carriageReturn = 13
+/** An empty line with the line feed before it, in both forms. */
+const emptyLine = '\n\n'
+const emptyLineCrlf = '\n\r\n'
+
 const idField = Buffer.from('id:')
 
-/** Cuts the bytes of a stream of server-sent events (HTML, section 9.2) into whole events. */
+/** Splits the bytes of one stream into events. */
 export class EventSplitter {
   #rest: Buffer = Buffer.alloc(0)
 
-  /** Whether the stream stands between two events. */
-  get clean (): boolean {
+  /** Whether all bytes so far belong to complete events. */
+  get atBoundary (): boolean {
     return this.#rest.length === 0
   }
 
-  /** The events that are whole with this chunk. */
+  /** Takes the next bytes, and returns the events that they complete. */
   push (chunk: Buffer): StreamEvent[] {
     const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk])
     const events: StreamEvent[] = []
     let start = 0
-    for (let end = boundary(bytes, start); end >= 0; end = boundary(bytes, start)) {
+    for (let end = eventEnd(bytes, start); end >= 0; end = eventEnd(bytes, start)) {
       const event = bytes.subarray(start, end)
       events.push({ bytes: event, id: eventId(event) })
       start = end
@@ -32,18 +42,19 @@
   }
 }
 
-/** Where the event that begins at `start` ends, after its empty line; -1 where it is not whole. */
-function boundary (bytes: Buffer, start: number): number {
-  for (let at = bytes.indexOf(newline, start); at >= 0; at = bytes.indexOf(newline, at + 1)) {
-    if (bytes[at + 1] === newline) return at + 2
-    if (bytes[at + 1] === 13 && bytes[at + 2] === newline) return at + 3
+/** Index behind the empty line that ends the event at `start`, or -1 if the event is not complete. */
+function eventEnd (bytes: Buffer, start: number): number {
+  for (let at = bytes.indexOf(lineFeed, start); at >= 0; at = bytes.indexOf(lineFeed, at + 1)) {
+    if (bytes[at + 1] === lineFeed) return at + emptyLine.length
+    if (bytes[at + 1] === carriageReturn && bytes[at + 2] === lineFeed) return at + emptyLineCrlf.length
   }
   return -1
 }
 
+/** The number in the first line `id: …` of an event, if there is one. */
 function eventId (event: Buffer): number | undefined {
   for (let start = 0; start >= 0 && start < event.length;) {
-    const end = event.indexOf(newline, start)
+    const end = event.indexOf(lineFeed, start)
     if (event.subarray(start, start + idField.length).equals(idField)) {
       const id = Number(event.subarray(start + idField.length, end < 0 ? undefined : end).toString('latin1').trim())
       return Number.isFinite(id) ? id : undefined
--- a/packages/forward/src/index.ts
+++ b/packages/forward/src/index.ts
@@ -1,7 +1,7 @@
-/** Carries a caller's request to upstreams and their answers back. */
+/** Carries a caller's request to upstreams, and their answers and streams back. */
 export { CallerRequest, type CallerRequestOptions } from './request.js'
 export { type Context } from './context.js'
 export { type HeaderNames } from './names.js'
-export { servePlain } from './plain.js'
-export { StreamPath } from './stream.js'
+export { PlainPath } from './plainpath.js'
+export { StreamPath, type Target } from './streampath.js'
 export { EventSplitter, type StreamEvent } from './events.js'
--- a/packages/forward/src/names.ts
+++ b/packages/forward/src/names.ts
@@ -1,22 +1,24 @@
-/** Names of the headers in which callers, entry and upstreams tell what this package works with; in lower case. */
+/** Names of the headers that carry what forwarding needs. The platform's own names are filled in by its adapter. */
+
+/** Header names between callers, gateway and upstreams, in lower case. */
 export interface HeaderNames {
-  /** Id of the request, the same on its answer. */
+  /** Id of the request, repeated on its answer. */
   readonly request: string
-  /** Milliseconds that the caller will wait. */
+  /** Milliseconds that the caller will wait, or that are left when the request goes to an upstream. */
   readonly deadline: string
-  /** The caller's API key. It never goes on. */
+  /** The caller's API key. It is never passed on. */
   readonly key: string
-  /** The team that holds the key, told to upstreams. */
+  /** The team that holds the key. Only the gateway sets it. */
   readonly team: string
   /** The upstream that a request is meant for; any other one refuses it. */
   readonly upstream: string
   /** The model that is asked for. */
   readonly model: string
-  /** 0 to 9, the most urgent first. */
+  /** Urgency for upstreams, 0 (most urgent) to 9. */
   readonly urgency: string
-  /** Stands on an answer that says that the request was not run. */
+  /** Present on an answer if the request was not run. */
   readonly notRun: string
 }
 
-/** The last event that the reader of a stream has (HTML, server-sent events). */
+/** Id of the last event that the reader of a stream has (HTML, server-sent events). */
 export const lastEventName = 'last-event-id'
--- a/packages/forward/src/outgoing.ts
+++ b/packages/forward/src/outgoing.ts
@@ -1,38 +1,48 @@
-import { hopHeaders, type Call } from '@eiderwind/wire'
+/** Makes the HTTP request to an upstream from that of the caller: which headers are passed on, removed and added. */
+import { type IncomingMessage } from 'node:http'
 import { type Upstream } from '@eiderwind/roster'
-import { type CallerRequest } from './request.js'
+import { hopHeaders, type Call } from '@eiderwind/wire'
 import { lastEventName, type HeaderNames } from './names.js'
+import { type CallerRequest } from './request.js'
 
-/** The least urgency that can be told. */
+/** The least urgency that upstreams know; less urgent requests are sent with this one. A bound of their protocol. */
 const leastUrgent = 9
 
-/** The call that carries a request to an upstream. @param lastEvent the last event that the caller has, where a stream goes on */
-export function outgoing (exchange: CallerRequest, upstream: Upstream, names: HeaderNames, lastEvent?: number): Call {
-  const headers: Record<string, string> = {}
-  const connection = connectionHeaders(exchange)
-  for (const [name, value] of Object.entries(exchange.request.headers)) {
-    if (value === undefined || (hopHeaders.has(name) && name !== 'host') || connection.has(name) || name === 'content-length') continue
-    headers[name] = Array.isArray(value) ? value.join(', ') : value
-  }
+/** The call that carries a request to an upstream. @param lastEvent id of the last event that the caller has, if a stream is resumed */
+export function outgoingCall (request: CallerRequest, upstream: Upstream, names: HeaderNames, lastEvent?: number): Call {
+  const { incoming, body, team } = request
+  const headers = passedHeaders(incoming)
   delete headers[names.key]
   delete headers[names.team]
-  if (exchange.team !== undefined) headers[names.team] = exchange.team.name
+  if (team !== undefined) headers[names.team] = team.name
   headers[names.upstream] = upstream.id
-  headers[names.deadline] = String(Math.max(1, Math.floor(exchange.left)))
-  headers[names.urgency] = String(Math.min(leastUrgent, exchange.priority))
+  headers[names.deadline] = String(Math.max(1, Math.floor(request.timeLeft)))
+  headers[names.urgency] = String(Math.min(leastUrgent, request.priority))
   if (lastEvent !== undefined) headers[lastEventName] = String(lastEvent)
   return {
     origin: `http://${upstream.address}`,
-    path: exchange.request.url ?? '/',
-    method: exchange.request.method ?? 'GET',
+    path: incoming.url ?? '/',
+    method: incoming.method ?? 'GET',
     headers,
-    body: exchange.body
+    body
+  }
+}
+
+/** The caller's headers without those of its connection. `host` is passed on as the caller sent it. */
+function passedHeaders (incoming: IncomingMessage): Record<string, string> {
+  const headers: Record<string, string> = {}
+  const connection = connectionHeaders(incoming)
+  for (const [name, value] of Object.entries(incoming.headers)) {
+    if (value === undefined || name === 'content-length' || connection.has(name)) continue
+    if (hopHeaders.has(name) && name !== 'host') continue
+    headers[name] = Array.isArray(value) ? value.join(', ') : value
   }
+  return headers
 }
 
-/** Headers that the caller named as belonging to its connection. */
-function connectionHeaders ({ request }: CallerRequest): ReadonlySet<string> {
-  const value = request.headers.connection
+/** Headers that the caller named as belonging to its connection (RFC 9110, section 7.6.1). */
+function connectionHeaders ({ headers }: IncomingMessage): ReadonlySet<string> {
+  const value = headers.connection
   if (value === undefined) return new Set()
   return new Set(value.toLowerCase().split(',').map(each => each.trim()))
 }
--- a/packages/forward/src/request.ts
+++ b/packages/forward/src/request.ts
@@ -1,33 +1,38 @@
+/**
+ * The life of one caller's request: its deadline, its caller leaving, the attempts to have it served, and the one answer
+ * that it gets. Owns the response and the timer of the deadline. Relies on the paths (`PlainPath`, `StreamPath`) to
+ * register how the current work is stopped.
+ */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { type Clock, type Subscription } from '@eiderwind/clock'
-import { Fault } from '@eiderwind/fault'
+import { refusals, type AttemptResult } from '@eiderwind/dispatch'
+import { type Fault } from '@eiderwind/fault'
 import { type Route, type Team } from '@eiderwind/traffic'
 import { answerFault } from '@eiderwind/wire'
-import { type Ending } from './attempt.js'
 
-/** One request of a caller, read and found proper. */
+/** A request that was read and admitted. Times are in ms, on `Clock.now`. */
 export interface CallerRequestOptions {
   readonly clock: Clock
   readonly id: string
-  readonly request: IncomingMessage
+  readonly incoming: IncomingMessage
   readonly response: ServerResponse
   readonly body: Buffer | undefined
   readonly route: Route
   readonly service: string
   readonly team: Team | undefined
   readonly arrivedAt: number
-  /** When the caller stops waiting or the route's time is over, on `Clock.now`. */
+  /** The earlier of the caller's deadline and the end of the route's time limit. */
   readonly endsAt: number
-  /** The header under which the request's id goes back. */
-  readonly idName: string
-  /** Told once how it ended. */
-  readonly ended: (exchange: CallerRequest, outcome: string) => void
+  /** The header in which the request's id is returned on a refusal. */
+  readonly idHeader: string
+  /** Called once, when the request has ended, with its outcome. */
+  readonly onEnd: (request: CallerRequest, outcome: string) => void
 }
 
-/** What one caller's request has come to. It is answered once, and its work stops when its caller leaves or its time is over. */
+/** One caller's request. It is answered once, and its work stops when its caller leaves or its deadline passes. */
 export class CallerRequest {
   readonly id: string
-  readonly request: IncomingMessage
+  readonly incoming: IncomingMessage
   readonly response: ServerResponse
   readonly body: Buffer | undefined
   readonly route: Route
@@ -35,24 +40,22 @@
   readonly team: Team | undefined
   readonly arrivedAt: number
   readonly endsAt: number
-  /** Upstreams that were tried. */
-  readonly tried = new Set<string>()
-  /** How many of them may have got it. */
-  sends = 0
-  /** The upstream that has it now, if any. */
-  running: string | undefined
-  /** What became of it so far, for the log. */
-  readonly story: string[] = []
+  /** One line for each attempt that has ended: upstream, kind of result, details. Written to the log. */
+  readonly attempts: string[] = []
   readonly #clock: Clock
-  readonly #idName: string
-  readonly #ended: (exchange: CallerRequest, outcome: string) => void
+  readonly #idHeader: string
+  readonly #onEnd: (request: CallerRequest, outcome: string) => void
   readonly #timer: Subscription
+  readonly #tried = new Set<string>()
+  /** Attempts that count against the route's limit: those of which something may have reached the upstream. */
+  #sends = 0
+  #currentUpstream: string | undefined
   #cancel: (() => void) | undefined
-  #over = false
+  #ended = false
 
   constructor (options: CallerRequestOptions) {
     this.id = options.id
-    this.request = options.request
+    this.incoming = options.incoming
     this.response = options.response
     this.body = options.body
     this.route = options.route
@@ -61,28 +64,38 @@
     this.arrivedAt = options.arrivedAt
     this.endsAt = options.endsAt
     this.#clock = options.clock
-    this.#idName = options.idName
-    this.#ended = options.ended
+    this.#idHeader = options.idHeader
+    this.#onEnd = options.onEnd
     this.#timer = options.clock.after(Math.max(0, options.endsAt - options.clock.now()), () => this.#expire())
-    this.response.once('close', () => this.#closed())
+    this.response.once('close', () => this.#close())
   }
 
-  /** Whether an upstream may have begun to work on it. */
+  /** Ids of the upstreams at which an attempt was started. */
+  get tried (): ReadonlySet<string> {
+    return this.#tried
+  }
+
+  /** Id of the upstream of the attempt under way. */
+  get currentUpstream (): string | undefined {
+    return this.#currentUpstream
+  }
+
+  /** Whether an attempt was started, so that an upstream may have begun to work on it. */
   get offered (): boolean {
-    return this.tried.size > 0
+    return this.#tried.size > 0
   }
 
-  /** Whether it is answered, or nobody waits for the answer any more. */
-  get over (): boolean {
-    return this.#over
+  /** Whether it was answered, refused or cut, or its caller has left. */
+  get ended (): boolean {
+    return this.#ended
   }
 
-  /** Time that is left, in ms. */
-  get left (): number {
+  /** Time until its deadline, in ms. */
+  get timeLeft (): number {
     return this.endsAt - this.#clock.now()
   }
 
-  /** 0 is the most urgent. */
+  /** 0 is the most urgent. A priority of the team goes before that of the route. */
   get priority (): number {
     return this.team?.priority ?? this.route.priority
   }
@@ -92,52 +105,59 @@
     return this.route.kind === 'repeatable' || (this.route.kind === 'stream' && this.route.resumable)
   }
 
-  /** Whether it may be sent to one more upstream. */
-  get mayGoOn (): boolean {
-    return this.sends < this.route.attempts
+  /** Whether the route allows one more attempt. */
+  get hasAttemptsLeft (): boolean {
+    return this.#sends < this.route.attempts
+  }
+
+  /** Records that an attempt is being started. */
+  beginAttempt (upstream: string): void {
+    this.#tried.add(upstream)
+    this.#sends++
+    this.#currentUpstream = upstream
   }
 
-  /** Notes how an attempt ended. One that never left counts for nothing. @param event the last event of a stream that was passed on */
-  tell (upstream: string, ending: Ending, event?: number): void {
-    if (ending.kind === 'not-run' && !ending.sent) this.sends--
-    this.running = undefined
+  /** Records how an attempt ended. One that was never sent does not count. @param lastEvent id of the last event of a stream that was passed on */
+  endAttempt (upstream: string, result: AttemptResult, lastEvent?: number): void {
+    if (result.kind === 'not-run' && !result.sent) this.#sends--
+    this.#currentUpstream = undefined
     const at = Math.round(this.#clock.now() - this.arrivedAt)
-    const how = ending.kind === 'answered' ? String(ending.status) : ending.kind
-    const why = 'why' in ending ? ` (${ending.why})` : ''
-    this.story.push(`${upstream} ${how}${why}${event === undefined ? '' : ` after event ${event}`} at ${at} ms`)
+    const how = result.kind === 'answered' ? String(result.status) : result.kind
+    const why = 'why' in result ? ` (${result.why})` : ''
+    const after = lastEvent === undefined ? '' : ` after event ${lastEvent}`
+    this.attempts.push(`${upstream} ${how}${why}${after} at ${at} ms`)
   }
 
-  /** Sets what stops the work that is under way. */
-  working (cancel: () => void): void {
+  /** Sets the function that stops the current work, in place of the last one. It is called once the request has ended, at once if it has. */
+  cancelWith (cancel: () => void): void {
     this.#cancel = cancel
-    if (this.#over) cancel()
+    if (this.#ended) cancel()
   }
 
-  /** Ends it with a fault; cuts it where its answer has begun. */
+  /** Answers with a refusal, or cuts the connection if an answer has begun. */
   refuse (fault: Fault): void {
-    if (this.#over) return
-    if (!this.response.headersSent) this.response.setHeader(this.#idName, this.id)
+    if (this.#ended) return
+    if (!this.response.headersSent) this.response.setHeader(this.#idHeader, this.id)
     answerFault(this.response, fault)
     this.finish(`${fault.code} ${fault.status}`)
   }
 
-  /** Notes that its answer is whole, or that nothing more will come of it. */
+  /** Ends the request: its answer is complete, or nothing more can be sent to its caller. */
   finish (outcome: string): void {
-    if (this.#over) return
-    this.#over = true
+    if (this.#ended) return
+    this.#ended = true
     this.#timer.cancel()
     const cancel = this.#cancel
     this.#cancel = undefined
     cancel?.()
-    this.#ended(this, outcome)
+    this.#onEnd(this, outcome)
   }
 
   #expire (): void {
-    if (this.offered) this.refuse(new Fault('deadline', { outcome: 'unknown' }))
-    else this.refuse(new Fault('deadline'))
+    this.refuse(refusals.deadline(this.offered))
   }
 
-  #closed (): void {
+  #close (): void {
     this.finish(this.response.writableFinished ? 'answered' : 'caller left')
   }
 }
--- a/packages/forward/test/events.test.ts
+++ b/packages/forward/test/events.test.ts
@@ -10,12 +10,12 @@
     for (let at = 0; at < text.length; at += size) events.push(...splitter.push(Buffer.from(text.slice(at, at + size))))
     t.deepEqual(events.map(each => each.id), [1, 2, undefined, 31], `pieces of ${size}`)
     t.is(Buffer.concat(events.map(each => each.bytes)).toString(), text)
-    t.true(splitter.clean)
+    t.true(splitter.atBoundary)
   }
 })
 
 test('an event without its end is not passed on', t => {
   const splitter = new EventSplitter()
   t.is(splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata:')).length, 1)
-  t.false(splitter.clean)
+  t.false(splitter.atBoundary)
 })
--- a/packages/forward/test/retry.test.ts
+++ b/packages/forward/test/retry.test.ts
@@ -1,14 +1,14 @@
-/** Whether a request is sent again, case by case, with the outcomes of both paths as they were before they shared one rule. */
+/** Whether a request is sent again, case by case, with the outcomes that the plain and the stream path had before they shared one rule. */
 import { IncomingMessage, ServerResponse } from 'node:http'
 import { Socket } from 'node:net'
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
-import { type RetryBudget } from '@eiderwind/dispatch'
+import { Queue, refusals, type AttemptResult, type RetryBudget } from '@eiderwind/dispatch'
+import { type Fault } from '@eiderwind/fault'
+import { type Upstream } from '@eiderwind/roster'
 import { type Route } from '@eiderwind/traffic'
 import { CallerRequest, type Context } from '../src/index.js'
-import { type Ending } from '../src/attempt.js'
-import { again as plainAgain } from '../src/plain.js'
-import { again as streamAgain } from '../src/stream.js'
+import { Path } from '../src/path.js'
 
 const routes = {
   repeatable: { kind: 'repeatable', resumable: false },
@@ -19,11 +19,11 @@
   'resumable stream': { kind: 'stream', resumable: true }
 } as const
 
-function answered (status: number): Ending {
+function answered (status: number): AttemptResult {
   return { kind: 'answered', status, headers: {}, body: Buffer.alloc(0) }
 }
 
-const endings = {
+const results = {
   passed: { kind: 'passed' },
   200: answered(200),
   404: answered(404),
@@ -33,10 +33,10 @@
   lost: { kind: 'lost', why: '' },
   'not run': { kind: 'not-run', why: '', sent: true },
   'not sent': { kind: 'not-run', why: '', sent: false }
-} as const satisfies Record<string, Ending>
+} as const satisfies Record<string, AttemptResult>
 
-/** By ending, for each of `routes` in its order while attempts are left: `-` ends, `b` takes from the budget, `f` is sent again without it. */
-const expected: Record<keyof typeof endings, string> = {
+/** By result, for each of `routes` in its order while attempts are left: `-` ends, `b` takes from the budget, `f` is sent again without it. */
+const expected: Record<keyof typeof results, string> = {
   passed: '------',
   200: '------',
   404: '------',
@@ -48,12 +48,12 @@
   'not sent': 'ffffff'
 }
 
-function callerRequest (route: { kind: Route['kind'], resumable: boolean }, attemptsLeft: boolean): CallerRequest {
+function callerRequest (route: { kind: Route['kind'], resumable: boolean }, sends: number): CallerRequest {
   const message = new IncomingMessage(new Socket())
   const request = new CallerRequest({
     clock: new ManualClock(),
     id: 'r1',
-    request: message,
+    incoming: message,
     response: new ServerResponse(message),
     body: undefined,
     route: { name: 'x', host: 'h', prefix: '/', timeout: 1000, objective: 200, gap: 200, priority: 1, attempts: 3, open: true, shares: [{ service: 's', weight: 1 }], ...route },
@@ -61,14 +61,14 @@
     team: undefined,
     arrivedAt: 0,
     endsAt: 1000,
-    idName: 'id',
-    ended: () => {}
+    idHeader: 'id',
+    onEnd: () => {}
   })
-  request.sends = attemptsLeft ? 2 : 3
+  for (let count = 0; count < sends; count++) request.beginAttempt(`earlier${count}`)
   return request
 }
 
-/** A context whose only part is a retry budget that counts how often it was asked. */
+/** A context of a queue and a retry budget that counts how often it was asked. */
 function counted (left: number): { context: Context, asked: () => number } {
   let asked = 0
   const budget = {
@@ -78,19 +78,59 @@
       return left > 0
     }
   }
-  return { context: { retryBudget: () => budget as unknown as RetryBudget } as unknown as Context, asked: () => asked }
+  const context = { queue: new Queue(new ManualClock()), retryBudget: () => budget as unknown as RetryBudget } as unknown as Context
+  return { context, asked: () => asked }
 }
 
-for (const [path, again] of Object.entries({ plain: plainAgain, stream: streamAgain })) {
-  test(`whether a ${path} request is sent again, and what that takes from the budget`, t => {
-    for (const [name, ending] of Object.entries(endings) as Array<[keyof typeof endings, Ending]>) {
-      for (const [index, [kind, route]] of Object.entries(routes).entries()) {
+/** A path whose first attempt ends with `first`, and whose second one is passed on. */
+class ScriptedPath extends Path {
+  protected readonly lastEvent = undefined
+  readonly kind: 'plain' | 'stream'
+  readonly #first: AttemptResult
+  attempts = 0
+
+  constructor (context: Context, request: CallerRequest, kind: 'plain' | 'stream', first: AttemptResult) {
+    super(context, request)
+    this.kind = kind
+    this.#first = first
+  }
+
+  protected choose (): Upstream {
+    return { id: `u${this.attempts}` } as unknown as Upstream
+  }
+
+  protected async attempt (): Promise<AttemptResult> {
+    if (this.attempts++ === 0) {
+      // As a real attempt counts itself; `endAttempt` takes that back for one that was never sent.
+      this.request.beginAttempt('first')
+      return this.#first
+    }
+    return { kind: 'passed' }
+  }
+
+  protected prefer (_before: AttemptResult | undefined, latest: AttemptResult): AttemptResult {
+    return latest
+  }
+
+  protected refusal (): Fault {
+    return refusals.upstreamDown('')
+  }
+
+  protected override conclude (): void {}
+}
+
+for (const kind of ['plain', 'stream'] as const) {
+  test(`whether a ${kind} request is sent again, and what that takes from the budget`, async t => {
+    for (const [name, result] of Object.entries(results) as Array<[keyof typeof results, AttemptResult]>) {
+      for (const [index, [routeKind, route]] of Object.entries(routes).entries()) {
         for (const attemptsLeft of [true, false]) {
           for (const budget of [1, 0]) {
             const { context, asked } = counted(budget)
             const code = attemptsLeft ? expected[name][index] : '-'
-            const label = `${name}, ${kind}, ${attemptsLeft ? 'attempts' : 'no attempts'} left, budget ${budget}`
-            t.is(again(context, callerRequest(route, attemptsLeft), ending), code === 'f' || (code === 'b' && budget > 0), label)
+            const label = `${name}, ${routeKind}, ${attemptsLeft ? 'attempts' : 'no attempts'} left, budget ${budget}`
+            const path = new ScriptedPath(context, callerRequest(route, sendsBefore(result, attemptsLeft)), kind, result)
+            await path.serve()
+            t.is(path.attempts === 2, code === 'f' || (code === 'b' && budget > 0), label)
             t.is(asked(), code === 'b' ? 1 : 0, label)
           }
         }
@@ -98,3 +138,9 @@
     }
   })
 }
+
+/** Attempts that count before the first one here, of three, so that some or none are left after it. */
+function sendsBefore (result: AttemptResult, attemptsLeft: boolean): number {
+  const counts = !(result.kind === 'not-run' && !result.sent)
+  return (attemptsLeft ? 2 : 3) - Number(counts)
+}
--- a/packages/gateway/src/callers.ts
+++ b/packages/gateway/src/callers.ts
@@ -1,7 +1,8 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { type Random } from '@eiderwind/clock'
+import { refusals } from '@eiderwind/dispatch'
 import { Fault } from '@eiderwind/fault'
-import { CallerRequest, StreamPath, servePlain, type Context } from '@eiderwind/forward'
+import { CallerRequest, PlainPath, StreamPath, type Context } from '@eiderwind/forward'
 import { pickShare, type Route, type Team } from '@eiderwind/traffic'
 import { header, listen, readBody, refuse } from '@eiderwind/wire'
 import { type GatewayBoard, type InForce } from './facts.js'
@@ -28,9 +29,6 @@
 /** Time between two checks of connections that are slow to send, in ms. */
 const checkInterval = 500
 
-/** Seconds after which coming back helps where this entry lacks a configuration or is about to end. */
-const behindTime = 0.2
-
 /** What a request is allowed to be. */
 interface Pass {
   readonly route: Route
@@ -116,31 +114,31 @@
   /** Whether a request may be served, and how. The configuration is that of the moment when its body was read. */
   #check (request: IncomingMessage, inForce: InForce | undefined): Pass | Fault {
     const { context } = this.#options
-    if (inForce === undefined || !context.roster.hasList) return new Fault('behind', { retryAfter: behindTime })
-    if (this.#refusing) return new Fault('leaving', { retryAfter: behindTime })
-    if (headerSize(request) > inForce.traffic.limits.header) return new Fault('header-too-large')
+    if (inForce === undefined || !context.roster.hasList) return refusals.behind()
+    if (this.#refusing) return refusals.leaving()
+    if (headerSize(request) > inForce.traffic.limits.header) return refusals.headerTooLarge()
     const route = inForce.routes.find(request.headers.host ?? '', request.url ?? '/')
     if (route === undefined) {
       // Without a fresh confirmation a route that is not known here may have been added meanwhile.
-      return this.fresh ? new Fault('unknown-path', { detail: 'No route fits the host and path.' }) : new Fault('behind', { retryAfter: behindTime })
+      return this.fresh ? refusals.unknownPath() : refusals.behind()
     }
     if (route.open || inForce.teams === undefined) return { route, team: undefined }
-    if (!this.fresh) return new Fault('behind', { detail: 'The configuration was not confirmed lately, so no key can be trusted.', retryAfter: behindTime })
+    if (!this.fresh) return refusals.behind('The configuration was not confirmed lately, so no key can be trusted.')
     const team = inForce.teams.find(header(request, context.names.key) ?? '')
-    return team === undefined ? new Fault('bad-key') : { route, team }
+    return team === undefined ? refusals.badKey(context.names.key) : { route, team }
   }
 
   #exchange (request: IncomingMessage, response: ServerResponse, body: Buffer, { route, team }: Pass, arrivedAt: number): CallerRequest | Fault {
     const { context, random, ended } = this.#options
     const id = header(request, context.names.request)
-    if (id === undefined) return new Fault('bad-request', { detail: `The header ${context.names.request} is missing.` })
+    if (id === undefined) return refusals.badRequest(`The header ${context.names.request} is missing.`)
     const given = header(request, context.names.deadline)
     const span = given === undefined ? route.timeout : Number(given)
-    if (!Number.isFinite(span) || span <= 0) return new Fault('bad-request', { detail: `The header ${context.names.deadline} takes milliseconds above 0.` })
+    if (!Number.isFinite(span) || span <= 0) return refusals.badRequest(`The header ${context.names.deadline} takes milliseconds above 0.`)
     return new CallerRequest({
       clock: context.clock,
       id,
-      request,
+      incoming: request,
       response,
       body: body.length > 0 ? body : undefined,
       route,
@@ -148,8 +146,8 @@
       team,
       arrivedAt,
       endsAt: arrivedAt + Math.min(span, route.timeout),
-      idName: context.names.request,
-      ended: (exchange, outcome) => {
+      idHeader: context.names.request,
+      onEnd: (exchange, outcome) => {
         this.#open.delete(exchange)
         ended(exchange, outcome)
       }
@@ -159,9 +157,9 @@
   async #serve (exchange: CallerRequest, { traffic }: InForce): Promise<void> {
     const { context } = this.#options
     const engine = traffic.services.find(each => each.name === exchange.service)?.engine
-    const model = header(exchange.request, context.names.model) ?? ''
+    const model = header(exchange.incoming, context.names.model) ?? ''
     if (exchange.route.kind === 'stream' || engine !== undefined) await new StreamPath(context, exchange, { model, engine }).serve()
-    else await servePlain(context, exchange)
+    else await new PlainPath(context, exchange).serve()
   }
 
   #refuse (request: IncomingMessage, response: ServerResponse, fault: Fault): void {
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -81,11 +81,11 @@
     return await this.#registry.metrics()
   }
 
-  ended ({ route: { kind }, service, story }: CallerRequest, outcome: string, seconds: number): void {
+  ended ({ route: { kind }, service, attempts }: CallerRequest, outcome: string, seconds: number): void {
     this.#requests.inc({ kind, service, outcome })
     this.#times.observe({ kind }, seconds)
-    for (const each of story) this.#attempts.inc({ kind, ending: each.split(' ')[1] })
-    if (kind === 'stream' && story.length > 1 && outcome.startsWith('answered 2')) this.#resumptions.inc()
+    for (const each of attempts) this.#attempts.inc({ kind, ending: each.split(' ')[1] })
+    if (kind === 'stream' && attempts.length > 1 && outcome.startsWith('answered 2')) this.#resumptions.inc()
   }
 
   refused (code: string): void {
--- a/packages/gateway/src/requestlog.ts
+++ b/packages/gateway/src/requestlog.ts
@@ -34,14 +34,14 @@
     const { clock, metrics } = this.#options
     const took = clock.now() - request.arrivedAt
     metrics.ended(request, outcome, took / 1000)
-    const retried = request.story.length >= 2
+    const retried = request.attempts.length >= 2
     if (successes.has(outcome) && !retried && ++this.#ordinary % sampling !== 0) return
     this.#write(request, outcome, Math.round(took))
   }
 
-  #write ({ id, route, service, team, story, running }: CallerRequest, outcome: string, took: number): void {
-    const underWay = running === undefined ? [] : [`${running} under way`]
-    const attempts = [...story, ...underWay].join('; ')
+  #write ({ id, route, service, team, attempts: ended, currentUpstream }: CallerRequest, outcome: string, took: number): void {
+    const underWay = currentUpstream === undefined ? [] : [`${currentUpstream} under way`]
+    const attempts = [...ended, ...underWay].join('; ')
     this.#options.log.write('request-ended', { request: id, route: route.name, service, team: team?.name, outcome, took, attempts })
   }
 }
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -459,8 +459,8 @@
     name: 'repeat-after-loss',
     point: 5,
     rule: 'what may have run is sent again only where it may be repeated (TWICE)',
-    file: 'packages/forward/dist/src/plain.js',
-    find: 'ending.kind !== \'not-run\' && !exchange.repeatable',
+    file: 'packages/dispatch/dist/src/retry.js',
+    find: 'result.kind !== \'not-run\' && !repeatable',
     replace: 'false',
     test: 'platform/dist/test/path.test.js',
     title: 'what a worker says that it did not run*'
@@ -489,8 +489,8 @@
     name: 'resume-what-may-not',
     point: 5,
     rule: 'a stream that may not be resumed is not sent again (TWICE)',
-    file: 'packages/forward/dist/src/stream.js',
-    find: 'ending.kind === \'lost\' && !repeatable',
+    file: 'packages/dispatch/dist/src/retry.js',
+    find: 'result.kind !== \'not-run\' && !repeatable',
     replace: 'false',
     test: 'platform/dist/test/path.test.js',
     title: 'a stream that may not be resumed*'
