--- a/packages/gateway/src/callers.ts
+++ b/packages/gateway/src/callers.ts
@@ -1,13 +1,19 @@
+/**
+ * The callers' side: listens, reads each request with its body, has it admitted or refused, and hands it to its path.
+ * Owns the HTTP server and the set of requests that are not answered yet. Relies on the board for the configuration in
+ * force; who is admitted is decided in `admission.ts`, everything after that in `forward` and `dispatch`.
+ */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { type Random } from '@eiderwind/clock'
 import { refusals } from '@eiderwind/dispatch'
 import { Fault } from '@eiderwind/fault'
 import { CallerRequest, PlainPath, StreamPath, type Context } from '@eiderwind/forward'
-import { pickShare, type Route, type Team } from '@eiderwind/traffic'
+import { pickShare } from '@eiderwind/traffic'
 import { header, listen, readBody, refuse } from '@eiderwind/wire'
+import { admit, type Admission } from './admission.js'
 import { type GatewayBoard, type InForce } from './facts.js'
 
-/** What the callers' side is given. */
+/** Dependencies of `Callers`. */
 export interface CallersOptions {
   readonly context: Context
   readonly board: GatewayBoard
@@ -17,25 +23,22 @@
   readonly freshness: number
   /** Draws the service of a request whose route is split between several. */
   readonly random: Random
-  /** Told the code of each request that is refused before anything is chosen for it. */
+  /** Called with the code of each request that is refused before anything is chosen for it. */
   readonly refused: (code: string) => void
-  /** Told of each request's end. */
-  readonly ended: (exchange: CallerRequest, outcome: string) => void
+  /** Called once for each admitted request, with its outcome. */
+  readonly ended: (request: CallerRequest, outcome: string) => void
 }
 
-/** Longest request head that is read at all, in bytes; the configuration's limit is checked after. */
-const mostHeader = 64 * 1024
+/** Longest head of a request that is read at all, in bytes: far above the configuration's limit, which then names the refusal. */
+const headLimit = 64 * 1024
 
-/** Time between two checks of connections that are slow to send, in ms. */
+/** Time between two checks of connections that are slow to send, in ms: their limits are seconds. Chosen, not measured. */
 const checkInterval = 500
 
-/** What a request is allowed to be. */
-interface Pass {
-  readonly route: Route
-  readonly team: Team | undefined
-}
+/** Bytes that each raw header name or value takes beside itself: `: ` or the line break. */
+const headerSeparator = 2
 
-/** Takes callers' requests, checks them by the configuration in force, and hands them on. */
+/** Serves callers. */
 export class Callers {
   readonly #options: CallersOptions
   readonly #server: Server
@@ -45,7 +48,7 @@
 
   constructor (options: CallersOptions) {
     this.#options = options
-    this.#server = createServer({ maxHeaderSize: mostHeader, connectionsCheckingInterval: checkInterval, requestTimeout: 0, noDelay: true })
+    this.#server = createServer({ maxHeaderSize: headLimit, connectionsCheckingInterval: checkInterval, requestTimeout: 0, noDelay: true })
     this.#server.on('request', (request, response) => this.#take(request, response))
     options.board.listen('inForce', inForce => { if (inForce !== undefined) this.#limit(inForce) })
   }
@@ -55,11 +58,17 @@
     return this.#served
   }
 
-  /** Requests that are not answered yet. */
+  /** How many admitted requests are not answered yet. */
   get open (): number {
     return this.#open.size
   }
 
+  /** Whether the newest confirmation is young enough for requests with keys. */
+  get fresh (): boolean {
+    const { context, board, freshness } = this.#options
+    return context.clock.now() - board.read('confirmedAt') <= freshness
+  }
+
   async start (): Promise<void> {
     await listen(this.#server, this.#options.address)
   }
@@ -76,69 +85,61 @@
     this.#server.closeIdleConnections()
   }
 
-  /** Whether the newest confirmation is young enough for requests with keys. */
-  get fresh (): boolean {
-    const { context, board, freshness } = this.#options
-    return context.clock.now() - board.read('confirmedAt') <= freshness
-  }
-
   #limit ({ traffic }: InForce): void {
     this.#server.keepAliveTimeout = traffic.limits.idleTime
     this.#server.headersTimeout = traffic.limits.headerTime
   }
 
-  #take (request: IncomingMessage, response: ServerResponse): void {
-    this.#handle(request, response).catch(error => {
+  #take (incoming: IncomingMessage, response: ServerResponse): void {
+    this.#handle(incoming, response).catch(error => {
       this.#options.context.log.write('request-failed', { cause: String((error as Error).stack) })
       response.destroy()
     })
   }
 
-  async #handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handle (incoming: IncomingMessage, response: ServerResponse): Promise<void> {
     const { context, board } = this.#options
     const arrivedAt = context.clock.now()
     this.#served = true
     if (board.read('stopping')) response.setHeader('connection', 'close')
     const inForce = board.read('inForce')
-    const body = await readBody(request, inForce?.traffic.limits.body ?? 0)
+    const body = await readBody(incoming, inForce?.traffic.limits.body ?? 0)
     if (response.destroyed) return
-    const pass = body.isErr() ? body.error : this.#check(request, inForce)
-    if (pass instanceof Fault || body.isErr()) return this.#refuse(request, response, pass as Fault)
-    const exchange = this.#exchange(request, response, body.value, pass, arrivedAt)
-    if (exchange instanceof Fault) return this.#refuse(request, response, exchange)
-    this.#open.add(exchange)
-    context.retryBudget(exchange.service).request()
-    await this.#serve(exchange, inForce as InForce)
+    if (body.isErr()) return this.#refuse(incoming, response, body.error)
+    const admission = this.#admit(incoming, inForce)
+    if (admission instanceof Fault) return this.#refuse(incoming, response, admission)
+    const request = this.#request(incoming, response, body.value, admission, arrivedAt)
+    if (request instanceof Fault) return this.#refuse(incoming, response, request)
+    this.#open.add(request)
+    context.retryBudget(request.service).request()
+    await this.#serve(request, inForce as InForce)
   }
 
-  /** Whether a request may be served, and how. The configuration is that of the moment when its body was read. */
-  #check (request: IncomingMessage, inForce: InForce | undefined): Pass | Fault {
+  /** @param inForce the configuration of the moment at which the request arrived */
+  #admit (incoming: IncomingMessage, inForce: InForce | undefined): Admission | Fault {
     const { context } = this.#options
-    if (inForce === undefined || !context.roster.hasList) return refusals.behind()
-    if (this.#refusing) return refusals.leaving()
-    if (headerSize(request) > inForce.traffic.limits.header) return refusals.headerTooLarge()
-    const route = inForce.routes.find(request.headers.host ?? '', request.url ?? '/')
-    if (route === undefined) {
-      // Without a fresh confirmation a route that is not known here may have been added meanwhile.
-      return this.fresh ? refusals.unknownPath() : refusals.behind()
+    const arrival = {
+      host: incoming.headers.host ?? '',
+      target: incoming.url ?? '/',
+      headSize: headSize(incoming),
+      key: header(incoming, context.names.key) ?? ''
     }
-    if (route.open || inForce.teams === undefined) return { route, team: undefined }
-    if (!this.fresh) return refusals.behind('The configuration was not confirmed lately, so no key can be trusted.')
-    const team = inForce.teams.find(header(request, context.names.key) ?? '')
-    return team === undefined ? refusals.badKey(context.names.key) : { route, team }
+    return admit(arrival, { inForce, listed: context.roster.hasList, fresh: this.fresh, refusing: this.#refusing, keyHeader: context.names.key })
   }
 
-  #exchange (request: IncomingMessage, response: ServerResponse, body: Buffer, { route, team }: Pass, arrivedAt: number): CallerRequest | Fault {
+  /** The request of an admitted caller; a fault where its own headers are not in order. */
+  #request (incoming: IncomingMessage, response: ServerResponse, body: Buffer, { route, team }: Admission, arrivedAt: number): CallerRequest | Fault {
     const { context, random, ended } = this.#options
-    const id = header(request, context.names.request)
-    if (id === undefined) return refusals.badRequest(`The header ${context.names.request} is missing.`)
-    const given = header(request, context.names.deadline)
+    const { names, clock } = context
+    const id = header(incoming, names.request)
+    if (id === undefined) return refusals.badRequest(`The header ${names.request} is missing.`)
+    const given = header(incoming, names.deadline)
     const span = given === undefined ? route.timeout : Number(given)
-    if (!Number.isFinite(span) || span <= 0) return refusals.badRequest(`The header ${context.names.deadline} takes milliseconds above 0.`)
+    if (!Number.isFinite(span) || span <= 0) return refusals.badRequest(`The header ${names.deadline} takes milliseconds above 0.`)
     return new CallerRequest({
-      clock: context.clock,
+      clock,
       id,
-      incoming: request,
+      incoming,
       response,
       body: body.length > 0 ? body : undefined,
       route,
@@ -146,32 +147,33 @@
       team,
       arrivedAt,
       endsAt: arrivedAt + Math.min(span, route.timeout),
-      idHeader: context.names.request,
-      onEnd: (exchange, outcome) => {
-        this.#open.delete(exchange)
-        ended(exchange, outcome)
+      idHeader: names.request,
+      onEnd: (request, outcome) => {
+        this.#open.delete(request)
+        ended(request, outcome)
       }
     })
   }
 
-  async #serve (exchange: CallerRequest, { traffic }: InForce): Promise<void> {
+  async #serve (request: CallerRequest, { traffic }: InForce): Promise<void> {
     const { context } = this.#options
-    const engine = traffic.services.find(each => each.name === exchange.service)?.engine
-    const model = header(exchange.incoming, context.names.model) ?? ''
-    if (exchange.route.kind === 'stream' || engine !== undefined) await new StreamPath(context, exchange, { model, engine }).serve()
-    else await new PlainPath(context, exchange).serve()
+    const engine = traffic.services.find(each => each.name === request.service)?.engine
+    const model = header(request.incoming, context.names.model) ?? ''
+    if (request.route.kind === 'stream' || engine !== undefined) await new StreamPath(context, request, { model, engine }).serve()
+    else await new PlainPath(context, request).serve()
   }
 
-  #refuse (request: IncomingMessage, response: ServerResponse, fault: Fault): void {
-    const { context, board } = this.#options
-    const id = header(request, context.names.request)
-    this.#options.refused(fault.code)
+  #refuse (incoming: IncomingMessage, response: ServerResponse, fault: Fault): void {
+    const { context, board, refused } = this.#options
+    const id = header(incoming, context.names.request)
+    const confirmed = Math.round(context.clock.now() - board.read('confirmedAt'))
+    refused(fault.code)
     if (id !== undefined) response.setHeader(context.names.request, id)
-    context.log.write('request-refused', { request: id, code: fault.code, status: fault.status, confirmed: Math.round(context.clock.now() - board.read('confirmedAt')) })
+    context.log.write('request-refused', { request: id, code: fault.code, status: fault.status, confirmed })
     refuse(response, fault, context.clock)
   }
 }
 
-function headerSize (request: IncomingMessage): number {
-  return request.rawHeaders.reduce((sum, each) => sum + each.length + 2, 0)
+function headSize ({ rawHeaders }: IncomingMessage): number {
+  return rawHeaders.reduce((sum, each) => sum + each.length + headerSeparator, 0)
 }
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -469,8 +469,8 @@
     name: 'keys-unconfirmed',
     point: 8,
     rule: 'keys are served only while the configuration is confirmed (CONFIG)',
-    file: 'packages/gateway/dist/src/callers.js',
-    find: 'if (!this.fresh)',
+    file: 'packages/gateway/dist/src/admission.js',
+    find: 'if (!fresh)',
     replace: 'if (false)',
     test: 'platform/dist/test/path.test.js',
     title: 'without a confirmation of the store*'
