--- a/packages/settings/src/read.ts
+++ b/packages/settings/src/read.ts
@@ -1,3 +1,7 @@
+/**
+ * Reads settings files and checks them against the schema of their role. Every problem is reported at once, each with its
+ * place and a remedy, so that an operator corrects a file in one go.
+ */
 import { readFileSync } from 'node:fs'
 import { parse } from 'ini'
 import { Err, Ok, type Result } from 'ts-results-es'
@@ -19,7 +23,7 @@
   | { readonly role: 'worker', readonly worker: WorkerSettings }
   | { readonly role: 'direct', readonly direct: DirectSettings }
 
-/** Reads and checks a settings file. All problems are reported at once. */
+/** Reads and checks a settings file. A file that cannot be read is a problem like any other. */
 export function readSettings (file: string, role?: Role): Result<Settings, Problem[]> {
   let text: string
   try {
@@ -30,7 +34,7 @@
   return checkSettings(file, text, role)
 }
 
-/** Checks the text of a settings file. Without a role, the sections tell which it is. */
+/** Checks the text of a settings file. Without a role, its sections decide which it is. */
 export function checkSettings (file: string, text: string, role?: Role): Result<Settings, Problem[]> {
   const found: unknown = JSON.parse(JSON.stringify(parse(text)))
   const guessed = role ?? guess(found as object)
@@ -39,7 +43,7 @@
   return check(file, shapes.worker, found).map(worker => ({ role: 'worker', worker }))
 }
 
-/** The role that the sections and keys speak for. */
+/** The role that the sections and keys belong to. */
 function guess (found: object): Role {
   if ('upstream' in found || 'node' in found) return 'worker'
   return 'bounds' in found || 'store' in ((found as { platform?: object }).platform ?? {}) ? 'direct' : 'entry'
--- a/packages/settings/src/shapes.ts
+++ b/packages/settings/src/shapes.ts
@@ -1,3 +1,7 @@
+/**
+ * The sections, keys and defaults of the settings of each role, as zod schemas. Each message of a schema says what to write
+ * instead, and stands in the problem that `read.ts` reports. Keys and their forms are the operators' interface: they stay.
+ */
 import { z } from 'zod'
 
 const Address = z.string().regex(/^[^\s:]+:\d{1,5}$/, 'an address as host:port, such as 127.0.0.1:7000')
@@ -8,16 +12,20 @@
 const Flag = z.union([z.boolean(), z.enum(['true', 'false'], 'true or false').transform(text => text === 'true')])
 const Url = z.url({ protocol: /^https?$/, error: 'a URL that starts with http:// or https://' })
 
-/** Who and where the process is. */
+/** Which process this is, and where it runs. */
 const Process = z.strictObject({
   id: Id,
   data_centre: Id,
+  /** Read by the roles `entry` and `worker`; the role `direct` only accepts it. */
   region: Id
 })
 
+/** The least level of log lines that are written. */
+const Level = z.enum(['debug', 'info', 'warn', 'error'], 'one of debug, info, warn, error').default('info')
+
 /** What is logged, and where metrics go. */
 const Observe = z.strictObject({
-  level: z.enum(['debug', 'info', 'warn', 'error'], 'one of debug, info, warn, error').default('info'),
+  level: Level,
   /** `host:port` of StatsD; nothing is sent where it is empty. */
   statsd: z.union([z.literal(''), Address]).default('')
 })
@@ -32,6 +40,7 @@
   skew: Span.default(2000)
 })
 
+/** Settings of the role `entry`: callers' side of a system in which a worker runs beside each upstream. */
 export const EntrySettings = z.strictObject({
   process: Process,
   listen: z.strictObject({
@@ -39,7 +48,7 @@
     callers: Address,
     /** Address for operators. */
     operators: Address,
-    /** Address for the system's own processes, as they reach it. */
+    /** Address for entries and workers, as they reach it. */
     peers: Address
   }),
   platform: z.strictObject({
@@ -63,13 +72,13 @@
     deadline: Span.default(600_000),
     /** How long a stop waits for what is in flight. */
     stop: Span.default(600_000),
-    /** How long the balancer gets to notice that this entry leaves: more than the time between its health checks. */
+    /** How long a stop waits until the balancer sends no more callers: more than the time between its health checks. */
     notice: Span.default(5000)
   }).prefault({}),
   planner: z.strictObject({
     /** Silence after which a node counts as lost. */
     lost_after: Span.default(4000),
-    /** How long a node that restarts is away, as a rule. */
+    /** How long a node that restarts is usually away. */
     restart_time: Span.default(30_000)
   }).prefault({}),
   observe: Observe.prefault({})
@@ -80,26 +89,31 @@
 const Time = z.string().regex(/^\d+(\.\d+)? ?(ms|s)?$/, 'a time such as 250 ms or 8 s').transform(text => parseFloat(text) * (/[^m]s$/.test(text) ? 1000 : 1))
 const Share = z.string().regex(/^\d+(\.\d+)?$/, 'a number of 0 or more').transform(Number)
 
-/** A time that is taken from elsewhere and may be missing there. */
+/** A time that another program fills in and may leave empty, with or without its unit; `fallback` then counts. */
 function time (fallback: string) {
   return z.string().default('').transform(text => /^ ?(ms|s)?$/.test(text) ? fallback : text).pipe(Time)
 }
 
+/** A share that another program fills in and may leave empty; `fallback` then counts. */
 function share (fallback: string) {
   return z.string().default('').transform(text => text === '' ? fallback : text).pipe(Share)
 }
 
-/** An entry before upstreams that it calls directly. */
+/**
+ * Settings of the role `direct`: a gateway on the users' platform, which calls upstreams directly. The role keeps its name
+ * since operators write it (`eiderwind check --role direct`). The template of these files is `platform/settings.ini`.
+ */
 export const DirectSettings = z.strictObject({
   process: Process.extend({
-    /** Whether the whole system starts for the first time. */
+    /** Whether the whole system starts for the first time, so that no caller can have been served yet. */
     first: z.union([z.literal('').transform(() => false), Flag]).default(false)
   }),
   listen: z.strictObject({
-    /** Address for callers, and the one at which the balancer asks whether this entry takes them. */
+    /** Address for callers. */
     callers: Address,
+    /** Address for the balancer's health checks. */
     health: Address,
-    /** Address for the other entries, TCP and UDP. */
+    /** Address for the other gateways, TCP and UDP. */
     peers: Address
   }),
   platform: z.strictObject({
@@ -107,25 +121,28 @@
     store: Address
   }),
   bounds: z.strictObject({
-    /** A key that was taken away must not be served for longer than this. */
+    /** How long after its removal a key may still be served. */
     revoke: time('5 s'),
-    /** Time from the word to stop until the process is killed. */
+    /** Time from SIGTERM until the platform kills the process. */
     grace: time('8 s'),
     /** Time between two heartbeats of an upstream. */
     pulse: time('1200 ms'),
-    /** Repeats for each request, and how many more all entries may make in a window. */
+    /** Retries for each request of callers that are allowed in a window. */
     retry_ratio: share('0.1'),
+    /** Retries beside those that all gateways together may make in a window. */
     retry_slack: share('20'),
+    /** Length of the sliding window in which retries are counted. */
     retry_window: time('10 s')
   }).prefault({}),
   observe: z.strictObject({
-    level: z.enum(['debug', 'info', 'warn', 'error'], 'one of debug, info, warn, error').default('info'),
-    /** `host:port` on which the metrics are told in text form; nowhere where it is empty. */
+    level: Level,
+    /** `host:port` on which the metrics are served in text form; they are not served where it is empty. */
     metrics: z.union([z.literal(''), Address]).default('')
   }).prefault({})
 })
 export type DirectSettings = z.infer<typeof DirectSettings>
 
+/** Settings of the role `worker`: the process beside one upstream of a system with entries. */
 export const WorkerSettings = z.strictObject({
   process: Process,
   listen: z.strictObject({
@@ -133,7 +150,7 @@
     peers: Address
   }),
   node: z.strictObject({
-    /** Id of the node as the platform lists it. */
+    /** Id of the node in the platform's node list. */
     id: Id
   }),
   upstream: z.strictObject({
@@ -160,7 +177,8 @@
 })
 export type WorkerSettings = z.infer<typeof WorkerSettings>
 
-/** The roles that the daemon has. */
+/** What a process does. `entry` and `worker` are roles of the daemon, `direct` is that of the program in `platform`. */
 export type Role = 'entry' | 'worker' | 'direct'
 
+/** The schema of each role's settings. */
 export const shapes = { entry: EntrySettings, worker: WorkerSettings, direct: DirectSettings }
