--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -17,7 +17,7 @@
 import { Confirmations } from './confirmations.js'
 import { ModelLoad } from './demand.js'
 import { gatewayBoard } from './facts.js'
-import { following } from './following.js'
+import { platformListener } from './listener.js'
 import { Health } from './health.js'
 import { Leadership } from './leadership.js'
 import { Metrics } from './metrics.js'
@@ -106,8 +106,8 @@
     await Promise.all([this.#callers.start(), this.#health.start(), this.#peerServer.start(), this.#peers.start()])
     this.#confirmations.start()
     if (settings.metrics !== '') await this.#metrics.start(settings.metrics)
-    platform.follow(following({ clock, log, board: this.#board, roster: this.#roster, outage: this.#outage, peers: this.#peers }))
-    platform.enter({ id: settings.id, address: settings.peers })
+    platform.watch(platformListener({ clock, log, board: this.#board, roster: this.#roster, outage: this.#outage, peers: this.#peers }))
+    platform.register({ id: settings.id, address: settings.peers })
     this.#pauses.start()
     this.#stalls.start()
     this.#forming.start()
--- a/packages/gateway/src/following.ts
+++ b/packages/gateway/src/listener.ts
@@ -1,12 +1,16 @@
+/**
+ * Passes what the platform delivers to its owner: the configuration and its confirmations to the board, upstreams to the
+ * roster, gateways to the peers, answers and failures of the store to outage detection. Logs what changes the gateway's view.
+ */
 import { type Clock } from '@eiderwind/clock'
 import { type Log } from '@eiderwind/log'
 import { type Peers } from '@eiderwind/peers'
 import { type Outage, type Roster } from '@eiderwind/roster'
 import { confirm, enforce, type GatewayBoard } from './facts.js'
-import { type Follower } from './platform.js'
+import { type PlatformListener } from './platform.js'
 
-/** Where what the platform tells is kept. */
-export interface FollowingOptions {
+/** Dependencies of a platform's listener. */
+export interface PlatformListenerOptions {
   readonly clock: Clock
   readonly log: Log
   readonly board: GatewayBoard
@@ -15,33 +19,36 @@
   readonly peers: Peers
 }
 
-/** Takes what the platform tells: each thing to where it is kept, with a line for what changes the belief of the process. */
-export function following ({ clock, log, board, roster, outage, peers }: FollowingOptions): Follower {
+/** The listener of a gateway's platform. */
+export function platformListener ({ clock, log, board, roster, outage, peers }: PlatformListenerOptions): PlatformListener {
   return {
-    traffic: (traffic, askedAt) => {
+    configuration: (traffic, askedAt) => {
       if (enforce(board, traffic, clock.now())) {
         log.write('configuration-new', { revision: traffic.revision, age: Math.round(clock.now() - askedAt) })
       }
+      // An older configuration than the one in force, from a store that lags, confirms nothing.
       if (board.read('inForce')?.traffic.revision === traffic.revision) confirm(board, askedAt)
     },
     confirmed: askedAt => confirm(board, askedAt),
     upstreams: all => roster.replace(all),
-    changes: changes => roster.apply(changes),
-    entries: entries => {
+    upstreamChanges: changes => roster.apply(changes),
+    gateways: all => {
       board.write('listed', true)
-      peers.setAddresses(entries)
+      peers.setAddresses(all)
     },
-    answered: () => {
+    storeAnswered: () => {
       outage.answered()
       if (board.read('store')) return
       board.write('store', true)
       log.write('store-back', {})
     },
-    failed: (askedAt, cause) => {
+    storeFailed: (askedAt, cause) => {
       outage.failed(askedAt)
+      // One line for each change: the failures that follow say the same.
       if (!board.read('store')) return
       board.write('store', false)
       log.write('store-lost', { cause })
-    }
+    },
+    taskFailed: (task, cause) => log.write('controller-failed', { controller: task, cause })
   }
 }
--- a/packages/gateway/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -1,3 +1,8 @@
+/**
+ * What a gateway needs of the platform on which it runs: a store whose contents are delivered to a listener, a place where
+ * placements last, and engines that take orders and answer probes. The adapter in the folder `platform` implements it; the
+ * gateway knows the platform by this class alone.
+ */
 import { type Probes } from '@eiderwind/detect'
 import { type Orders, type Placements } from '@eiderwind/forming'
 import { type HeaderNames } from '@eiderwind/forward'
@@ -5,36 +10,47 @@
 import { type RosterChange, type Upstream } from '@eiderwind/roster'
 import { type Traffic } from '@eiderwind/traffic'
 
-/** Takes what the platform tells. Times are on `Clock.now`. */
-export interface Follower {
-  /** A configuration, and when it was asked for. */
-  traffic (traffic: Traffic, askedAt: number): void
-  /** The newest configuration that was told is still the newest one. */
+/** Takes what a platform learns from its store. Times are on `Clock.now`, in ms. */
+export interface PlatformListener {
+  /** A configuration, read by a call that was made at `askedAt`. It may be the one that is already in force. */
+  configuration (traffic: Traffic, askedAt: number): void
+  /** The newest configuration that was delivered was still the newest at `askedAt`. */
   confirmed (askedAt: number): void
-  /** The whole list of upstreams, and what has changed in it. */
+  /** The whole list of upstreams. */
   upstreams (all: readonly Upstream[]): void
-  changes (changes: readonly RosterChange[]): void
-  /** The whole list of entries. */
-  entries (entries: readonly PeerAddress[]): void
-  /** A call was answered. */
-  answered (): void
-  /** A call that was made at `askedAt` failed. */
-  failed (askedAt: number, why: string): void
+  /** Changes of that list, in the order in which they happened. */
+  upstreamChanges (changes: readonly RosterChange[]): void
+  /** The whole list of gateways, this one included. */
+  gateways (all: readonly PeerAddress[]): void
+  /** A call of a watch was answered. */
+  storeAnswered (): void
+  /**
+   * A call of a watch that was made at `askedAt` failed, or its answer could not be used. Outages of the store are detected by
+   * these two calls, so other failures are not reported here.
+   */
+  storeFailed (askedAt: number, cause: string): void
+  /** Background work began to fail; it is tried again and reported again only after it has succeeded. Decides nothing. */
+  taskFailed (task: string, cause: string): void
 }
 
-/** The platform that an entry runs on: what it tells, what it keeps, and how it talks. */
+/** The platform of one gateway. */
 export abstract class Platform {
+  /** Names of the headers by which callers, gateways and upstreams understand each other. */
   abstract readonly names: HeaderNames
   abstract readonly orders: Orders
   abstract readonly probes: Probes
   abstract readonly placements: Placements
-  /** Tells the follower everything, and each change, until `stop`. */
-  abstract follow (follower: Follower): void
-  /** Enters this entry into the list of entries, again and again until that is done. */
-  abstract enter (entry: PeerAddress): void
-  /** Whether changes of the upstreams matter within milliseconds, or several may come together a little later. */
-  abstract hurry (urgent: boolean): void
-  /** Whether this entry confirms the configuration for others, too, or hears confirmations from them. */
-  abstract confirms (often: boolean): void
+  /** Delivers all that the store holds, and each change of it, until `stop`. */
+  abstract watch (listener: PlatformListener): void
+  /** Writes this gateway into the list of gateways; tries again until that is done or `stop` is called. */
+  abstract register (gateway: PeerAddress): void
+  /**
+   * Whether this gateway plans replicas: it then needs changes of the upstreams within milliseconds; for others several come
+   * together a little later, which takes fewer calls.
+   */
+  abstract setPlanning (planning: boolean): void
+  /** Whether this gateway asks the store for confirmations of the configuration often, and passes them on to the others. */
+  abstract setConfirming (confirming: boolean): void
+  /** Ends all watches and cuts all connections; calls under way fail. */
   abstract stop (): void
 }
--- a/packages/gateway/src/sampling.ts
+++ b/packages/gateway/src/sampling.ts
@@ -49,8 +49,8 @@
   #sample (): void {
     const { platform, peers, inFlight, modelLoad, leadership } = this.#options
     modelLoad.sample([inFlight.models, ...peers.live.map(each => each.inFlightByModel)])
-    platform.hurry(leadership.planning)
-    platform.confirms(leadership.polls)
+    platform.setPlanning(leadership.planning)
+    platform.setConfirming(leadership.polls)
     this.#logFreshness()
   }
 
