--- /dev/null
+++ b/packages/forming/src/engines.ts
@@ -0,0 +1,23 @@
+/** What single engines hold and can do, as the roster lists them. Pure; relies on nothing else. */
+import { type Upstream } from '@eiderwind/roster'
+
+/** Whether an engine has a model's weights, in use or in its host's memory, and so serves it without a load. */
+export function holds ({ loaded, staged }: Upstream, model: string): boolean {
+  return loaded.includes(model) || staged.includes(model)
+}
+
+/** Whether an engine has no weights at all, as a new one. */
+export function isEmpty ({ loaded, staged }: Upstream): boolean {
+  return loaded.length === 0 && staged.length === 0
+}
+
+/** Whether an engine can be counted on: it answers and has not announced that it leaves. */
+export function isStaying ({ id, leaving }: Upstream, unreachable: ReadonlySet<string>): boolean {
+  return !leaving && !unreachable.has(id)
+}
+
+/** How far an engine is from serving a model: 0 loaded, 1 a load from its host's memory, 2 a load from the weight store. */
+export function loadDistance ({ loaded, staged }: Upstream, model: string): number {
+  if (loaded.includes(model)) return 0
+  return staged.includes(model) ? 1 : 2
+}
--- /dev/null
+++ b/packages/forming/src/lifecycle.ts
@@ -0,0 +1,66 @@
+/**
+ * What a planned replica needs next: orders to its engines, or its end. Pure. Owns two safety rules: a replica is opened only when
+ * every member says that it is ready in it, and its engines are free only once its head is known not to serve.
+ */
+import { type PlacementDraft } from './draft.js'
+import { type OrderHistory } from './history.js'
+import { closeOrder, joinOrder, openOrder, type UnfencedOrder } from './orders.js'
+import { type PlannedReplica } from './placement.js'
+import { type Snapshot } from './snapshot.js'
+
+/** The next step of one replica. Without orders or a reason to dissolve it, it stays as it is. */
+export interface ReplicaStep {
+  readonly orders?: readonly UnfencedOrder[]
+  /** Why it is dissolved now, in words for the log. */
+  readonly dissolved?: string
+}
+
+/** The next step of a replica, by the first rule that applies. */
+export function nextForReplica (replica: PlannedReplica, draft: PlacementDraft, history: OrderHistory): ReplicaStep {
+  const { snapshot } = draft
+  if (!snapshot.isIntact(replica)) return nextForIncomplete(replica, snapshot, history)
+  const state = snapshot.headState(replica)
+  if (state === 'broken') return { dissolved: 'broken' }
+  if (replica.retiring === true) return nextForRetiring(replica, draft, history)
+  if (replica.members.some(({ id }) => history.sawHigherEpoch(id, replica.name))) {
+    return state === 'open' ? { orders: [closeOrder(replica, 'finish')] } : { dissolved: 'an engine has seen a higher epoch' }
+  }
+  return state === 'open' || state === 'closing' ? {} : nextForUnopened(replica, snapshot)
+}
+
+/** Has members join that are not in the replica yet; opens it when all of them are ready. */
+function nextForUnopened (replica: PlannedReplica, snapshot: Snapshot): ReplicaStep {
+  const outside = snapshot.staying(replica).filter(({ id }) => !snapshot.isIn(replica, id))
+  if (outside.length > 0) return { orders: outside.filter(each => snapshot.isMovable(each)).map(each => joinOrder(replica, each)) }
+  const ready = replica.members.every(({ id }) => snapshot.find(id)?.membership?.state === 'ready')
+  return ready ? { orders: [openOrder(replica)] } : {}
+}
+
+/**
+ * A replica that lacks a member, or is about to, is closed, then dissolved. Requests in flight are completed only where all of its
+ * missing members leave as announced; otherwise they have stalled, and are cut so that they are resumed elsewhere.
+ */
+function nextForIncomplete (replica: PlannedReplica, snapshot: Snapshot, history: OrderHistory): ReplicaStep {
+  const { id } = replica.members[0]
+  const missing = replica.members.map(each => each.id).filter(each => snapshot.isMissing(each))
+  const dissolved = `${missing.join(' ')} missing`
+  if (snapshot.facts.dead.has(id)) return { dissolved }
+  const state = snapshot.headState(replica)
+  if (state === 'open') return { orders: [closeOrder(replica, missing.every(each => snapshot.isLeaving(each)) ? 'finish' : 'cut')] }
+  // A head that is not listed may serve on; one that is listed may have opened since, or open late.
+  const listed = snapshot.find(id) !== undefined
+  const serving = !listed || state === 'closing' || history.mayOpen(id, replica.name)
+  return serving ? { orders: [closeOrder(replica, 'cut')] } : { dissolved }
+}
+
+/** A replica that gives its engines to another model is closed, then dissolved. While some model has no replica, it is cut. */
+function nextForRetiring (replica: PlannedReplica, draft: PlacementDraft, history: OrderHistory): ReplicaStep {
+  const state = draft.snapshot.headState(replica)
+  if (state === 'open') {
+    const urgent = draft.lacking.some(({ name }) => draft.snapshot.intact(name) === 0)
+    return { orders: [closeOrder(replica, urgent ? 'cut' : 'finish')] }
+  }
+  if (state === 'closing') return {}
+  if (history.mayOpen(replica.members[0].id, replica.name)) return { orders: [closeOrder(replica, 'finish')] }
+  return { dissolved: 'retired' }
+}
--- /dev/null
+++ b/packages/forming/src/staging.ts
@@ -0,0 +1,80 @@
+/**
+ * Which weights engines should load into their host's memory before they are needed. Pure. The order of models and engines
+ * decides between equals, so it is part of the decision.
+ */
+import { type Upstream } from '@eiderwind/roster'
+import { type Model } from '@eiderwind/traffic'
+import { holds, isEmpty } from './engines.js'
+import { type Staging } from './orders.js'
+import { type Pool } from './pool.js'
+
+/**
+ * Spares of a domain that hold each model. Worth with one of each, and with two of the largest: coop trouble-3 0.617 and 0.526,
+ * rdp trouble-3 0.572 and 0.314, but coop quiet-1 0.711 and 0.743 (docs/design/platform.md).
+ */
+const sparesPerModel = 1
+
+/**
+ * What to stage in a domain now, by the first of these that gives any: what lacking replicas wait for; spares without weights;
+ * engines that serve. While engines are still appearing at the first start, only those that came are loaded.
+ */
+export function stagingFor (pool: Pool): Staging[] {
+  const { facts } = pool.draft.snapshot
+  const empty = pool.free.filter(each => isEmpty(each) && !pool.isLoading(each))
+  const models = [...facts.engine.models].sort((a, b) => b.size - a.size)
+  if (facts.arriving) return stagingForArrivals(empty, models, pool)
+  const awaited = stagingForLacking(pool)
+  if (awaited.length > 0) return awaited
+  // Further spares hold the largest model, which needs the most engines (chosen, not measured).
+  if (empty.length > 0) return distribute(empty, { pool, models, wanted: () => sparesPerModel, rest: models[0] })
+  return stagingOnServing(pool, models[0])
+}
+
+/** At the first start: a replica and a spare of each model, the largest first. The rest load the smallest (not measured). */
+function stagingForArrivals (empty: readonly Upstream[], models: readonly Model[], pool: Pool): Staging[] {
+  const wanted = ({ size }: Model): number => size + sparesPerModel
+  return distribute(empty, { pool, models, wanted, rest: models[models.length - 1] })
+}
+
+/** Engines for the replica that each lacking model waits for, as many as still have to load its weights; empty ones first. */
+function stagingForLacking (pool: Pool): Staging[] {
+  const chosen = new Set<string>()
+  return pool.draft.lacking.flatMap(model => {
+    const others = pool.freeFor(model).filter(each => !holds(each, model.name))
+    const loading = others.filter(each => pool.isLoading(each, model)).length
+    const short = Math.max(0, model.size - pool.availableSoon(model).length - loading)
+    const candidates = others.filter(each => !pool.isLoading(each) && !chosen.has(each.id))
+    const staged = candidates.sort((a, b) => Number(isEmpty(b)) - Number(isEmpty(a))).slice(0, short)
+    for (const { id } of staged) chosen.add(id)
+    return staged.map(upstream => ({ upstream, model, spare: false }))
+  })
+}
+
+interface Distribution {
+  readonly pool: Pool
+  /** In the order in which they get engines. */
+  readonly models: readonly Model[]
+  /** How many free engines should hold a model. */
+  readonly wanted: (model: Model) => number
+  /** The model of the engines that are left. */
+  readonly rest: Model
+}
+
+/** Gives each engine the first model that fewer free engines than wanted hold or load. */
+function distribute (engines: readonly Upstream[], { pool, models, wanted, rest }: Distribution): Staging[] {
+  const { free } = pool
+  const count = (model: Model): number => free.filter(each => holds(each, model.name) || pool.isLoading(each, model)).length
+  const counts = new Map(models.map(model => [model, count(model)]))
+  return engines.map(upstream => {
+    const model = models.find(each => counts.get(each) as number < wanted(each)) ?? rest
+    counts.set(model, counts.get(model) as number + 1)
+    return { upstream, model, spare: false }
+  })
+}
+
+/** Engines that serve a smaller model load the largest one beside it, so that they can be taken for it (`donorsFor`). */
+function stagingOnServing ({ draft: { placement, snapshot } }: Pool, largest: Model): Staging[] {
+  const serving = placement.replicas.filter(each => each.model !== largest.name && snapshot.isServing(each))
+  const engines = serving.flatMap(each => snapshot.staying(each)).filter(each => !each.staged.includes(largest.name))
+  return engines.map(upstream => ({ upstream, model: largest, spare: true }))
+}
--- a/packages/forming/test/forming.test.ts
+++ b/packages/forming/test/forming.test.ts
@@ -2,7 +2,7 @@
 import test, { type ExecutionContext } from 'ava'
 import { ManualClock, seeded } from '@eiderwind/clock'
 import { type Upstream } from '@eiderwind/roster'
-import { type Forming } from '../src/index.js'
+import { type Reconciler } from '../src/index.js'
 import { MemoryPlacements, World, pass, planner } from './world.js'
 
 function world (domains: number, size = 10): World {
@@ -13,7 +13,7 @@
   return made
 }
 
-async function formed (made: World, placements = new MemoryPlacements(), suspects = new Set<string>()): Promise<Forming> {
+async function formed (made: World, placements = new MemoryPlacements(), suspects = new Set<string>()): Promise<Reconciler> {
   const forming = planner(made, placements, { suspects })
   forming.start()
   await pass(made, 20_000)
--- a/packages/forming/test/world.ts
+++ b/packages/forming/test/world.ts
@@ -3,7 +3,7 @@
 import { type Engine, type Service } from '@eiderwind/traffic'
 import { Err, Ok, type Result } from 'ts-results-es'
 import { Probes } from '@eiderwind/detect'
-import { Forming, Orders, Placements, emptyPlacement, type Order, type OrderResult, type Placement, type WriteFailure } from '../src/index.js'
+import { Orders, Placements, Reconciler, emptyPlacement, type Order, type OrderResult, type Placement, type WriteFailure } from '../src/index.js'
 
 /** The models of the engines here: one of four nodes and one of two. */
 export const engine: Engine = {
@@ -270,18 +270,18 @@
 }
 
 /** A planner over a world. */
-export function planner (world: World, placements: Placements, options: { suspects?: Set<string>, acts?: () => boolean, wokeAt?: () => number, unserved?: () => boolean } = {}): Forming {
-  return new Forming({
+export function planner (world: World, placements: Placements, options: { suspects?: Set<string>, acts?: () => boolean, wokeAt?: () => number, unserved?: () => boolean } = {}): Reconciler {
+  return new Reconciler({
     clock: world.clock,
     roster: world.roster,
     orders: world,
     probes: world.probes,
     placements,
     services: () => [service],
-    acts: options.acts ?? (() => true),
+    leads: options.acts ?? (() => true),
     suspects: () => options.suspects ?? new Set(),
     demand: () => new Map(),
-    unserved: options.unserved ?? (() => false),
+    beforeTraffic: options.unserved ?? (() => false),
     heartbeatInterval: 1200,
     resumedAt: options.wokeAt ?? (() => -Infinity),
     decided: () => {},
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -6,7 +6,7 @@
 import { type Clock } from '@eiderwind/clock'
 import { InFlight, Pauses, Stalls, Suspects } from '@eiderwind/detect'
 import { Choice, Queue } from '@eiderwind/dispatch'
-import { Forming, type Order, type OrderResult } from '@eiderwind/forming'
+import { Reconciler, type Order, type OrderResult } from '@eiderwind/forming'
 import { type Context } from '@eiderwind/forward'
 import { type Log } from '@eiderwind/log'
 import { Peers, type Heartbeat } from '@eiderwind/peers'
@@ -67,7 +67,7 @@
   readonly #peerServer: PeerServer
   readonly #health: Health
   readonly #stalls: Stalls
-  readonly #forming: Forming
+  readonly #reconciler: Reconciler
   readonly #sampling: Sampling
 
   constructor (options: GatewayOptions) {
@@ -90,7 +90,7 @@
     this.#peerServer = new PeerServer({ clock, board, address: settings.peers, orders: platform.orders })
     this.#health = new Health(settings.health, () => this.ready)
     this.#stalls = this.#makeStalls()
-    this.#forming = this.#makeForming()
+    this.#reconciler = this.#makeReconciler()
     this.#sampling = new Sampling({ clock, log, board, platform, peers, inFlight: this.#inFlight, modelLoad: this.#modelLoad, leadership: this.#leadership, fresh: () => this.#callers.fresh })
     this.#roster.listen(() => this.#queue.wake())
   }
@@ -110,7 +110,7 @@
     platform.register({ id: settings.id, address: settings.peers })
     this.#pauses.start()
     this.#stalls.start()
-    this.#forming.start()
+    this.#reconciler.start()
     this.#sampling.start()
   }
 
@@ -128,7 +128,7 @@
       await clock.wait(stopInterval)
     }
     this.#callers.close()
-    for (const part of [this.#sampling, this.#forming, this.#stalls, this.#pauses, this.#confirmations, this.#peerServer, this.#peers, this.#health, this.#metrics, this.#options.platform]) part.stop()
+    for (const part of [this.#sampling, this.#reconciler, this.#stalls, this.#pauses, this.#confirmations, this.#peerServer, this.#peers, this.#health, this.#metrics, this.#options.platform]) part.stop()
     this.#connections.close()
   }
 
@@ -166,9 +166,9 @@
     })
   }
 
-  #makeForming (): Forming {
+  #makeReconciler (): Reconciler {
     const { clock, log, platform, settings } = this.#options
-    return new Forming({
+    return new Reconciler({
       clock,
       roster: this.#roster,
       orders: new Relay({ clock, orders: platform.orders, peers: this.#peers, connections: this.#connections }),
@@ -177,10 +177,10 @@
       resumedAt: () => this.#pauses.resumedAt,
       placements: platform.placements,
       services: () => this.#board.read('inForce')?.traffic.services ?? [],
-      acts: service => this.#leadership.plans(service),
+      leads: service => this.#leadership.plans(service),
       suspects: () => new Set([...this.#suspects.all, ...this.#peers.live.flatMap(each => each.suspects)]),
       demand: () => this.#modelLoad.demand,
-      unserved: () => settings.first && !this.#callers.served && !this.#peers.live.some(each => each.served),
+      beforeTraffic: () => settings.first && !this.#callers.served && !this.#peers.live.some(each => each.served),
       decided: (domain, note, epoch) => log.write('replica-decided', { domain, note, epoch }),
       ordered: (order, result, took) => this.#ordered(order, result, took),
       failed: error => log.write('controller-failed', { controller: 'forming', cause: String((error as Error).stack) })
