--- a/packages/entry/test/harness.ts
+++ b/packages/entry/test/harness.ts
@@ -1,6 +1,6 @@
 import { type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { Agent } from 'undici'
-import { SystemClock, seeded } from '@eiderwind/clock'
+import { SystemClock } from '@eiderwind/clock'
 import { Current } from '@eiderwind/config'
 import { Log, Metric } from '@eiderwind/log'
 import { Affinity, Balanced, Budget } from '@eiderwind/route'
@@ -50,6 +50,7 @@
   readonly #dispatcher = new Agent({ bodyTimeout: 0, headersTimeout: 0 })
   readonly #flights: Flights
   readonly #callers: Callers
+  readonly #failed: string[] = []
   #origin = ''
 
   constructor () {
@@ -68,17 +69,23 @@
       current,
       targets,
       flights: this.#flights,
-      policy: new Balanced({ random: seeded(1) }),
+      // With equal places, workers that have had no request are tried in the order in which they were reported.
+      policy: new Balanced({ random: () => 0 }),
       affinity: new Affinity(),
       budget: new Budget(this.#clock),
       clients: this.#clients,
       dispatcher: this.#dispatcher,
-      log: new Log({ sink: () => {} }),
+      log: new Log({ sink: line => this.#note(line) }),
       metric: new Metric()
     }
     this.#callers = new Callers({ context, board, teams: new Teams(current), entry: self.id, bodyLimit: 1000, deadline: 10_000 })
   }
 
+  /** The workers whose attempts have failed, in that order. */
+  get failed (): readonly string[] {
+    return this.#failed
+  }
+
   async start (): Promise<void> {
     const port = await this.#serve((request, response) => { this.#callers.handle(request, response) })
     this.#origin = `http://127.0.0.1:${port}`
@@ -121,6 +128,11 @@
     await Promise.all([this.#clients.close(), this.#dispatcher.destroy()])
   }
 
+  #note (line: string): void {
+    const { name, worker } = JSON.parse(line) as { name: string, worker: string }
+    if (name === 'attempt-failed') this.#failed.push(worker)
+  }
+
   async #serve (handler: Answer): Promise<number> {
     const server = makeServer({ handler })
     this.#servers.push(server)
--- a/packages/entry/test/honest.test.ts
+++ b/packages/entry/test/honest.test.ts
@@ -15,6 +15,8 @@
   readonly given?: (harness: Harness) => void | Promise<void>
   /** The workers, in the order in which they are tried. For a key the last one is the home. */
   readonly workers?: readonly FakeOptions[]
+  /** The workers whose attempts must have failed, in this order, where the order is what the case is about. */
+  readonly failed?: readonly string[]
   readonly code: string
   readonly outcome: 'not-run' | 'unknown'
 }
@@ -57,14 +59,14 @@
   { title: 'no home for a key that may have run before', path: topUp, init: keyed(), code: 'not-home', outcome: 'unknown' },
   { title: 'no home for a key that the entry minted', path: topUp, init: { method: 'POST', body: 'x' }, code: 'not-home', outcome: 'not-run' },
   { title: 'a worker that takes no connection', given: harness => downWorker(harness), code: 'upstream-down', outcome: 'not-run' },
-  { title: 'a worker that takes no connection, after one that took the request and cut it', workers: [{ answers: [cut], fate: 'started' }], given: harness => downWorker(harness), code: 'lost', outcome: 'unknown' },
+  { title: 'a worker that takes no connection, after one that took the request and cut it', workers: [{ answers: [cut], fate: 'started' }], given: harness => downWorker(harness), failed: ['w0', 'down'], code: 'lost', outcome: 'unknown' },
   { title: 'a head that takes no connection', path: '/v1/chat/completions', init: { method: 'POST', body: prompt }, given: harness => downWorker(harness, model), code: 'upstream-down', outcome: 'not-run' },
   { title: 'a cut connection, where the worker gives its word that it never starts', workers: [{ answers: [cut], fate: 'tombstoned' }], code: 'upstream-down', outcome: 'not-run' },
   { title: 'a cut connection, where the worker has started', workers: [{ answers: [cut], fate: 'started' }], code: 'lost', outcome: 'unknown' },
   { title: 'a cut connection, where another incarnation answers for the worker', workers: [{ answers: [cut], fate: 'stranger' }], code: 'lost', outcome: 'unknown' },
   { title: 'a cut connection, where nobody answers for the worker', workers: [{ answers: [cut] }], code: 'lost', outcome: 'unknown' },
   { title: 'a refusal by a worker', workers: [{ answers: [refusal('busy')] }], code: 'busy', outcome: 'not-run' },
-  { title: 'a refusal by a worker, after one that started and cut', workers: [{ answers: [cut], fate: 'started' }, { answers: [refusal('busy')] }], code: 'lost', outcome: 'unknown' },
+  { title: 'a refusal by a worker, after one that started and cut', workers: [{ answers: [cut], fate: 'started' }, { answers: [refusal('busy')] }], failed: ['w0', 'w1'], code: 'lost', outcome: 'unknown' },
   { title: 'a worker that answers with nothing of the system\'s', workers: [{ answers: [(_request, response) => { response.statusCode = 500; response.end('?') }] }], code: 'lost', outcome: 'unknown' },
   { title: 'a deadline that passes while the worker has the request', init: { headers: { 'eiderwind-deadline-ms': '200' } }, workers: [{ answers: [silence] }], code: 'deadline-running', outcome: 'unknown' },
   { title: 'a home that refuses a caller\'s key without a word on earlier tries', path: topUp, init: keyed(), workers: [{ answers: [refusal('busy')] }], code: 'busy', outcome: 'unknown' },
@@ -81,7 +83,7 @@
   return harness
 }
 
-for (const { title, path = query, init, given, workers, code, outcome } of cases) {
+for (const { title, path = query, init, given, workers, failed, code, outcome } of cases) {
   test(`${title}: the caller is told ${outcome}`, async t => {
     const harness = await made(t, workers)
     await given?.(harness)
@@ -89,6 +91,7 @@
     const { error } = await response.json() as { error: { code: string, outcome: string } }
     t.is(`${error.code} ${error.outcome}`, `${code} ${outcome}`)
     t.is(response.headers.get('eiderwind-outcome'), outcome)
+    if (failed !== undefined) t.deepEqual(harness.failed, failed)
   })
 }
 
