--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,16 +1,12 @@
 /** `npm run bench [-- PART ...] [--write]`: prints one JSON line a figure; `--write` puts them into docs/results.json. */
 import { measureControl } from './control.js'
 import { measureDecisions } from './decisions.js'
-import { measureDays } from './days.js'
 import { Figures } from './figures.js'
 import { measurePath } from './path.js'
-import { measureRouting } from './routing.js'
 import { measureStreams } from './streams.js'
 
 const parts: Readonly<Record<string, (figures: Figures) => void | Promise<void>>> = {
   decisions: measureDecisions,
-  days: measureDays,
-  routing: measureRouting,
   path: measurePath,
   control: measureControl,
   streams: measureStreams
--- a/packages/entry/src/context.ts
+++ b/packages/entry/src/context.ts
@@ -2,7 +2,7 @@
 import { type Clock } from '@eiderwind/clock'
 import { type Current } from '@eiderwind/config'
 import { type Log, type Metric } from '@eiderwind/log'
-import { type Affinity, type Budget, type Policy } from '@eiderwind/route'
+import { type Affinity, type Balanced, type Budget } from '@eiderwind/route'
 import { type Clients } from '@eiderwind/wire'
 import { type Flights } from './flights.js'
 import { type Targets } from './targets.js'
@@ -13,7 +13,7 @@
   readonly current: Current
   readonly targets: Targets
   readonly flights: Flights
-  readonly policy: Policy
+  readonly policy: Balanced
   readonly affinity: Affinity
   readonly budget: Budget
   readonly clients: Clients
--- a/packages/entry/src/planning.ts
+++ b/packages/entry/src/planning.ts
@@ -2,7 +2,7 @@
 import { type Clock } from '@eiderwind/clock'
 import { type Current } from '@eiderwind/config'
 import { type Log } from '@eiderwind/log'
-import { emptyPlacement, type Facts, type Planner } from '@eiderwind/plan'
+import { emptyPlacement, type Facts, type Repairing } from '@eiderwind/plan'
 import { Placement, type EntryAddress, type ModelService } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { actor, type Reports } from '@eiderwind/spread'
@@ -16,7 +16,7 @@
   readonly current: Current
   readonly reports: Reports
   readonly store: Store
-  readonly planner: Planner
+  readonly planner: Repairing
   readonly self: EntryAddress
   readonly log: Log
   /** Silence after which a node counts as lost, in ms. */
--- a/packages/plan/src/facts.ts
+++ b/packages/plan/src/facts.ts
@@ -45,12 +45,6 @@
   readonly orders: readonly Order[]
 }
 
-/** Turns facts into the placement of one domain. */
-export abstract class Planner {
-  abstract readonly name: string
-  abstract plan (domain: string, facts: Facts): Plan
-}
-
 /** The placement of a domain that has none yet. */
 export function emptyPlacement (domain: string): Placement {
   return { domain, revision: 0, generation: 0, replicas: [] }
--- a/packages/plan/src/repairing.ts
+++ b/packages/plan/src/repairing.ts
@@ -1,23 +1,22 @@
 import { weight } from '@eiderwind/hash'
 import { type ModelService, type Replica } from '@eiderwind/schema'
 import { Draft } from './draft.js'
-import { Planner, type Facts, type NodeFact, type Plan, type PlannerOptions } from './facts.js'
+import { type Facts, type NodeFact, type Plan, type PlannerOptions } from './facts.js'
 import { excess, wanting } from './quota.js'
 
 /**
- * The planner in use. It swaps lost nodes for spares and keeps the other members, whose weights stay loaded; it
+ * Turns facts into the placement of one domain. It swaps lost nodes for spares and keeps the other members, whose weights stay loaded; it
  * takes apart one broken replica to mend others when there are no spares; it changes one serving replica of a
  * service at a time when a version changes.
  */
-export class Repairing extends Planner {
-  readonly name = 'repairing'
+export class Repairing {
   readonly #options: PlannerOptions
 
   constructor (options: PlannerOptions) {
-    super()
     this.#options = options
   }
 
+  /** The next placement of a domain; the present one where there is nothing to do. */
   plan (domain: string, facts: Facts): Plan {
     const draft = new Draft(domain, facts)
     this.#retire(draft, facts)
--- a/packages/plan/test/plan.test.ts
+++ b/packages/plan/test/plan.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import fc from 'fast-check'
 import { type ModelService, type Node, type Placement } from '@eiderwind/schema'
-import { FirstFit, Repairing, disjoint, emptyPlacement, type Facts, type Health, type NodeFact, type Planner } from '../src/index.js'
+import { Repairing, disjoint, emptyPlacement, type Facts, type Health, type NodeFact } from '../src/index.js'
 
 const seed = 20261205
 const restart = 30_000
@@ -78,20 +78,19 @@
   t.deepEqual(plan(nodes), plan([...nodes].reverse()))
 })
 
-for (const planner of [new Repairing({ restart }), new FirstFit()] as Planner[]) {
-  test(`whatever nodes do, the ${planner.name} planner puts no node into two replicas, and generations only rise`, t => {
-    const health = fc.constantFrom<Health>('live', 'live', 'live', 'leaving', 'lost', 'unheard')
-    const round = fc.record({ healths: fc.array(health, { minLength: 9, maxLength: 9 }), replicas: fc.nat(5), version: fc.constantFrom('v1', 'v2'), lostFor: fc.constantFrom(0, 2 * restart) })
-    fc.assert(fc.property(fc.array(round, { maxLength: 12 }), rounds => {
-      let placement = emptyPlacement('d')
-      for (const { healths, replicas, version, lostFor } of rounds) {
-        const nodes = healths.map((each, index) => fact(`n${index}`, each, { lostFor }))
-        const after = planner.plan('d', facts(nodes, placement, { services: [service({ replicas, version })] })).placement
-        if (!disjoint(after) || after.generation < placement.generation) return false
-        placement = after
-      }
-      return true
-    }), { seed, numRuns: 300 })
-    t.pass()
-  })
-}
+test('whatever nodes do, the repairing planner puts no node into two replicas, and generations only rise', t => {
+  const planner = new Repairing({ restart })
+  const health = fc.constantFrom<Health>('live', 'live', 'live', 'leaving', 'lost', 'unheard')
+  const round = fc.record({ healths: fc.array(health, { minLength: 9, maxLength: 9 }), replicas: fc.nat(5), version: fc.constantFrom('v1', 'v2'), lostFor: fc.constantFrom(0, 2 * restart) })
+  fc.assert(fc.property(fc.array(round, { maxLength: 12 }), rounds => {
+    let placement = emptyPlacement('d')
+    for (const { healths, replicas, version, lostFor } of rounds) {
+      const nodes = healths.map((each, index) => fact(`n${index}`, each, { lostFor }))
+      const after = planner.plan('d', facts(nodes, placement, { services: [service({ replicas, version })] })).placement
+      if (!disjoint(after) || after.generation < placement.generation) return false
+      placement = after
+    }
+    return true
+  }), { seed, numRuns: 300 })
+  t.pass()
+})
--- a/packages/route/src/balanced.ts
+++ b/packages/route/src/balanced.ts
@@ -1,5 +1,5 @@
 import { type Random } from '@eiderwind/clock'
-import { Policy, least, type Candidate, type Preference } from './policy.js'
+import { least, type Candidate, type Preference } from './candidate.js'
 
 /** The settings of the balanced policy. */
 export interface BalancedOptions {
@@ -15,14 +15,13 @@
 const mostTurns = 10_000
 
 /**
- * The policy in use. A replica that is warm for the session or the prompt's prefix is kept while this entry has little
+ * The choice of a replica, or of a worker of a plain service. A replica that is warm for the session or the prompt's prefix is kept while this entry has little
  * more open there than elsewhere; otherwise the replica with least open requests of this entry is taken, and of equals
  * the one that was picked longest ago. What replicas report is left out: it lags, and entries that go by the same old
  * reports run to the same replicas (docs/design/routing.md has the figures). What an entry has open is exact, and
  * grows by itself where a replica is slow.
  */
-export class Balanced extends Policy {
-  readonly name = 'balanced'
+export class Balanced {
   readonly #random: Random
   readonly #slack: number
   readonly #factor: number
@@ -31,12 +30,12 @@
   #turn = 0
 
   constructor (options: BalancedOptions) {
-    super()
     this.#random = options.random
     this.#slack = options.slack ?? 4
     this.#factor = options.factor ?? 1.5
   }
 
+  /** The candidate to send a request to. The list holds at least one. */
   pick (candidates: readonly Candidate[], preference: Preference): Candidate {
     const idle = this.#idle(candidates)
     const picked = this.#warm(candidates, preference, idle.open) ?? idle
--- a/packages/route/src/policy.ts
+++ b/packages/route/src/candidate.ts
@@ -1,5 +1,3 @@
-import { type Random } from '@eiderwind/clock'
-
 /** A replica, or a worker of a plain service, as an entry sees it when it has to choose. */
 export interface Candidate {
   readonly id: string
@@ -24,62 +22,6 @@
 /** The preference of a request of which nothing is known. */
 export const noPreference: Preference = { session: [], prefix: [] }
 
-/** A way to choose. The list holds at least one candidate. */
-export abstract class Policy {
-  abstract readonly name: string
-  abstract pick (candidates: readonly Candidate[], preference: Preference): Candidate
-}
-
-/** Baseline: one after the other. */
-export class RoundRobin extends Policy {
-  readonly name = 'round-robin'
-  #turn = 0
-
-  pick (candidates: readonly Candidate[]): Candidate {
-    return candidates[this.#turn++ % candidates.length]
-  }
-}
-
-/** Baseline: any one. */
-export class Uniform extends Policy {
-  readonly name = 'random'
-  readonly #random: Random
-
-  constructor (random: Random) {
-    super()
-    this.#random = random
-  }
-
-  pick (candidates: readonly Candidate[]): Candidate {
-    return candidates[Math.floor(this.#random() * candidates.length)]
-  }
-}
-
-/** Baseline: the one to which this entry has least open. */
-export class LeastOpen extends Policy {
-  readonly name = 'least-open'
-
-  pick (candidates: readonly Candidate[]): Candidate {
-    return least(candidates, candidate => candidate.open)
-  }
-}
-
-/** Baseline: the less loaded of two random ones, by what they reported and what this entry has sent since (Mitzenmacher, 2001). */
-export class TwoChoices extends Policy {
-  readonly name = 'two-choices'
-  readonly #random: Random
-
-  constructor (random: Random) {
-    super()
-    this.#random = random
-  }
-
-  pick (candidates: readonly Candidate[]): Candidate {
-    const any = (): Candidate => candidates[Math.floor(this.#random() * candidates.length)]
-    return least([any(), any()], load)
-  }
-}
-
 /** Requests that run or wait at a candidate, as far as reports that lag can tell. */
 export function load (candidate: Candidate): number {
   return candidate.reported + candidate.unseen
--- a/packages/route/test/route.test.ts
+++ b/packages/route/test/route.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import { ManualClock, seeded } from '@eiderwind/clock'
-import { Affinity, Balanced, Budget, LeastOpen, RoundRobin, TwoChoices, Uniform, noPreference, prefixes, type Candidate, type Preference } from '../src/index.js'
+import { Affinity, Balanced, Budget, noPreference, prefixes, type Candidate, type Preference } from '../src/index.js'
 
 function candidate (id: string, more: Partial<Candidate> = {}): Candidate {
   return { id, reported: 0, concurrency: 10, open: 0, unseen: 0, ...more }
@@ -56,17 +56,6 @@
   t.true(picked.size > 5)
 })
 
-test('the baselines do what their names say', t => {
-  const candidates = [candidate('a', { open: 2 }), candidate('b', { open: 1 }), candidate('c', { open: 3 })]
-  const round = new RoundRobin()
-  t.deepEqual([1, 2, 3, 4].map(() => round.pick(candidates).id), ['a', 'b', 'c', 'a'])
-  t.is(new LeastOpen().pick(candidates).id, 'b')
-  const loaded = [candidate('a', { reported: 3 }), candidate('b', { reported: 1, unseen: 1 })]
-  t.is(new Set(Array.from({ length: 60 }, (_each, index) => new TwoChoices(seeded(index)).pick(loaded).id)).size, 2)
-  t.true(Array.from({ length: 60 }, (_each, index) => new TwoChoices(seeded(index)).pick(loaded).id).filter(each => each === 'b').length > 30)
-  t.is(new Set(Array.from({ length: 60 }, (_each, index) => new Uniform(seeded(index)).pick(candidates).id)).size, 3)
-})
-
 test('affinity remembers the replicas of the longest known prefix', t => {
   const affinity = new Affinity()
   const prompt = 'x'.repeat(1000)
