--- a/packages/clock/src/index.ts
+++ b/packages/clock/src/index.ts
@@ -2,5 +2,4 @@
 export { Clock, type Subscription, type Task } from './clock.js'
 export { SystemClock } from './system.js'
 export { ManualClock } from './manual.js'
-export { ViewClock } from './view.js'
 export { type Random, seeded } from './random.js'
--- a/packages/clock/test/clock.test.ts
+++ b/packages/clock/test/clock.test.ts
@@ -1,5 +1,6 @@
 import test from 'ava'
-import { ManualClock, SystemClock, ViewClock, seeded } from '../src/index.js'
+import { ManualClock, SystemClock, seeded } from '../src/index.js'
+import { ViewClock } from './view.js'
 
 test('a manual clock runs what falls due, in order, and not what was cancelled', t => {
   const clock = new ManualClock()
--- a/packages/clock/src/view.ts
+++ b/packages/clock/test/view.ts
@@ -1,4 +1,4 @@
-import { Clock, type Subscription, type Task } from './clock.js'
+import { Clock, type Subscription, type Task } from '../src/index.js'
 
 /**
  * The clock of one process of a test: another clock seen at another rate and with a skewed wall clock. A paused
--- a/packages/config/test/writer.test.ts
+++ b/packages/config/test/writer.test.ts
@@ -3,7 +3,8 @@
 import fc from 'fast-check'
 import { ManualClock } from '@eiderwind/clock'
 import { type Configuration } from '@eiderwind/schema'
-import { FaultyStore, MemoryStore, type Turn } from '@eiderwind/store'
+import { MemoryStore } from '@eiderwind/store'
+import { FaultyStore, type Turn } from '@eiderwind/store/testing'
 import { Current, Writer, configurationKey, type Change, type ChangeOrder } from '../src/index.js'
 
 const seed = 20261204
--- a/packages/lease/test/exclusion.test.ts
+++ b/packages/lease/test/exclusion.test.ts
@@ -4,7 +4,8 @@
  */
 import test from 'ava'
 import fc from 'fast-check'
-import { ManualClock, ViewClock, seeded, type Random } from '@eiderwind/clock'
+import { ManualClock, seeded, type Random } from '@eiderwind/clock'
+import { ViewClock } from '@eiderwind/clock/testing'
 import { Channel, Granter, Lease, type Answer, type Claim, type Quorum } from '../src/index.js'
 
 const seed = 20261202
--- a/packages/plan/src/facts.ts
+++ b/packages/plan/src/facts.ts
@@ -1,4 +1,4 @@
-import { type ModelService, type Node, type Placement, type Replica } from '@eiderwind/schema'
+import { type ModelService, type Node, type Placement } from '@eiderwind/schema'
 
 /** What is believed of a node: `lost` after it was not heard of for too long, `unheard` before it was ever heard of. */
 export type Health = 'live' | 'leaving' | 'lost' | 'unheard'
@@ -49,9 +49,3 @@
 export function emptyPlacement (domain: string): Placement {
   return { domain, revision: 0, generation: 0, replicas: [] }
 }
-
-/** Whether no node of the placement belongs to two replicas, and no replica names a node twice. */
-export function disjoint (placement: Placement): boolean {
-  const members = placement.replicas.flatMap((replica: Replica) => replica.members)
-  return new Set(members).size === members.length
-}
--- a/packages/plan/test/plan.test.ts
+++ b/packages/plan/test/plan.test.ts
@@ -1,7 +1,8 @@
 import test from 'ava'
 import fc from 'fast-check'
 import { type ModelService, type Node, type Placement } from '@eiderwind/schema'
-import { Repairing, disjoint, emptyPlacement, type Facts, type Health, type NodeFact } from '../src/index.js'
+import { Repairing, emptyPlacement, type Facts, type Health, type NodeFact } from '../src/index.js'
+import { disjoint } from './disjoint.js'
 
 const seed = 20261205
 const restart = 30_000
--- a/packages/run/test/once.test.ts
+++ b/packages/run/test/once.test.ts
@@ -4,7 +4,8 @@
  */
 import test from 'ava'
 import fc from 'fast-check'
-import { ManualClock, ViewClock, seeded, type Random } from '@eiderwind/clock'
+import { ManualClock, seeded, type Random } from '@eiderwind/clock'
+import { ViewClock } from '@eiderwind/clock/testing'
 import { Channel, Granter, type Answer, type Claim } from '@eiderwind/lease'
 import { type Handover } from '@eiderwind/schema'
 import { Homes, mintKey, readKey, type Key } from '../src/index.js'
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -2,4 +2,3 @@
 export { Store, type Stored } from './store.js'
 export { HttpStore, type HttpStoreOptions } from './http.js'
 export { MemoryStore } from './memory.js'
-export { FaultyStore, type Turn } from './faulty.js'
--- a/packages/store/src/faulty.ts
+++ b/packages/store/test/faulty.ts
@@ -1,7 +1,6 @@
 import { Err, type Result } from 'ts-results-es'
 import { Fault } from '@eiderwind/fault'
-import { MemoryStore } from './memory.js'
-import { type Stored } from './store.js'
+import { MemoryStore, type Stored } from '../src/index.js'
 
 /** How one call of a faulty store goes: as it should, applied with its answer lost, lost on its way, or refused. */
 export type Turn = 'well' | 'lost-answer' | 'lost-call' | 'down'
