--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -15,7 +15,7 @@
 } as const
 
 /** The limits of control of one daemon, and of the platform. */
-export const limits = { processor: 27, bytes: 27_000, memory: 32_768, reads: 2000, writes: 100 } as const
+const limits = { processor: 27, bytes: 27_000, memory: 32_768, reads: 2000, writes: 100 } as const
 
 /** What the daemons do by themselves, as set in the code. Seconds and counts. */
 const reportedTo = 2
@@ -30,7 +30,7 @@
 const placementChanges = 120
 
 /** One row: a role's control at the letter's size. */
-export interface Row {
+interface Row {
   readonly role: string
   readonly work: string
   /** Messages a second. */
@@ -43,7 +43,7 @@
 }
 
 /** The rows of the table. */
-export function rows (figures: readonly Figure[]): Row[] {
+function rows (figures: readonly Figure[]): Row[] {
   const value = (name: string): number => {
     const figure = figures.find(each => each.name === name)
     if (figure === undefined) throw new Error(`The results file has no figure ${name}. Run npm run bench -- --write.`)
--- a/packages/bench/src/decisions.ts
+++ b/packages/bench/src/decisions.ts
@@ -17,7 +17,7 @@
 }
 
 /** Facts of `count` nodes in domains of 72, all placed in replicas of 4, with one node lost. */
-export function plannedFacts (count: number): Facts {
+function plannedFacts (count: number): Facts {
   const nodes = Array.from({ length: count }, (_each, index) => fact(index))
   const services = [{ kind: 'model' as const, name: 'support', replicas: Math.floor(count / 4) - 2, members: 4, version: 'v1', adapters: [], checksOrders: true, concurrency: 64, queue: 256 }]
   const planner = new Repairing(options)
--- a/packages/trial/src/fleet.ts
+++ b/packages/trial/src/fleet.ts
@@ -303,7 +303,7 @@
 }
 
 /** SHA-256 of a secret, in hex. */
-export function sha256 (secret: string): string {
+function sha256 (secret: string): string {
   return createHash('sha256').update(secret).digest('hex')
 }
 
--- a/packages/trial/src/forwarder.ts
+++ b/packages/trial/src/forwarder.ts
@@ -38,12 +38,6 @@
     for (const socket of this.#sockets) socket.pause()
   }
 
-  /** Lets everything through again. */
-  mend (): void {
-    this.#cut = false
-    for (const socket of this.#sockets) socket.resume()
-  }
-
   stop (): void {
     this.#server.close()
     for (const socket of this.#sockets) socket.destroy()
--- a/packages/trial/test/centres.test.ts
+++ b/packages/trial/test/centres.test.ts
@@ -1,6 +1,7 @@
 /** Two data centres of real daemons: what is told from one to the other, and what happens when one loses its entry. */
 import test from 'ava'
-import { Fleet, Load, answerWords, modelName, trialKey } from '../src/index.js'
+import { Fleet, answerWords, modelName, trialKey } from '../src/index.js'
+import { Load } from './load.js'
 
 let fleet: Fleet
 
--- a/packages/trial/src/load.ts
+++ b/packages/trial/test/load.ts
@@ -1,5 +1,4 @@
-import { answerWords } from './engine.js'
-import { modelName, plainName, trialKey, type Fleet } from './fleet.js'
+import { answerWords, modelName, plainName, trialKey, type Fleet } from '../src/index.js'
 
 /** How one request of a load ended. */
 export interface Sample {
--- a/packages/trial/test/stop.test.ts
+++ b/packages/trial/test/stop.test.ts
@@ -1,6 +1,7 @@
 /** Planned stops and upgrades with streams open: one role after the other through a whole fleet of real daemons. */
 import test from 'ava'
-import { Fleet, Load, modelName, type Sample } from '../src/index.js'
+import { Fleet, modelName } from '../src/index.js'
+import { Load, type Sample } from './load.js'
 
 let fleet: Fleet
 
