--- a/packages/bench/src/figures.ts
+++ b/packages/bench/src/figures.ts
@@ -44,11 +44,7 @@
 
 /** The committed figures. */
 export function readResults (): Figure[] {
-  try {
-    return JSON.parse(readFileSync(resultsFile, 'utf8')) as Figure[]
-  } catch {
-    return []
-  }
+  return JSON.parse(readFileSync(resultsFile, 'utf8')) as Figure[]
 }
 
 /** A number with three digits that count. */
--- a/packages/bench/src/usage.ts
+++ b/packages/bench/src/usage.ts
@@ -30,6 +30,7 @@
   while (performance.now() - startedAt < span) {
     const due = Math.floor((performance.now() - startedAt) / 1000 * rate)
     while (done < due) {
+      // A call that fails is counted too: it costs the measured process time as well, and the figures are per call made.
       const each = task(done++).catch(() => {}).finally(() => open.delete(each))
       open.add(each)
     }
--- a/packages/entry/src/calls.ts
+++ b/packages/entry/src/calls.ts
@@ -51,6 +51,7 @@
     for (const aged of reports) this.#options.reports.accept(aged, source)
     const lacking = beatsOf(beats).filter(beat => this.#options.reports.beat(beat, source) === 'lacking').map(each => each.worker)
     const mine = { revision: current.revision, known: knownDigest(board), lacking }
+    // A failed fetch is not repeated here: the next exchange finds the same difference and fetches again.
     if (revision > mine.revision || known !== mine.known) fetch(from.peer, revision, known).catch(() => {})
     return mine
   }
--- a/packages/entry/src/spreader.ts
+++ b/packages/entry/src/spreader.ts
@@ -114,6 +114,7 @@
       await this.fetch(peer.peer, revision, known)
       return true
     } catch {
+      // Not logged, since this runs each second: a peer that stays silent drops out of `Peers.live`, and the next exchange sends everything.
       this.#telling.failed(peer.id)
       return false
     }
@@ -122,6 +123,7 @@
   async #askSeeds (): Promise<void> {
     const { seeds, self } = this.#options
     for (const seed of seeds) {
+      // A seed that does not answer is asked again with the next update, a second later.
       if (seed !== self.peer) await this.fetch(seed, Infinity, -1).catch(() => {})
     }
   }
--- a/packages/entry/src/transcript.ts
+++ b/packages/entry/src/transcript.ts
@@ -102,6 +102,7 @@
   try {
     return JSON.parse(text)
   } catch {
+    // Such as the end mark `[DONE]`: an event that is no JSON has no text to resume from.
     return undefined
   }
 }
--- a/packages/lease/src/lease.ts
+++ b/packages/lease/src/lease.ts
@@ -108,6 +108,7 @@
   async #ask (granter: string): Promise<void> {
     const { channel, claim, clock, listener } = this.#options
     const sent = clock.holderNow()
+    // No answer needs no handling: the grant expires by itself, `lapsed` reports it, and the next interval asks again.
     const answer = await channel.request(granter, claim).catch(() => undefined)
     if (this.#released || answer === undefined) return
     if (!answer.granted) {
--- a/packages/run/src/home.ts
+++ b/packages/run/src/home.ts
@@ -173,6 +173,7 @@
     const { slot, lease, book, voter } = due
     this.#slots.delete(slot)
     this.#vacantSince.set(slot, clock.now())
+    // After an error the voter may have the book or not; `undefined` has the slot released, as if it had.
     const taken = await give(voter, this.#handover(slot, lease, book)).catch(() => undefined)
     if (taken !== false || this.#stopped || !lease.valid) return await lease.release()
     this.#slots.set(slot, { lease, book, openedAt: clock.now() })
@@ -216,6 +217,7 @@
   async #give (handover: Handover, give: Give): Promise<void> {
     const { preferred, worker } = this.#options
     for (const voter of preferred(handover.slot, this.#voters)) {
+      // After an error the next voter is tried: a second copy does no harm, only the next holder of the lease can use one.
       if (voter !== worker && await give(voter, handover).catch(() => false)) return
     }
   }
--- a/packages/trial/src/child.ts
+++ b/packages/trial/src/child.ts
@@ -66,6 +66,7 @@
     try {
       this.#lines.push(JSON.parse(text) as Line)
     } catch {
+      // Not a log line, such as a stack trace: kept as it is for the messages of failed tests.
       this.#lines.push({ text })
     }
     if (this.#lines.length > keptLines) this.#lines.shift()
--- a/packages/trial/test/load.ts
+++ b/packages/trial/test/load.ts
@@ -60,6 +60,7 @@
   async #check (): Promise<void> {
     while (this.#running) {
       for (const { callers } of this.#fleet.entries) {
+        // An entry that does not answer is not healthy; tests stop entries on purpose.
         const response = await fetch(`http://${callers}/healthz`).catch(() => undefined)
         if (response?.status === 200) this.#healthy.add(callers)
         else this.#healthy.delete(callers)
--- a/packages/worker/src/model.ts
+++ b/packages/worker/src/model.ts
@@ -98,6 +98,7 @@
   try {
     return JSON.parse(body.toString())
   } catch {
+    // Passed on as it is: the engine itself answers a body that is no JSON.
     return undefined
   }
 }
--- a/packages/worker/src/reporter.ts
+++ b/packages/worker/src/reporter.ts
@@ -38,6 +38,7 @@
     metric.gauge('admission.running', queue.running)
     metric.gauge('admission.queued', queue.waiting)
     const tell = async (address: string): Promise<boolean> => {
+      // Not logged, since this runs at each interval: the next report follows, and the seeds are tried where no entry answers.
       return await clients.entry(address).report(report).then(answer => this.#take(answer), () => false)
     }
     const told = await Promise.all(known.map(tell))
--- a/packages/worker/src/sessions.ts
+++ b/packages/worker/src/sessions.ts
@@ -51,6 +51,7 @@
     let moved = 0
     const work = async (): Promise<void> => {
       for (let session = left.shift(); session !== undefined && this.#clock.now() < end; session = left.shift()) {
+        // A session that is not moved costs the next replica its cache only; `sessions-handed` has the counts.
         if (await move(session, next(session, heads)).catch(() => false)) moved++
       }
     }
--- a/packages/worker/src/transfer.ts
+++ b/packages/worker/src/transfer.ts
@@ -50,6 +50,7 @@
   async #heads (service: string): Promise<Peer[]> {
     const { board, clients } = this.#options
     for (const entry of board.read('entries')) {
+      // The next entry is asked; if none answers, no session is moved and `sessions-handed` shows it.
       const heads = await clients.entry(entry).heads({ service }).catch(() => undefined)
       if (heads !== undefined) return heads
     }
--- a/packages/worker/src/upstream.ts
+++ b/packages/worker/src/upstream.ts
@@ -57,6 +57,7 @@
 
   async state (): Promise<UpstreamState> {
     if (this.#path === undefined) return { healthy: true, loaded: undefined }
+    // The error is a state: `Health` logs `engine-down` once when it begins.
     const healthy = await this.ask(this.#path).then(() => true, () => false)
     return { healthy, loaded: undefined }
   }
@@ -84,6 +85,7 @@
       const text = await this.ask(this.#path)
       return { healthy: true, loaded: EngineHealth.parse(JSON.parse(String(text))) satisfies Loaded }
     } catch {
+      // The error is a state: `Health` logs `engine-down` once when it begins.
       return { healthy: false, loaded: undefined }
     }
   }
