--- a/packages/clock/src/clock.ts
+++ b/packages/clock/src/clock.ts
@@ -1,3 +1,8 @@
+/**
+ * The timer service: the one source of time and timers for everything that waits or measures time. It is abstract, so that
+ * production reads the machine's clocks (`SystemClock`) and tests move time themselves (`ManualClock`).
+ */
+
 /** A running subscription to the timer service. Cancelling twice is harmless. */
 export interface Subscription {
   cancel (): void
@@ -15,8 +20,8 @@
   abstract now (): number
 
   /**
-   * Steady time for whoever *holds* a lease. It counts at least as much as `now` and also counts a suspension that
-   * the steady clock missed, as soon as the wall clock shows it. A holder that errs here errs towards giving up.
+   * Steady time for the holder of a lease. It counts at least as much as `now` and also counts a suspension that
+   * the steady clock missed, as soon as the wall clock shows it. An error of it can only end a lease early.
    */
   abstract holderNow (): number
 
--- a/packages/clock/src/manual.ts
+++ b/packages/clock/src/manual.ts
@@ -1,3 +1,7 @@
+/**
+ * The timer service of tests: time moves only when a test says so, and timers run in a fixed order. It owns the pending
+ * timers and can stand for a frozen process, a suspended machine and a wall clock that is off.
+ */
 import { Clock, type Subscription, type Task } from './clock.js'
 
 interface Due {
--- a/packages/clock/src/system.ts
+++ b/packages/clock/src/system.ts
@@ -1,3 +1,7 @@
+/**
+ * The timer service of production, over Node's `performance.now`, `Date.now` and `setTimeout`. It owns one number: how much
+ * steady time was missed while the machine was suspended.
+ */
 import { Clock, type Subscription, type Task } from './clock.js'
 
 /** The clock of the machine: `performance.now` (CLOCK_MONOTONIC, which runs on through SIGSTOP) and `Date.now`. */
--- a/packages/hash/src/index.ts
+++ b/packages/hash/src/index.ts
@@ -1,4 +1,8 @@
-/** Rendezvous hashing (Thaler and Ravishankar, 1998), so that processes that know the same names choose alike without talking. */
+/**
+ * Rendezvous hashing (Thaler and Ravishankar, 1998): processes that know the same names choose alike without exchanging
+ * a message. Pure functions over xxHash32. Their results are part of the protocol: processes of two versions that serve
+ * side by side have to agree, so the hash, its input and the order of equal weights must not change.
+ */
 import xxhash from 'xxhash-wasm'
 
 const { h32 } = await xxhash()
--- a/packages/lease/src/granter.ts
+++ b/packages/lease/src/granter.ts
@@ -1,3 +1,8 @@
+/**
+ * The side of a lease that gives. It owns the grants of one process and decides on each claim: a pure value, without timers
+ * or messages. It relies on a steady clock that runs through pauses, and on clocks that drift apart by 1% at the most.
+ */
+
 /** What a holder asks a granter for. */
 export interface Claim {
   /** What is to be held, such as a node or a slot of keys. */
@@ -28,7 +33,7 @@
   | { readonly granted: true, readonly mark: Mark }
   | { readonly granted: false, readonly reason: Refusal, readonly wait: number }
 
-/** Why a claim was refused: `starting` while the granter may have forgotten a grant, `held` while another holds it, `period` where it is too long. */
+/** Why a claim was refused: the granter may have forgotten a grant, another holds the resource, or the period is too long. */
 export type Refusal = 'starting' | 'held' | 'period'
 
 /** A grant as the granter remembers it. */
@@ -45,6 +50,9 @@
   readonly answer: Answer
 }
 
+/** Share by which two clocks may run apart, unless set. A chosen bound, not measured (docs/design/leases.md). */
+const defaultDrift = 0.01
+
 /** Options of a granter. */
 export interface GranterOptions {
   /** The longest period that may be asked for, in ms. The same for all processes. */
@@ -78,7 +86,7 @@
 
   /** A granter that starts at `now` with no memory. */
   static started (now: number, options: GranterOptions): Granter {
-    const stretch = 1 + (options.drift ?? 0.01)
+    const stretch = 1 + (options.drift ?? defaultDrift)
     return new Granter(options.origin, options.longest, stretch, now + options.longest * stretch, new Map())
   }
 
--- a/packages/lease/src/holding.ts
+++ b/packages/lease/src/holding.ts
@@ -1,3 +1,7 @@
+/**
+ * The side of a lease that holds. It counts the grants of one claim and says until when the quorum stands: a pure value,
+ * without timers or messages. It relies on times from `Clock.holderNow`, taken before each request was sent.
+ */
 import { type Claim } from './granter.js'
 
 /** How many of the granters a holder needs. */
@@ -33,7 +37,7 @@
     return new Holding(claim, granters, needed(granters, quorum), new Map())
   }
 
-  /** Counts a grant of `granter` whose request was sent at `sent`. Grants of strangers do not count. */
+  /** Counts a grant of `granter` whose request was sent at `sent`. Grants of others than the claim's granters do not count. */
   granted (granter: string, sent: number): Holding {
     if (!this.granters.includes(granter)) return this
     const until = sent + this.claim.period
--- a/packages/lease/src/lease.ts
+++ b/packages/lease/src/lease.ts
@@ -1,3 +1,7 @@
+/**
+ * Keeps one claim renewed: it asks the granters at each interval and reports when the quorum comes and goes. It owns the
+ * timers and the current `Holding`; it relies on a `Channel` for messages, which may lose, delay and double them.
+ */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type Answer, type Claim, type Mark } from './granter.js'
 import { Holding, type Quorum } from './holding.js'
@@ -8,12 +12,13 @@
   abstract release (granter: string, claim: Claim): Promise<void>
 }
 
-/** What a lease tells about itself. */
+/** Called when the state of a lease changes. */
 export interface LeaseListener {
   /** The quorum came to stand. */
   held? (): void
   /** The quorum ended, by time or by release. */
   lapsed? (missing: readonly string[]): void
+  /** A granter refused the claim. The lease goes on asking. */
   refused? (granter: string, answer: Answer): void
 }
 
@@ -84,7 +89,7 @@
     this.#renew()
   }
 
-  /** Gives the claim up for good and tells the granters, so that they need not wait it out. */
+  /** Ends the lease for good and releases its grants, so that the granters need not wait for their expiry. */
   async release (): Promise<void> {
     if (this.#released) return
     this.stop()
@@ -92,7 +97,7 @@
     await Promise.allSettled(this.#holding.granters.map(granter => channel.release(granter, claim)))
   }
 
-  /** Gives the claim up for good without telling anybody. */
+  /** Ends the lease for good. The granters' grants run until they expire. */
   stop (): void {
     this.#released = true
     this.#timer?.cancel()
--- a/packages/plan/src/draft.ts
+++ b/packages/plan/src/draft.ts
@@ -1,3 +1,7 @@
+/**
+ * The placement of one domain while it is being planned. It owns the replicas, the next generation and the steps taken so far,
+ * and never offers a node that a replica of the domain uses.
+ */
 import { type ModelService, type Placement, type Replica } from '@eiderwind/schema'
 import { emptyPlacement, type Action, type Facts, type NodeFact, type Order, type Plan } from './facts.js'
 
--- a/packages/plan/src/facts.ts
+++ b/packages/plan/src/facts.ts
@@ -1,3 +1,7 @@
+/**
+ * What a plan is made from and what it consists of: nodes with their health, services and placements in; the placement of one
+ * domain and the steps to it out. Pure values, without state.
+ */
 import { type ModelService, type Node, type Placement } from '@eiderwind/schema'
 
 /** What is believed of a node: `lost` after it was not heard of for too long, `unheard` before it was ever heard of. */
--- a/packages/plan/src/quota.ts
+++ b/packages/plan/src/quota.ts
@@ -1,9 +1,13 @@
+/**
+ * How many replicas of a service a domain should gain or lose. Pure functions of the facts: entries that know the same facts
+ * decide alike without talking.
+ */
 import { weight } from '@eiderwind/hash'
 import { type ModelService } from '@eiderwind/schema'
 import { type Facts } from './facts.js'
 
 /** How many replicas of a service are placed in all domains. */
-export function placed (service: string, facts: Facts): number {
+function placed (service: string, facts: Facts): number {
   return facts.placements.reduce((sum, { replicas }) => sum + replicas.filter(each => each.service === service).length, 0)
 }
 
@@ -26,7 +30,7 @@
   return here
 }
 
-/** The ids of the replicas of `service` that are too many, the latest formed first. */
+/** The ids of the replicas of a service beyond the wanted number, chosen by rendezvous hashing, so that entries choose alike. */
 export function excess (service: ModelService | undefined, name: string, facts: Facts): string[] {
   const replicas = facts.placements.flatMap(placement => placement.replicas.filter(each => each.service === name))
   const most = service?.replicas ?? 0
--- a/packages/plan/src/repairing.ts
+++ b/packages/plan/src/repairing.ts
@@ -1,3 +1,7 @@
+/**
+ * The planner: turns facts into the next placement of one fabric domain. Pure, without a clock; the same facts give the same
+ * plan at every entry. docs/design/planner.md has the rule, its measurements and what was tried and dropped.
+ */
 import { weight } from '@eiderwind/hash'
 import { type ModelService, type Replica } from '@eiderwind/schema'
 import { Draft } from './draft.js'
--- a/packages/route/src/affinity.ts
+++ b/packages/route/src/affinity.ts
@@ -1,14 +1,21 @@
+/**
+ * Remembers which replicas served which prompts last, so that a prompt with a known prefix goes where its KV cache is. It
+ * owns a bounded table of prefix digests. A wrong or missing entry costs time, never correctness.
+ */
 import { digest } from '@eiderwind/hash'
 
-/** Characters in one block of a prompt's prefix. */
+/** Characters in one block of a prompt's prefix. Chosen, not measured. */
 const blockSize = 256
 
-/** Blocks of a prompt that are looked at. */
+/** Blocks of a prompt that are looked at, from its start. Chosen, not measured. */
 const mostBlocks = 32
 
-/** Replicas remembered for one block. */
+/** Replicas remembered for one block. Chosen, not measured. */
 const replicasPerBlock = 3
 
+/** Blocks that are remembered. Chosen, not measured: a bound of memory. */
+const defaultLimit = 20_000
+
 /** The digests of a prompt's prefixes, one for each whole block, shortest first. */
 export function prefixes (prompt: string): number[] {
   const found: number[] = []
@@ -26,7 +33,7 @@
   readonly #blocks = new Map<number, string[]>()
 
   /** @param limit blocks that are remembered. Default: 20,000 */
-  constructor (limit = 20_000) {
+  constructor (limit = defaultLimit) {
     this.#limit = limit
   }
 
--- a/packages/route/src/balanced.ts
+++ b/packages/route/src/balanced.ts
@@ -1,3 +1,7 @@
+/**
+ * The choice of a replica for one request. It owns the turn in which each replica was picked last; load and warmth come
+ * with each call. docs/design/routing.md has the rule, its measurements and what was tried and dropped.
+ */
 import { type Random } from '@eiderwind/clock'
 import { least, type Candidate, type Preference } from './candidate.js'
 
@@ -11,7 +15,13 @@
   readonly factor?: number
 }
 
-/** Replicas of which is remembered when they were picked last. */
+/** Requests more than the least busy candidate that a warm one may have open. Measured: 4 against 2 (routing.md). */
+const defaultSlack = 4
+
+/** Times as many as the least busy candidate that a warm one may have open. From the paper that routing.md names; not varied. */
+const defaultFactor = 1.5
+
+/** Replicas whose last turn is remembered. Chosen, not measured: far above the replicas that one entry sees. */
 const mostTurns = 10_000
 
 /**
@@ -31,8 +41,8 @@
 
   constructor (options: BalancedOptions) {
     this.#random = options.random
-    this.#slack = options.slack ?? 4
-    this.#factor = options.factor ?? 1.5
+    this.#slack = options.slack ?? defaultSlack
+    this.#factor = options.factor ?? defaultFactor
   }
 
   /** The candidate to send a request to. The list holds at least one. */
--- a/packages/route/src/budget.ts
+++ b/packages/route/src/budget.ts
@@ -1,5 +1,21 @@
+/**
+ * The retry budget of one entry: a token bucket that keeps retries to a share of the traffic. It owns its tokens and relies
+ * on a clock for those that come with time.
+ */
 import { type Clock } from '@eiderwind/clock'
 
+/** Retries allowed for each first attempt. Chosen, not measured. */
+const defaultShare = 0.1
+
+/** Retries a second that are always allowed. Chosen, not measured. */
+const defaultFloor = 2
+
+/** Most retries that can be saved up. Chosen, not measured. */
+const defaultMost = 50
+
+/** Seconds of the floor with which a budget starts. Chosen, not measured. */
+const startSeconds = 5
+
 /** The settings of a retry budget. */
 export interface BudgetOptions {
   /** Retries allowed for each first attempt. Default: 0.1. */
@@ -21,10 +37,10 @@
 
   constructor (clock: Clock, options: BudgetOptions = {}) {
     this.#clock = clock
-    this.#share = options.share ?? 0.1
-    this.#floor = options.floor ?? 2
-    this.#most = options.most ?? 50
-    this.#tokens = Math.min(this.#most, this.#floor * 5)
+    this.#share = options.share ?? defaultShare
+    this.#floor = options.floor ?? defaultFloor
+    this.#most = options.most ?? defaultMost
+    this.#tokens = Math.min(this.#most, this.#floor * startSeconds)
     this.#at = clock.now()
   }
 
--- a/packages/route/src/candidate.ts
+++ b/packages/route/src/candidate.ts
@@ -1,3 +1,8 @@
+/**
+ * What the choice of a replica is made from: the candidates with their load, and what of the request prefers some of them.
+ * Pure values, without state.
+ */
+
 /** A replica, or a worker of a plain service, as an entry sees it when it has to choose. */
 export interface Candidate {
   readonly id: string
--- a/packages/schema/src/configuration.ts
+++ b/packages/schema/src/configuration.ts
@@ -1,3 +1,7 @@
+/**
+ * The configuration that operators change: services, teams, operators, what is to leave. Stored as `config/current`, sent
+ * between entries and to workers. What is stored must stay readable: fields are added with a default, never renamed.
+ */
 import { z } from 'zod'
 
 const Name = z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'a name has 1 to 63 of a-z, 0-9 and -, and starts with a letter or digit')
@@ -40,6 +44,7 @@
 })
 export type PlainService = z.infer<typeof PlainService>
 
+/** A service of either kind. */
 export const Service = z.discriminatedUnion('kind', [ModelService, PlainService])
 export type Service = z.infer<typeof Service>
 
--- a/packages/schema/src/handover.ts
+++ b/packages/schema/src/handover.ts
@@ -1,3 +1,7 @@
+/**
+ * What a home of keys hands to the next one: the marks of its lease and its book of runs. Sent between workers, never stored;
+ * workers of two versions serve side by side, so fields are added as optional only.
+ */
 import { z } from 'zod'
 
 /** Where a grant stands among those that one granter has given. */
--- a/packages/schema/src/placement.ts
+++ b/packages/schema/src/placement.ts
@@ -1,3 +1,7 @@
+/**
+ * What is stored about nodes and replicas: the platform's node list, placements, voters, and the entries' addresses. What is
+ * stored must stay readable: fields are added with a default, never renamed.
+ */
 import { z } from 'zod'
 
 /** A node as the platform lists it. */
--- a/packages/schema/src/report.ts
+++ b/packages/schema/src/report.ts
@@ -1,3 +1,7 @@
+/**
+ * What workers and entries tell each other: a worker's report, and the assignment and settings that it gets as the answer.
+ * Sent, never stored; entries and workers of two versions serve side by side, so fields are added as optional only.
+ */
 import { z } from 'zod'
 
 /** What a worker tells a few entries of its data centre about itself, again and again. */
@@ -72,6 +76,7 @@
 /** A node that belongs to no replica. */
 export const SpareAssignment = z.object({ kind: z.literal('spare'), revision: z.int() })
 
+/** What a worker has to do. */
 export const Assignment = z.discriminatedUnion('kind', [ModelAssignment, PlainAssignment, SpareAssignment])
 export type Assignment = z.infer<typeof Assignment>
 
--- a/packages/store/src/http.ts
+++ b/packages/store/src/http.ts
@@ -1,3 +1,7 @@
+/**
+ * The client of the platform's object API, in the protocol of docs/operators/platform.md. It owns a connection pool and
+ * the time-out of each call, and sorts failures into those that certainly had no effect and those that may have had one.
+ */
 import { Agent, request, type Dispatcher } from 'undici'
 import { Err, Ok, type Result } from 'ts-results-es'
 import { Fault } from '@eiderwind/fault'
@@ -18,6 +22,16 @@
   readonly body: unknown
 }
 
+/** How long a call may take unless the settings say otherwise, in ms. Chosen, not measured. */
+const defaultTimeout = 2000
+
+/** Most connections to the object API, and how long an idle one is kept, in ms. Chosen, not measured. */
+const mostConnections = 32
+const keepAlive = 10_000
+
+/** HTTP statuses of the protocol (RFC 9110) that the client tells apart. */
+const status = { ok: 200, notFound: 404, preconditionFailed: 412, serverError: 500 } as const
+
 /** Errors after which a request was certainly never sent. */
 const unsent = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'ENOTFOUND', 'EHOSTUNREACH', 'ENETUNREACH'])
 
@@ -29,12 +43,12 @@
 export class HttpStore extends Store {
   readonly #url: string
   readonly #timeout: number
-  readonly #agent = new Agent({ connections: 32, keepAliveTimeout: 10_000 })
+  readonly #agent = new Agent({ connections: mostConnections, keepAliveTimeout: keepAlive })
 
   constructor (options: HttpStoreOptions) {
     super()
     this.#url = options.url.replace(/\/$/, '')
-    this.#timeout = options.timeout ?? 2000
+    this.#timeout = options.timeout ?? defaultTimeout
   }
 
   async read (key: string): Promise<Result<Stored, Fault>> {
@@ -49,8 +63,8 @@
   async write (key: string, value: unknown, version: number): Promise<Result<number, Fault>> {
     const condition: Record<string, string> = version === 0 ? { 'if-none-match': '*' } : { 'if-match': `"${version}"` }
     const reply = await this.#call('PUT', `/objects/${key}`, { headers: condition, body: JSON.stringify(value) })
-    return reply.andThen(({ status, version: made }) => {
-      if (status === 412) return Err(new Fault('stale-revision', { detail: `The object ${key} is no longer at version ${version}.` }))
+    return reply.andThen(({ status: answered, version: made }) => {
+      if (answered === status.preconditionFailed) return Err(new Fault('stale-revision', { detail: `The object ${key} is no longer at version ${version}.` }))
       return Ok(made)
     })
   }
@@ -83,7 +97,7 @@
         body: options.body
       })
       const text = await response.body.text()
-      if (response.statusCode >= 500) return Err(lost(method, `The object API answered ${response.statusCode}.`))
+      if (response.statusCode >= status.serverError) return Err(lost(method, `The object API answered ${response.statusCode}.`))
       const version = Number(String(response.headers.etag ?? '"0"').replaceAll('"', ''))
       return Ok({ status: response.statusCode, version, body: text === '' ? null : JSON.parse(text) })
     } catch (error) {
@@ -95,8 +109,8 @@
 }
 
 function stored (key: string, reply: Reply): Result<Stored, Fault> {
-  if (reply.status === 404) return Ok({ key, version: 0, value: null })
-  if (reply.status !== 200) return Err(new Fault('store-down', { detail: `The object API answered ${reply.status} for ${key}.` }))
+  if (reply.status === status.notFound) return Ok({ key, version: 0, value: null })
+  if (reply.status !== status.ok) return Err(new Fault('store-down', { detail: `The object API answered ${reply.status} for ${key}.` }))
   return Ok({ key, version: reply.version, value: reply.body })
 }
 
--- a/packages/store/src/memory.ts
+++ b/packages/store/src/memory.ts
@@ -1,3 +1,7 @@
+/**
+ * The object API's semantics in memory: versions, conditional updates, watches. The stand-in of the platform serves it over
+ * HTTP, and tests use it in place of a platform. It owns its objects; nothing survives the process.
+ */
 import { Err, Ok, type Result } from 'ts-results-es'
 import { Fault } from '@eiderwind/fault'
 import { type Node } from '@eiderwind/schema'
@@ -9,7 +13,7 @@
   readonly done: () => void
 }
 
-/** The object API's semantics in memory: what the stand-in serves over HTTP, and a fake for tests of what lies above. */
+/** A store that lives in this process. Its calls never fail, except a write with another version than the present one. */
 export class MemoryStore extends Store {
   readonly #objects = new Map<string, Stored>()
   readonly #waiters = new Set<Waiter>()
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -1,3 +1,7 @@
+/**
+ * What the entries need of the platform's object API: versioned objects, conditional updates, watches, and the node list.
+ * It owns no state; implementations do. `HttpStore` is the client, `MemoryStore` the same semantics in memory.
+ */
 import { type Result } from 'ts-results-es'
 import { type Fault } from '@eiderwind/fault'
 import { type Node } from '@eiderwind/schema'
@@ -13,7 +17,7 @@
 /**
  * The platform's object API as the system uses it. Every call ends within its time-out. A write fails with
  * `stale-revision` when the version differs, with `store-down` when it was certainly not applied, and with
- * `store-unknown` when nobody can tell.
+ * `store-unknown` when it may have been.
  */
 export abstract class Store {
   /** The object, or one of version 0 and value `null` where there is none. */
