--- a/packages/config/src/change.ts
+++ b/packages/config/src/change.ts
@@ -1,3 +1,7 @@
+/**
+ * The changes that operators may make, and what each does to the configuration. Pure functions: `apply` gives a new value and
+ * leaves revision and audit trail to the `Writer`.
+ */
 import { z } from 'zod'
 import { Err, Ok, type Result } from 'ts-results-es'
 import { Fault } from '@eiderwind/fault'
@@ -35,7 +39,7 @@
   }
 }
 
-/** The change in a few words, for the audit trail. Keys and tokens never stand in it. */
+/** The change in a few words, for the audit trail. It never contains keys or tokens. */
 export function describe (change: Change): string {
   switch (change.type) {
     case 'put-service': return `put service ${change.service.name}`
--- a/packages/config/src/current.ts
+++ b/packages/config/src/current.ts
@@ -1,9 +1,13 @@
+/**
+ * The configuration in force in one process. It owns that one value and its listeners, and relies on revisions alone: whichever
+ * way a configuration arrives, only a higher revision replaces the present one.
+ */
 import { type Configuration, emptyConfiguration } from '@eiderwind/schema'
 
-/** Is told of each newer configuration. */
+/** Called with each newer configuration. */
 export type ConfigurationListener = (configuration: Configuration) => void
 
-/** The configuration in force in one process. Its revision only rises, whoever brings a configuration and in whichever order. */
+/** The configuration in force in one process. Its revision only rises, whatever the source and order of the configurations. */
 export class Current {
   #configuration = emptyConfiguration
   readonly #listeners = new Set<ConfigurationListener>()
@@ -24,7 +28,7 @@
     return true
   }
 
-  /** Tells `listener` of each newer configuration until the returned function is called. */
+  /** Calls `listener` with each newer configuration until the returned function is called. */
   listen (listener: ConfigurationListener): () => void {
     this.#listeners.add(listener)
     return () => { this.#listeners.delete(listener) }
--- a/packages/config/src/writer.ts
+++ b/packages/config/src/writer.ts
@@ -1,3 +1,8 @@
+/**
+ * Makes a change hold at the platform. All changes go through one object with conditional updates, so they have one order and
+ * one revision each. It owns no state; it relies on the store and on the operation id of a change, by which a change whose
+ * answer was lost is recognised. docs/design/configuration.md has the reasons.
+ */
 import { Err, Ok, type Result } from 'ts-results-es'
 import { type Clock } from '@eiderwind/clock'
 import { Fault } from '@eiderwind/fault'
@@ -14,6 +19,15 @@
 /** Records at which the older ones are moved out. */
 const fullAudit = 200
 
+/** How long to go on finding out what became of a write, unless set, in ms. Chosen, not measured. */
+const defaultPatience = 5000
+
+/** Pause between two reads while the store does not answer, in ms. Chosen, not measured. */
+const readPause = 100
+
+/** Digits of the revision in an audit object's key, so that keys sort by revision. */
+const revisionDigits = 12
+
 /** A change as an operator asks for it. */
 export interface ChangeOrder {
   /** The same for every try of one change, so that a try whose answer was lost is recognised. */
@@ -50,10 +64,10 @@
   constructor (options: WriterOptions) {
     this.#store = options.store
     this.#clock = options.clock
-    this.#patience = options.patience ?? 5000
+    this.#patience = options.patience ?? defaultPatience
   }
 
-  /** Makes the change, or tells why not. The configuration it gives has the change in force. */
+  /** Makes the change. Resolves with the configuration that contains it, or with the fault that says why not and whether it may hold. */
   async change (order: ChangeOrder): Promise<Result<Configuration, Fault>> {
     const end = this.#clock.now() + this.#patience
     let sent = false
@@ -62,7 +76,7 @@
       if (read.isErr()) {
         if (this.#clock.now() >= end) return Err(sent ? new Fault('store-unknown') : read.error)
         if (!sent) return read
-        await this.#clock.wait(100)
+        await this.#clock.wait(readPause)
         continue
       }
       const { version, configuration } = read.value
@@ -109,7 +123,7 @@
   async #archive ({ audit }: Configuration): Promise<Result<Audit[], Fault>> {
     if (audit.length < fullAudit) return Ok(audit)
     const old = audit.slice(0, -keptAudit)
-    const written = await this.#store.write(`audit/${String(old[0].to).padStart(12, '0')}`, old, 0)
+    const written = await this.#store.write(`audit/${String(old[0].to).padStart(revisionDigits, '0')}`, old, 0)
     if (written.isErr() && written.error.code !== 'stale-revision') return Err(new Fault('store-down', { detail: written.error.message }))
     return Ok(audit.slice(-keptAudit))
   }
--- a/packages/ctl/src/commands.ts
+++ b/packages/ctl/src/commands.ts
@@ -1,3 +1,7 @@
+/**
+ * The commands of `eiderwindctl` that call an entry: words, options and what each does. Plain data; `index.ts` gives them to the
+ * parser of the command line, `Session` carries the connection.
+ */
 import { type MessageInitShape } from '@bufbuild/protobuf'
 import { AuditSchema, ConfigurationSchema, StatusSchema, type ServiceSchema } from '@eiderwind/rpc'
 import { auditLines, configurationLines, statusLines } from './lines.js'
--- a/packages/ctl/src/lines.ts
+++ b/packages/ctl/src/lines.ts
@@ -1,3 +1,4 @@
+/** Configuration, status and audit trail as lines for a person. Pure functions; programs read the JSON output instead. */
 import { type Audit, type Configuration, type Service, type Status } from '@eiderwind/rpc'
 
 /** A configuration as lines for a person. */
--- a/packages/ctl/src/session.ts
+++ b/packages/ctl/src/session.ts
@@ -1,3 +1,7 @@
+/**
+ * One run of a command: the connection to an entry, the operator's token, and how results are written. It reads tokens and
+ * secrets from files or the environment and never prints them.
+ */
 import { createHash, randomUUID } from 'node:crypto'
 import { readFileSync } from 'node:fs'
 import { create, toJson, type DescMessage, type MessageShape } from '@bufbuild/protobuf'
--- a/packages/ctl/src/usage.ts
+++ b/packages/ctl/src/usage.ts
@@ -1,3 +1,4 @@
+/** The exit statuses of `eiderwindctl` and which error ends with which. docs/operators/commands.md lists them for operators. */
 import { Code, ConnectError } from '@connectrpc/connect'
 
 /** Something wrong with the words of the command line. */
@@ -14,13 +15,13 @@
   refused: 6
 } as const
 
-/** The exit status and the message for whatever went wrong. */
+/** The exit status and the message for an error. */
 export interface Verdict {
   readonly status: number
   readonly message: string
 }
 
-/** Judges an error. */
+/** The verdict on an error of the command line, the connection or the entry. */
 export function verdict (error: unknown): Verdict {
   if (error instanceof UsageError) return { status: statuses.usage, message: error.message }
   const { code, rawMessage, metadata } = ConnectError.from(error)
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,7 @@
-/** The command `eiderwind`: runs a role, or checks settings. */
+/**
+ * The command `eiderwind`: runs a role of the program with a worker beside each upstream, or checks a settings file of any
+ * role. The gateway on the users' platform is started by `platform/src/main.ts`.
+ */
 import sade from 'sade'
 import { problemLine, readSettings, type Role, type Settings } from '@eiderwind/settings'
 import { run } from '@eiderwind/life'
--- a/packages/daemon/src/roles.ts
+++ b/packages/daemon/src/roles.ts
@@ -1,3 +1,7 @@
+/**
+ * Makes an entry or a worker from its settings: the one place where settings, clock, log, metrics and store meet. It owns the
+ * order in which they are closed.
+ */
 import { SystemClock } from '@eiderwind/clock'
 import { Entry } from '@eiderwind/entry'
 import { Log, Metric } from '@eiderwind/log'
--- a/packages/run/src/attempts.ts
+++ b/packages/run/src/attempts.ts
@@ -1,6 +1,17 @@
+/**
+ * What one incarnation of a worker knows of attempts: which it has started, and which must never start. It owns two bounded
+ * tables and relies on a steady clock.
+ */
+
 /** What became of an attempt, as the worker that was to run it knows. */
 export type Fate = 'tombstoned' | 'started'
 
+/** Most attempts that are remembered on each side, unless set. Chosen, not measured: a bound of memory. */
+const defaultLimit = 100_000
+
+/** How long a tombstone stands, unless set, in ms. Chosen, not measured: longer than a request can be under way. */
+const defaultKeep = 600_000
+
 /** The bounds of what is remembered of attempts. */
 export interface AttemptsOptions {
   /** Most attempts that are remembered on each side. Default: 100,000. */
@@ -23,8 +34,8 @@
   #forgotten = -Infinity
 
   constructor (options: AttemptsOptions = {}) {
-    this.#limit = options.limit ?? 100_000
-    this.#keep = options.keep ?? 600_000
+    this.#limit = options.limit ?? defaultLimit
+    this.#keep = options.keep ?? defaultKeep
   }
 
   /** Notes that the attempt is being handed to the upstream at steady time `now`. False where it was tombstoned: it must not start. */
--- a/packages/run/src/book.ts
+++ b/packages/run/src/book.ts
@@ -1,3 +1,7 @@
+/**
+ * The record of the keys of one slot at its home: whether a request may run, what became of it, and its answer. It owns that
+ * record and relies on wall clocks that differ by one `skew` at the most. docs/design/runs.md has the proof in words.
+ */
 import { Fault } from '@eiderwind/fault'
 import { type KeptAnswer, type KeptBook, type KeptRun } from '@eiderwind/schema'
 import { readKey, type Key } from './key.js'
@@ -22,6 +26,18 @@
   | { readonly type: 'replay', readonly answer: StoredAnswer }
   | { readonly type: 'refuse', readonly fault: Fault }
 
+/** How far two wall clocks may differ, unless set, in ms. Chosen, not measured. */
+const defaultSkew = 2000
+
+/** How long a key is remembered after its minting, unless set, in ms. Chosen, not measured. */
+const defaultKeep = 600_000
+
+/** Most keys that are remembered at once, unless set. Chosen, not measured: a bound of memory. */
+const defaultLimit = 50_000
+
+/** Most bytes of answers that are kept, unless set. Chosen, not measured: a bound of memory. */
+const defaultBytes = 16 * 2 ** 20
+
 /** The bounds of a book. All spans are in ms. */
 export interface BookOptions {
   /** How far two wall clocks may differ, callers' and workers'. Default: 2000. */
@@ -66,10 +82,10 @@
    */
   constructor (openedAt: number, tenure: number, options: BookOptions = {}) {
     this.tenure = tenure
-    this.#skew = options.skew ?? 2000
-    this.#keep = options.keep ?? 600_000
-    this.#limit = options.limit ?? 50_000
-    this.#bytes = options.bytes ?? 16 * 2 ** 20
+    this.#skew = options.skew ?? defaultSkew
+    this.#keep = options.keep ?? defaultKeep
+    this.#limit = options.limit ?? defaultLimit
+    this.#bytes = options.bytes ?? defaultBytes
     this.#opened = openedAt + 2 * this.#skew
   }
 
--- a/packages/run/src/home.ts
+++ b/packages/run/src/home.ts
@@ -1,3 +1,7 @@
+/**
+ * The homes of keys of one worker: it owns the lease and the book of each slot that it holds or claims, and hands books on at
+ * planned stops. It relies on leases by a majority of the voters; docs/design/runs.md has the proof in words.
+ */
 import { type Clock } from '@eiderwind/clock'
 import { Lease, type Answer, type Channel, type Claim } from '@eiderwind/lease'
 import { type Handover } from '@eiderwind/schema'
@@ -5,7 +9,7 @@
 import { follows, sameVoters, type Inheritance } from './inheritance.js'
 import { slotCount } from './key.js'
 
-/** What a home tells about itself. */
+/** Called when this worker becomes, or stops being, the home of a slot. */
 export interface HomeListener {
   held? (slot: number): void
   lost? (slot: number): void
--- a/packages/run/src/inheritance.ts
+++ b/packages/run/src/inheritance.ts
@@ -1,3 +1,7 @@
+/**
+ * When a home of keys may use a book that another home handed to it. Pure functions; they rely on the marks of the granters
+ * (`@eiderwind/lease`), which show whether anyone held the slot in between.
+ */
 import { type Mark } from '@eiderwind/lease'
 import { type Handover } from '@eiderwind/schema'
 
--- a/packages/spread/src/beat.ts
+++ b/packages/spread/src/beat.ts
@@ -1,3 +1,8 @@
+/**
+ * The short form of a report between entries: only the counts, for a receiver that has the other parts, with many beats by
+ * columns in one message. Pure functions; the columns' names and order are sent.
+ */
+
 /** The counts of one report, for a receiver that knows its other parts. */
 export interface Beat {
   readonly worker: string
--- a/packages/spread/src/heard.ts
+++ b/packages/spread/src/heard.ts
@@ -1,9 +1,13 @@
+/**
+ * What this process has heard of each worker. It owns the latest report of each, with its age summed over the hops so that no
+ * clocks are compared, and relies on incarnations and sequence numbers to drop what is older.
+ */
 import { type Clock } from '@eiderwind/clock'
 import { digest } from '@eiderwind/hash'
 import { type Report } from '@eiderwind/schema'
 import { type Beat } from './beat.js'
 
-/** Who told this process of a report: the worker itself, an entry of the own data centre, or one of another. */
+/** Where a report came from: the worker itself, an entry of the own data centre, or one of another. */
 export type Source = 'worker' | 'near' | 'far'
 
 /** A report with what this process knows about its age. */
@@ -11,12 +15,12 @@
   readonly report: Report
   /** Digest of all in the report that seldom changes; a beat names it in place of that. */
   readonly stamp: number
-  /** When the worker made it, on this process's `Clock.now`, as far as the hops told. */
+  /** When the worker made it, on this process's `Clock.now`, by the ages summed over the hops. */
   readonly madeAt: number
   /** When it came to this process, on `Clock.now`. */
   readonly cameAt: number
   readonly source: Source
-  /** When another entry last told of this worker, newer or not, on `Clock.now`. */
+  /** When another entry last sent anything about this worker, newer or not, on `Clock.now`. */
   readonly relayedAt: number
 }
 
--- a/packages/spread/src/telling.ts
+++ b/packages/spread/src/telling.ts
@@ -1,16 +1,20 @@
+/**
+ * What each peer has been sent, so that the parts of a report that seldom change are sent to it once. It owns a small record a
+ * peer and relies on the peer to name the reports that it lacks.
+ */
 import { type Clock } from '@eiderwind/clock'
 import { type Beat } from './beat.js'
 import { type AgedReport, type Heard } from './heard.js'
 
-/** What is told to one peer in one message. */
+/** What one message to a peer carries. */
 export interface News {
-  /** Reports with parts that the peer has not been told yet. */
+  /** Reports with parts that the peer has not been sent yet. */
   readonly reports: readonly AgedReport[]
   /** Counts of reports whose other parts the peer has. */
   readonly beats: readonly Beat[]
 }
 
-/** What a peer has been told. */
+/** What a peer has been sent. */
 interface Told {
   /** Time of the last message that arrived, on `Clock.now`. */
   at: number
@@ -18,7 +22,7 @@
   readonly stamps: Map<string, number>
 }
 
-/** Remembers what each peer was told, so that the parts of a report that seldom change go to it once. */
+/** Remembers what each peer was sent, so that the parts of a report that seldom change go to it once. */
 export class Telling {
   readonly #clock: Clock
   readonly #told = new Map<string, Told>()
@@ -32,7 +36,7 @@
     return this.#told.get(peer)?.at ?? -Infinity
   }
 
-  /** What to tell a peer of some reports. */
+  /** What to send to a peer about some reports. */
   news (peer: string, heard: readonly Heard[]): News {
     const now = this.#clock.now()
     const stamps = this.#told.get(peer)?.stamps
@@ -56,7 +60,7 @@
     this.#told.set(peer, told)
   }
 
-  /** Forgets what a peer was told, since it may have started anew. */
+  /** Forgets what a peer was sent, since it may have started anew. */
   failed (peer: string): void {
     this.#told.delete(peer)
   }
--- a/packages/spread/src/topology.ts
+++ b/packages/spread/src/topology.ts
@@ -1,17 +1,22 @@
+/**
+ * Which entry talks to which, which two a worker reports to, and which one acts on a subject. Pure functions of the entries
+ * believed live, by rendezvous hashing. docs/design/spread.md has the rule, its cost at size and what was dropped.
+ */
 import { ranked } from '@eiderwind/hash'
 import { type EntryAddress } from '@eiderwind/schema'
 
-/** Whom an entry tells what it hears. */
+/** The entries to which one entry passes on what it hears. */
 export interface Duties {
   /** The entries of its own data centre. */
   readonly near: readonly EntryAddress[]
-  /** For each other data centre that it is responsible for: whom to tell there, in the order of trying. */
+  /** The other data centres that it is responsible for. */
   readonly far: readonly FarDuty[]
 }
 
 /** One other data centre that an entry is responsible for. */
 export interface FarDuty {
   readonly dataCentre: string
+  /** Its entries, in the order in which they are tried. */
   readonly counterparts: readonly EntryAddress[]
 }
 
@@ -22,7 +27,7 @@
 const reportedTo = 2
 
 /**
- * The duties of `self` among the entries believed live. Within a data centre each entry tells each other one; between
+ * The duties of `self` among the entries believed live. Within a data centre each entry talks to each other one; between
  * two data centres only one responsible entry talks, chosen by rendezvous hashing. So an entry talks with its own
  * data centre and with a few others, never with all. The responsible entry is one of those believed live, so that
  * another takes over some seconds after it is gone.
