--- a/packages/bench/src/figures.ts
+++ b/packages/bench/src/figures.ts
@@ -1,3 +1,7 @@
+/**
+ * The figures of the bench: their form, the results file docs/results.json, and the figure of several runs. `Figures` owns what one
+ * run has measured and writes it figure by figure, so that a run that breaks off leaves what it had.
+ */
 import { readFileSync, writeFileSync } from 'node:fs'
 
 /** One measured figure. */
@@ -17,7 +21,7 @@
 /** Where the committed results are. */
 const resultsFile = new URL('../../../../docs/results.json', import.meta.url)
 
-/** Collects figures, prints each as a line of JSON, and writes the results file with each, so that a run that is cut off leaves what it had. */
+/** Collects figures, prints each as a line of JSON, and writes the results file with each. */
 export class Figures {
   readonly #all: Figure[] = []
   readonly #writes: boolean
@@ -47,9 +51,12 @@
   return JSON.parse(readFileSync(resultsFile, 'utf8')) as Figure[]
 }
 
-/** A number with three digits that count. */
+/** Digits of a figure that count: the noise of the runs is far above a thousandth. */
+const digits = 3
+
+/** A number with the digits that count. */
 export function rounded (value: number): number {
-  return Number(value.toPrecision(3))
+  return Number(value.toPrecision(digits))
 }
 
 /** The figure of several runs: median, least and most. */
--- a/packages/bench/src/fit.ts
+++ b/packages/bench/src/fit.ts
@@ -1,3 +1,4 @@
+/** A straight line through measurements at several sizes, by least squares: what one more of something costs, with its error. */
 import { rounded, type Figure } from './figures.js'
 
 /** One measurement at one size. */
--- a/packages/bench/src/usage.ts
+++ b/packages/bench/src/usage.ts
@@ -1,3 +1,4 @@
+/** What a process uses, read from /proc (Linux only), and the load that the measurements put on it. */
 import { readFileSync } from 'node:fs'
 
 /** Clock ticks a second in /proc (proc(5); 100 on every Linux in use). */
--- a/packages/trial/src/child.ts
+++ b/packages/trial/src/child.ts
@@ -1,3 +1,7 @@
+/**
+ * A child process of a development tool or a test. It owns the process and the last lines that it wrote, read as JSON, and waits
+ * for the line that a caller describes.
+ */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { createInterface } from 'node:readline'
 
--- a/packages/trial/src/engine.ts
+++ b/packages/trial/src/engine.ts
@@ -1,3 +1,7 @@
+/**
+ * The stand-in of a model engine: completions, streams, fenced orders, export and import of KV caches. It owns what it has loaded
+ * and a record of what has happened; its answers depend on the prompt alone, so that tests can check them.
+ */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { digest } from '@eiderwind/hash'
 import { StandIn, answerJson, bodyText } from './http.js'
--- a/packages/trial/src/fleet.ts
+++ b/packages/trial/src/fleet.ts
@@ -1,3 +1,7 @@
+/**
+ * Entries, workers and stand-ins as processes on loopback, for the local trial, the bench and tests. It owns the processes and a
+ * folder with their settings, and ends and removes all of them with `stop`.
+ */
 import { createHash } from 'node:crypto'
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
--- a/packages/trial/src/forwarder.ts
+++ b/packages/trial/src/forwarder.ts
@@ -1,3 +1,4 @@
+/** A TCP proxy on loopback that counts bytes and can be cut, for the bench and tests. It owns its listener and its connections. */
 import { connect, createServer, type Server, type Socket } from 'node:net'
 
 /** Forwards TCP connections on loopback, until they are cut. */
--- a/packages/trial/src/http.ts
+++ b/packages/trial/src/http.ts
@@ -1,3 +1,4 @@
+/** What the stand-ins have in common: a server on loopback, reading a body, answering with JSON. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 
 /** A stand-in that serves HTTP on loopback. */
--- a/packages/trial/src/plainservice.ts
+++ b/packages/trial/src/plainservice.ts
@@ -1,3 +1,4 @@
+/** The stand-in of a plain service. It owns the list of requests that it has run, by which tests count executions. */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { StandIn, answerJson, bodyText } from './http.js'
 
--- a/packages/trial/src/platform.ts
+++ b/packages/trial/src/platform.ts
@@ -1,3 +1,7 @@
+/**
+ * The stand-in of the platform's object API and node list, as docs/operators/platform.md describes them. It owns the objects, and
+ * fails as it is ordered to.
+ */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { type Node } from '@eiderwind/schema'
 import { MemoryStore } from '@eiderwind/store'
