--- a/packages/detect/src/pauses.ts
+++ b/packages/detect/src/pauses.ts
@@ -1,6 +1,6 @@
 /**
  * Notices when this process itself was paused: frozen, or without a processor. What it timed meanwhile says nothing about
- * others, so whoever measures silence compares with `resumedAt` first.
+ * others, so code that measures silence compares with `resumedAt` first.
  * Owns a timer and the time of its last tick; relies on the steady clock running on during a pause.
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
--- a/packages/gateway/src/confirmations.ts
+++ b/packages/gateway/src/confirmations.ts
@@ -1,7 +1,7 @@
 /**
  * Keeps this gateway's confirmation of the configuration young, by asking other gateways where the store does not answer
  * it. A key that was taken away must not be served for longer than a bound, so requests with keys need a confirmation that
- * is young enough; one that is cut off from the store alone goes on by what the others confirm.
+ * is young enough; one that is cut off from the store alone serves on by what the others confirm.
  * A confirmation counts from when it was first asked for: the asker takes the time at which it asked, less the age that it
  * hears. Owns only its timer; what it learns goes to the board.
  */
--- a/packages/gateway/src/demand.ts
+++ b/packages/gateway/src/demand.ts
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Each model's share of the work, from 0 to 1; empty while there are too few requests to tell. */
+  /** Each model's share of the work, from 0 to 1; empty while there are too few requests. */
   get demand (): Demand {
     const total = [...this.#smoothed.values()].reduce((sum, each) => sum + each, 0)
     return total < fewestRequests ? new Map() : new Map([...this.#smoothed].map(([model, count]) => [model, count / total]))
--- a/packages/gateway/src/facts.ts
+++ b/packages/gateway/src/facts.ts
@@ -24,10 +24,11 @@
   readonly store: boolean
   /** Whether the list of gateways was ever read. */
   readonly listed: boolean
-  /** Whether the process was told to stop. */
+  /** Whether the process has got the signal to stop. */
   readonly stopping: boolean
 }
 
+/** The board of a gateway. */
 export type GatewayBoard = Board<GatewayFacts>
 
 /** The board of a process that knows nothing yet. */
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -3,12 +3,10 @@
  * the steps of a planned stop; which part holds which rule is in the README.
  * Owns every part and the board that they share. Relies on `Platform` for all that the users' platform says and keeps.
  */
-import { type Clock } from '@eiderwind/clock'
 import { InFlight, Pauses, Stalls, Suspects } from '@eiderwind/detect'
 import { Choice, Queue } from '@eiderwind/dispatch'
-import { Reconciler, type Order, type OrderResult } from '@eiderwind/forming'
+import { type Reconciler } from '@eiderwind/forming'
 import { type Context } from '@eiderwind/forward'
-import { type Log } from '@eiderwind/log'
 import { Peers, type Heartbeat } from '@eiderwind/peers'
 import { Outage, Roster } from '@eiderwind/roster'
 import { Connections } from '@eiderwind/wire'
@@ -22,19 +20,10 @@
 import { Leadership } from './leadership.js'
 import { Metrics } from './metrics.js'
 import { PeerServer } from './peerserver.js'
-import { type Platform } from './platform.js'
-import { Relay } from './relay.js'
+import { makeReconciler } from './planning.js'
 import { RequestLog } from './requestlog.js'
 import { Sampling } from './sampling.js'
-import { type GatewaySettings } from './settings.js'
-
-/** What a gateway is made from. */
-export interface GatewayOptions {
-  readonly clock: Clock
-  readonly log: Log
-  readonly platform: Platform
-  readonly settings: GatewaySettings
-}
+import { type GatewayOptions } from './settings.js'
 
 /** Time between two heartbeats to other gateways, and silence after which one counts as gone, in ms. Chosen, not measured. */
 const heartbeatInterval = 250
@@ -90,7 +79,19 @@
     this.#peerServer = new PeerServer({ clock, board, address: settings.peers, orders: platform.orders })
     this.#health = new Health(settings.health, () => this.ready)
     this.#stalls = this.#makeStalls()
-    this.#reconciler = this.#makeReconciler()
+    this.#reconciler = makeReconciler({
+      ...options,
+      board,
+      roster: this.#roster,
+      suspects: this.#suspects,
+      pauses: this.#pauses,
+      peers,
+      connections: this.#connections,
+      leadership: this.#leadership,
+      modelLoad: this.#modelLoad,
+      metrics: this.#metrics,
+      served: () => this.#callers.served
+    })
     this.#sampling = new Sampling({ clock, log, board, platform, peers, inFlight: this.#inFlight, modelLoad: this.#modelLoad, leadership: this.#leadership, fresh: () => this.#callers.fresh })
     this.#roster.listen(() => this.#queue.wake())
   }
@@ -166,32 +167,6 @@
     })
   }
 
-  #makeReconciler (): Reconciler {
-    const { clock, log, platform, settings } = this.#options
-    return new Reconciler({
-      clock,
-      roster: this.#roster,
-      orders: new Relay({ clock, orders: platform.orders, peers: this.#peers, connections: this.#connections }),
-      probes: platform.probes,
-      heartbeatInterval: settings.pulse,
-      resumedAt: () => this.#pauses.resumedAt,
-      placements: platform.placements,
-      services: () => this.#board.read('inForce')?.traffic.services ?? [],
-      leads: service => this.#leadership.plans(service),
-      suspects: () => new Set([...this.#suspects.all, ...this.#peers.live.flatMap(each => each.suspects)]),
-      demand: () => this.#modelLoad.demand,
-      beforeTraffic: () => settings.first && !this.#callers.served && !this.#peers.live.some(each => each.served),
-      decided: (domain, note, epoch) => log.write('replica-decided', { domain, note, epoch }),
-      ordered: (order, result, took) => this.#ordered(order, result, took),
-      failed: error => log.write('controller-failed', { controller: 'forming', cause: String((error as Error).stack) })
-    })
-  }
-
-  #ordered ({ kind, node: upstream, replica, epoch, model }: Order, result: OrderResult, took: number): void {
-    this.#metrics.ordered(kind, result)
-    this.#options.log.write('engine-order', { kind, upstream, replica, epoch, model, result, took: Math.round(took) })
-  }
-
   /** What other gateways hear of this one. */
   #heartbeat (): Heartbeat {
     return {
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
 /** The process between callers and upstreams. */
-export { Gateway, type GatewayOptions } from './gateway.js'
-export { type GatewaySettings } from './settings.js'
+export { Gateway } from './gateway.js'
+export { type GatewayOptions, type GatewaySettings } from './settings.js'
 export { Platform, type PlatformListener } from './platform.js'
--- a/packages/gateway/src/messages.ts
+++ b/packages/gateway/src/messages.ts
@@ -64,6 +64,7 @@
   return ConfirmationMessage.parse(JSON.parse(text))
 }
 
+/** An order for another gateway to relay. */
 export function encodeOrder ({ kind, node, address, replica, epoch, model, members, manner, loads, spare, fence }: Order): string {
   return JSON.stringify({ kind, node, address, replica, epoch, model, members, manner, loads, spare, fence })
 }
@@ -73,6 +74,7 @@
   return OrderMessage.parse(JSON.parse(text))
 }
 
+/** What became of a relayed order. */
 export function encodeResult (result: OrderResult): string {
   return JSON.stringify({ result })
 }
--- a/packages/gateway/src/relay.ts
+++ b/packages/gateway/src/orderrelay.ts
@@ -9,8 +9,8 @@
 import { ask, type Connections } from '@eiderwind/wire'
 import { decodeResult, encodeOrder, paths } from './messages.js'
 
-/** Dependencies of `Relay`. */
-export interface RelayOptions {
+/** Dependencies of `OrderRelay`. */
+export interface OrderRelayOptions {
   readonly clock: Clock
   /** Gives orders from this gateway. */
   readonly orders: Orders
@@ -25,10 +25,10 @@
 const answerTime = 900
 
 /** Orders to engines, with the relay. */
-export class Relay extends Orders {
-  readonly #options: RelayOptions
+export class OrderRelay extends Orders {
+  readonly #options: OrderRelayOptions
 
-  constructor (options: RelayOptions) {
+  constructor (options: OrderRelayOptions) {
     super()
     this.#options = options
   }
--- /dev/null
+++ b/packages/gateway/src/planning.ts
@@ -0,0 +1,58 @@
+/**
+ * Connects the reconciler of `forming` to this gateway: what it reads from the other parts, and how its decisions and
+ * orders are logged and counted.
+ */
+import { type Pauses, type Suspects } from '@eiderwind/detect'
+import { Reconciler, type Order, type OrderResult } from '@eiderwind/forming'
+import { type Peers } from '@eiderwind/peers'
+import { type Roster } from '@eiderwind/roster'
+import { type Connections } from '@eiderwind/wire'
+import { type ModelLoad } from './demand.js'
+import { type GatewayBoard } from './facts.js'
+import { type Leadership } from './leadership.js'
+import { type Metrics } from './metrics.js'
+import { OrderRelay } from './orderrelay.js'
+import { type GatewayOptions } from './settings.js'
+
+/** The parts that planning reads or reports to. */
+export interface PlanningOptions extends GatewayOptions {
+  readonly board: GatewayBoard
+  readonly roster: Roster
+  readonly suspects: Suspects
+  readonly pauses: Pauses
+  readonly peers: Peers
+  readonly connections: Connections
+  readonly leadership: Leadership
+  readonly modelLoad: ModelLoad
+  readonly metrics: Metrics
+  /** Whether this gateway ever had a request of a caller. */
+  readonly served: () => boolean
+}
+
+/** The reconciler of this gateway, not started. */
+export function makeReconciler (options: PlanningOptions): Reconciler {
+  const { clock, log, platform, settings, board, roster, suspects, pauses, peers, connections, leadership, modelLoad, served } = options
+  return new Reconciler({
+    clock,
+    roster,
+    orders: new OrderRelay({ clock, orders: platform.orders, peers, connections }),
+    probes: platform.probes,
+    heartbeatInterval: settings.pulse,
+    resumedAt: () => pauses.resumedAt,
+    placements: platform.placements,
+    services: () => board.read('inForce')?.traffic.services ?? [],
+    leads: service => leadership.plans(service),
+    suspects: () => new Set([...suspects.all, ...peers.live.flatMap(each => each.suspects)]),
+    demand: () => modelLoad.demand,
+    beforeTraffic: () => settings.first && !served() && !peers.live.some(each => each.served),
+    decided: (domain, note, epoch) => log.write('replica-decided', { domain, note, epoch }),
+    ordered: (order, result, took) => report(options, order, result, took),
+    failed: error => log.write('controller-failed', { controller: 'forming', cause: String((error as Error).stack) })
+  })
+}
+
+/** @param took time from the order to its answer, in ms */
+function report ({ log, metrics }: PlanningOptions, { kind, node: upstream, replica, epoch, model }: Order, result: OrderResult, took: number): void {
+  metrics.ordered(kind, result)
+  log.write('engine-order', { kind, upstream, replica, epoch, model, result, took: Math.round(took) })
+}
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -2,6 +2,17 @@
  * What a gateway is configured with, checked and derived from the operators' settings by the platform's adapter.
  * The INI names of what operators set are in `settings` (docs/operators/settings.md).
  */
+import { type Clock } from '@eiderwind/clock'
+import { type Log } from '@eiderwind/log'
+import { type Platform } from './platform.js'
+
+/** What a gateway is made from. */
+export interface GatewayOptions {
+  readonly clock: Clock
+  readonly log: Log
+  readonly platform: Platform
+  readonly settings: GatewaySettings
+}
 
 /** Settings of a gateway. Spans are in ms. */
 export interface GatewaySettings {
