--- a/packages/forming/src/placement.ts
+++ b/packages/forming/src/placement.ts
@@ -1,38 +1,38 @@
 /**
- * What was decided for a fabric domain: its targets and its replicas. Owns the schemas of the stored object, so a field
- * renamed here is renamed in the store. Relies on `Placements` to keep it beyond the life of every process.
+ * What was decided for a fabric domain: its targets and its replicas. Owns the types of it; the form in which it is stored is
+ * the adapter's. Relies on `Placements` to keep it beyond the life of every process.
  */
-import { z } from 'zod'
 import { type Result } from 'ts-results-es'
+import { type Counts } from './targets.js'
 
 /** A node of a replica. Its address is kept so that it can be reached after the platform no longer lists it. */
-export const Member = z.object({ id: z.string(), address: z.string() })
-export type Member = z.infer<typeof Member>
+export interface Member {
+  readonly id: string
+  readonly address: string
+}
 
 /** A replica that was decided on. Its members never change: a repair makes another replica, with a higher epoch. */
-export const PlannedReplica = z.object({
+export interface PlannedReplica {
   /** The domain's key and the epoch, as `KEY.EPOCH`: unique over all planners. */
-  name: z.string(),
-  model: z.string(),
-  epoch: z.int().min(1),
-  /** The head first. */
-  members: z.array(Member).min(1),
+  readonly name: string
+  readonly model: string
+  readonly epoch: number
+  /** At least one; the head first. */
+  readonly members: readonly Member[]
   /** Whether it gives its engines to another model: it is closed, then dissolved. */
-  retiring: z.boolean().optional()
-})
-export type PlannedReplica = z.infer<typeof PlannedReplica>
+  readonly retiring?: boolean
+}
 
 /** The desired state of one domain. It is stored before any order that depends on it is given. */
-export const Placement = z.object({
+export interface Placement {
   /** The domain's key, `SERVICE.DOMAIN`. */
-  domain: z.string(),
+  readonly domain: string
   /** The highest epoch assigned here so far. */
-  epoch: z.int().min(0),
-  replicas: z.array(PlannedReplica),
+  readonly epoch: number
+  readonly replicas: readonly PlannedReplica[]
   /** Replicas of each model that the domain should have. */
-  targets: z.record(z.string(), z.int()).default({})
-})
-export type Placement = z.infer<typeof Placement>
+  readonly targets: Counts
+}
 
 /** The placement of a domain before any decision. */
 export function emptyPlacement (domain: string): Placement {
