--- a/packages/detect/src/liveness.ts
+++ b/packages/detect/src/liveness.ts
@@ -80,7 +80,7 @@
     return this.#unreachable
   }
 
-  /** Ids of heads that certainly serve no more. */
+  /** Ids of heads that certainly no longer serve. */
   get dead (): ReadonlySet<string> {
     return this.#dead
   }
--- a/packages/detect/src/suspects.ts
+++ b/packages/detect/src/suspects.ts
@@ -15,11 +15,11 @@
 interface Suspicion {
   /** When it began, or when a request was last sent there, on `Clock.now`. */
   at: number
-  /** Name of the replica that the upstream headed then; empty where it headed none. */
+  /** Name of the replica that the upstream belonged to then, as head or member; empty where it belonged to none. */
   readonly replica: string
 }
 
-/** Suspected upstreams. A suspicion ends when anything is received, or when the upstream heads another replica. */
+/** Suspected upstreams. A suspicion ends when anything is received, or when the upstream's replica is another one, or none. */
 export class Suspects {
   readonly #clock: Clock
   readonly #roster: Roster
--- a/packages/dispatch/src/choice.ts
+++ b/packages/dispatch/src/choice.ts
@@ -53,7 +53,10 @@
     return best !== undefined && load(best) < engine.slots * (1 + overhang) ? best : undefined
   }
 
-  /** The upstream of a plain service that should answer soonest, or undefined if all were tried. */
+  /**
+   * The upstream of a plain service that should answer soonest, or undefined if all were tried. Suspicions are not asked: failures
+   * raise its cost (`Observations`).
+   */
   plain (service: string, tried: ReadonlySet<string>): Upstream | undefined {
     const { roster, inFlight } = this.#options
     const upstreams = roster.available(service).filter(({ id }) => !tried.has(id))
--- a/packages/dispatch/src/refusals.ts
+++ b/packages/dispatch/src/refusals.ts
@@ -31,7 +31,7 @@
 const replicaMended = 1.8
 
 /**
- * After `busy`, in seconds. Requests that run now have ended in part by then, and a caller with a deadline of 6 s has
+ * After `busy`, in seconds. Some of the requests that run now will have ended by then, and a caller with a deadline of 6 s has
  * over 5 s left. Raised from 0.4 in a54e6b1, whose runs measured it only together with other changes.
  */
 const roomFreed = 0.9
@@ -40,7 +40,7 @@
 export const refusals = {
   /** This gateway has no configuration yet, no list of upstreams yet, or no fresh confirmation of its configuration. */
   behind (detail?: string): Fault {
-    return new Fault('behind', { detail, retryAfter: otherGateway })
+    return new Fault('behind', { detail, retryAfter: otherGateway, remedy: 'Send the request again; another gateway has the present configuration.' })
   },
 
   /** This gateway is about to end. */
--- a/packages/dispatch/src/retry.ts
+++ b/packages/dispatch/src/retry.ts
@@ -17,7 +17,7 @@
 /** `free`: send it again. `budgeted`: send it again only if the retry budget grants a retry. */
 export type RetryDecision = 'no' | 'free' | 'budgeted'
 
-/** Whether a request is sent again after an attempt. An attempt that never left costs no upstream anything, so neither does its retry. */
+/** Whether a request is sent again after an attempt. An attempt of which nothing was sent costs no upstream anything, so neither does its retry. */
 export function decideRetry ({ result, repeatable, hasAttemptsLeft }: RetryInputs): RetryDecision {
   if (isSuccess(result)) return 'no'
   if (result.kind !== 'not-run' && !repeatable) return 'no'
--- a/packages/dispatch/test/decisions.test.ts
+++ b/packages/dispatch/test/decisions.test.ts
@@ -55,8 +55,8 @@
     refusals.deadline(true)
   ]
   t.deepEqual(all.map(({ code, status, outcome, retryAfter, message }) => `${code} ${status} ${outcome} ${retryAfter ?? '-'} ${message}`), [
-    'behind 503 not-run 0.2 Send the request again; another entry has the present configuration.',
-    'behind 503 not-run 0.2 Why. Send the request again; another entry has the present configuration.',
+    'behind 503 not-run 0.2 Send the request again; another gateway has the present configuration.',
+    'behind 503 not-run 0.2 Why. Send the request again; another gateway has the present configuration.',
     'leaving 503 not-run 0.2 Send the request again; another process will take it.',
     'header-too-large 431 not-run - Send fewer or shorter headers.',
     'bad-request 400 not-run - Why. Correct the request as the message says and send it again.',
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -1,7 +1,8 @@
 /**
  * Which gateway plans the replicas of a service, and which ones poll the store for confirmations of the configuration.
- * Nothing is agreed: each gateway ranks the ids it has heard lately by rendezvous hashing, so two may act for a moment
- * while their views differ. That is safe, because a placement is written under its version and engines refuse lower
+ * Nothing is agreed: each gateway ranks the ids it has heard lately by rendezvous hashing, so two may act while their
+ * views differ: for a moment in fleets of up to 13 gateways, lastingly in larger ones, where each sends its heartbeat to 12 others.
+ * That is safe, because a placement is written under its version and engines refuse lower
  * epochs; it is only wasteful, hence the waits below.
  * Owns which services this gateway plans, for the log. Relies on heartbeats (`Peers`) and on the board.
  */
@@ -28,8 +29,8 @@
 }
 
 /**
- * How long a gateway that has started, or resumed after a pause, waits before it plans, in ms: the 1000 ms after which a silent gateway
- * counts as gone, and a margin, so that it has heard every other one. Raised after soak 140 (docs/INCIDENTS.md).
+ * How long a gateway that has started, or resumed after a pause, waits before it plans, in ms: the 1000 ms (`heartbeatTimeout` in gateway.ts) after which a silent
+ * gateway counts as gone, and a margin, so that it has heard every other one. Raised after soak 140 (docs/INCIDENTS.md).
  */
 const settleTime = 1100
 
--- a/packages/peers/src/heartbeat.ts
+++ b/packages/peers/src/heartbeat.ts
@@ -15,7 +15,7 @@
   readonly canPlan: boolean
   /** Its requests in flight, by upstream id. */
   readonly inFlight: Readonly<Record<string, number>>
-  /** Ids of the replica heads that it suspects of having stalled. */
+  /** Ids of the upstreams that it suspects: heads that have stalled, and upstreams that took no connection. */
   readonly suspects: readonly string[]
   /** Its requests in flight, by model. */
   readonly inFlightByModel: Readonly<Record<string, number>>
--- a/packages/roster/src/upstream.ts
+++ b/packages/roster/src/upstream.ts
@@ -1,5 +1,5 @@
 /**
- * An upstream as the store lists it, in the project's words. The adapter (`platform/src/translate.ts`) makes these
+ * An upstream as the store lists it, in the project's words. The adapter (`platform/src/upstreams.ts`) makes these
  * from the store's records; they are neither stored nor sent in this form.
  */
 import { z } from 'zod'
