--- a/packages/gateway/src/confirmations.ts
+++ b/packages/gateway/src/confirmations.ts
@@ -8,7 +8,7 @@
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type PeerAddress, type Peers } from '@eiderwind/peers'
 import { ask, type Connections } from '@eiderwind/wire'
-import { confirm, enforce, type GatewayBoard } from './facts.js'
+import { confirm, enforce, revisionInForce, type GatewayBoard } from './facts.js'
 import { confirmationTarget, decodeConfirmation } from './messages.js'
 
 /** Dependencies of `Confirmations`. */
@@ -67,10 +67,8 @@
 
   /** Live gateways, those with a later configuration first. */
   #livePeers (ahead: ReadonlySet<string>): PeerAddress[] {
-    const { peers } = this.#options
-    const live = new Set(peers.live.map(each => each.id))
     const rank = ({ id }: PeerAddress): number => ahead.has(id) ? 0 : 1
-    return peers.addresses.filter(({ id }) => live.has(id)).sort((a, b) => rank(a) - rank(b))
+    return this.#options.peers.liveAddresses.sort((a, b) => rank(a) - rank(b))
   }
 
   async #ask ({ address }: PeerAddress, revision: number): Promise<void> {
@@ -84,6 +82,6 @@
   }
 
   get #revision (): number {
-    return this.#options.board.read('inForce')?.traffic.revision ?? 0
+    return revisionInForce(this.#options.board)
   }
 }
--- a/packages/gateway/src/facts.ts
+++ b/packages/gateway/src/facts.ts
@@ -49,3 +49,8 @@
 export function confirm (board: GatewayBoard, askedAt: number): void {
   if (askedAt > board.read('confirmedAt')) board.write('confirmedAt', askedAt)
 }
+
+/** Revision of the configuration in force; 0 before there is one. */
+export function revisionInForce (board: GatewayBoard): number {
+  return board.read('inForce')?.traffic.revision ?? 0
+}
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -14,7 +14,7 @@
 import { Callers } from './callers.js'
 import { Confirmations } from './confirmations.js'
 import { ModelLoad } from './demand.js'
-import { gatewayBoard } from './facts.js'
+import { gatewayBoard, revisionInForce } from './facts.js'
 import { platformListener } from './listener.js'
 import { Health } from './health.js'
 import { Leadership } from './leadership.js'
@@ -171,7 +171,7 @@
   #heartbeat (): Heartbeat {
     return {
       id: this.#options.settings.id,
-      revision: this.#board.read('inForce')?.traffic.revision ?? 0,
+      revision: revisionInForce(this.#board),
       canPlan: this.#leadership.eligible,
       inFlight: this.#inFlight.counts,
       suspects: this.#suspects.all,
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -11,7 +11,7 @@
 import { type Roster } from '@eiderwind/roster'
 import { listen, type Connections } from '@eiderwind/wire'
 import { type Budgets } from './budgets.js'
-import { type GatewayBoard } from './facts.js'
+import { revisionInForce, type GatewayBoard } from './facts.js'
 
 /** The parts that the gauges read. */
 export interface MetricsOptions {
@@ -117,7 +117,7 @@
         }
       })
     }
-    single('eiderwind_configuration_revision', 'Revision of the configuration in force.', () => board.read('inForce')?.traffic.revision ?? 0)
+    single('eiderwind_configuration_revision', 'Revision of the configuration in force.', () => revisionInForce(board))
     single('eiderwind_confirmation_age_seconds', 'Age of the newest confirmation of the configuration.', () => (clock.now() - board.read('confirmedAt')) / 1000)
     single('eiderwind_flights', 'Requests in flight at upstreams.', () => inFlight.total)
     single('eiderwind_waiting', 'Requests queued for an upstream.', () => queue.count)
--- a/packages/gateway/src/orderrelay.ts
+++ b/packages/gateway/src/orderrelay.ts
@@ -36,16 +36,10 @@
   async give (order: Order): Promise<OrderResult> {
     const result = await this.#options.orders.give(order)
     if (result !== 'unanswered' || order.kind !== 'close') return result
-    const results = await Promise.all(this.#livePeers().map(async peer => await this.#relay(peer, order)))
+    const results = await Promise.all(this.#options.peers.liveAddresses.slice(0, relays).map(async peer => await this.#relay(peer, order)))
     return results.find(each => each !== 'unanswered') ?? 'unanswered'
   }
 
-  #livePeers (): PeerAddress[] {
-    const { peers } = this.#options
-    const live = new Set(peers.live.map(each => each.id))
-    return peers.addresses.filter(each => live.has(each.id)).slice(0, relays)
-  }
-
   async #relay ({ address }: PeerAddress, order: Order): Promise<OrderResult> {
     const { clock, connections } = this.#options
     const call = { origin: `http://${address}`, path: paths.order, method: 'POST', headers: {}, body: Buffer.from(encodeOrder(order)) }
--- a/packages/peers/src/peers.ts
+++ b/packages/peers/src/peers.ts
@@ -67,6 +67,12 @@
     return this.#addresses
   }
 
+  /** Addresses of the listed gateways that are live, in the order of the list. */
+  get liveAddresses (): PeerAddress[] {
+    const live = new Set(this.live.map(each => each.id))
+    return this.addresses.filter(({ id }) => live.has(id))
+  }
+
   /** Ids of the live peers that may plan replicas. */
   get planners (): string[] {
     return this.live.filter(each => each.canPlan).map(each => each.id)
