--- a/packages/limits/src/cold.ts
+++ b/packages/limits/src/cold.ts
@@ -1,7 +1,9 @@
 /**
- * Which upstreams are cold, and how many requests a second one takes meanwhile: after a start, or when it says so, an upstream falls over at a load that it bears later. Owns these
- * beliefs, by the identity of an upstream's life. They are kept as times left, counted from when they were read, so that all that goes wrong on the way (a record read late, a
- * suspension, a report that was under way for long) has an upstream count as cold for longer, never for shorter.
+ * Tracks which upstreams are cold, and how many requests a second each of them gets. A cold upstream has just
+ * started, or says that it is cold, and fails at a load that it bears later. Owns this state, by the identity of an
+ * upstream's process.
+ * The state is a remaining time, counted from when it was read. A record that is read late, a suspended process and a
+ * delayed report therefore make an upstream count as cold for longer, never for shorter.
  */
 import { type Clock } from '@eiderwind/clock'
 
@@ -11,67 +13,80 @@
 /** Dependencies of `ColdUpstreams`. */
 export interface ColdUpstreamsOptions {
   readonly clock: Clock
-  /** Requests a second that an upstream gets while it is cold, by the configuration; Infinity where that does not say, and where the upstream is not known. */
+  /**
+   * Requests a second that a cold upstream gets according to the configuration; Infinity if it has no such setting or
+   * the upstream is not known.
+   */
   readonly rate: (id: string) => number
-  /** Called when an upstream is cold no longer. */
+  /** Called when an upstream is no longer cold. */
   readonly ended: (id: string) => void
 }
 
-/** Longest time for which one report counts, in ms. */
-const longest = 3_600_000
+/** Upper bound of the time for which one report counts, in ms. */
+const maxColdTime = 3_600_000
 
-/** By how much a report of another gateway has to exceed what is known, in ms: the time that it was under way must not make a belief last. */
-const leastExtension = 50
+/**
+ * By how much a report of another gateway must exceed the known remaining time, in ms. Otherwise the transit time of
+ * reports would prolong the state again and again.
+ */
+const minExtension = 50
 
-/** How long a gateway that has read that an upstream is cold reports it, in ms: over two heartbeats. What it costs must not grow with the upstreams that start at once. */
-const readTime = 600
-const mostReported = 64
+/**
+ * How long a gateway that has read that an upstream is cold reports it, in ms, and how many upstreams it reports at
+ * most. The time is over two heartbeats. The bound keeps heartbeats short when many upstreams start at once.
+ */
+const reportTime = 600
+const maxReported = 64
 
 /** Requests that one gateway may issue at once beyond the rate. */
 const burst = 1.5
 
-/** What two gateways issue together at the most while both take themselves for the one, as a part of the rate. */
-const issuedTwice = 1.4
+/**
+ * Upper bound of what two gateways issue together while both consider themselves the owner, as a factor of the rate.
+ */
+const doubleIssueFactor = 1.4
 
-/** What tokens that are held for a moment add to a second, as a part of the rate. */
-const heldOver = 1.1
+/** Upper bound of the tokens in a second when tokens are held for a moment, as a factor of the rate. */
+const holdFactor = 1.1
 
-interface Cold {
-  /** Until when, and since when without a break, on `Clock.now`. */
+interface ColdState {
+  /** The end of the cold state, and the start of it without a break, on `Clock.now`. */
   readonly until: number
   readonly since: number
-  /** By the reports of other gateways; Infinity where there was none. */
+  /** The lowest rate in the reports of other gateways; Infinity if there was none. */
   readonly rate: number
-  /** When this gateway read it itself, on `Clock.now`; -Infinity where it only heard so. */
+  /** When this gateway read it itself, on `Clock.now`; -Infinity if it only received reports. */
   readonly readAt: number
 }
 
 /**
- * Requests a second that a cold upstream may be sent, so that it gets no more than `rate` x `overshoot` + `slack` in any one second. Two gateways may issue for it at once, where the
- * fleet has come apart in part: together up to two fifths more, with a burst each. Tokens that are held for 100 ms move a tenth of a second's into the next.
- * @param rate that it bears, in requests a second
+ * Requests a second that a cold upstream may be sent, so that it gets at most `rate` x `overshoot` + `slack` in any
+ * one second. Two gateways may issue tokens for it at once while the fleet is partly partitioned. Together they issue
+ * up to two fifths more, with a burst each. Tokens that are held for 100 ms move a tenth of a second's tokens into
+ * the next second.
+ * @param rate requests a second that the upstream bears
  */
 export function coldRate (rate: number, overshoot: number, slack: number): number {
   const bound = rate * overshoot + slack
-  return Math.min(rate, Math.max(0, bound - 2 * burst) / (issuedTwice * heldOver))
+  return Math.min(rate, Math.max(0, bound - 2 * burst) / (doubleIssueFactor * holdFactor))
 }
 
 /** The cold upstreams. */
 export class ColdUpstreams {
   readonly #options: ColdUpstreamsOptions
-  readonly #cold = new Map<string, Cold>()
+  readonly #cold = new Map<string, ColdState>()
 
   constructor (options: ColdUpstreamsOptions) {
     this.#options = options
   }
 
-  /** Requests a second that an upstream takes from all gateways together as far as it is cold; Infinity where it is not. */
+  /** Requests a second that a cold upstream takes from all gateways together; Infinity if it is not cold. */
   rate (id: string): number {
     const cold = this.#find(id)
     return cold === undefined ? Infinity : Math.min(cold.rate, this.#options.rate(id))
   }
 
-  /** Since when an upstream has been cold, on `Clock.now`; undefined where it is not. */
+  /** Since when an upstream has been cold, on `Clock.now`; undefined if it is not cold. */
   since (id: string): number | undefined {
     return Number.isFinite(this.rate(id)) ? this.#find(id)?.since : undefined
   }
@@ -86,26 +101,32 @@
     return [...this.#cold.keys()].filter(id => Number.isFinite(this.rate(id)))
   }
 
-  /** Takes what this gateway itself has read: an upstream is cold for so many ms. Returns whether it was not before. */
+  /**
+   * Records that this gateway itself has read that an upstream is cold for `remaining` ms. Returns whether it was not
+   * cold before.
+   */
   read (id: string, remaining: number): boolean {
     return this.#extend(id, remaining, Infinity, this.#options.clock.now())
   }
 
-  /** Takes the report of another gateway. Returns whether the upstream was not cold before. */
+  /** Handles the report of another gateway. Returns whether the upstream was not cold before. */
   heard (id: string, [rate, remaining]: ColdReport): boolean {
-    const isNews = remaining > Math.max(0, this.remaining(id)) + leastExtension || this.#find(id) === undefined
-    return isNews && this.#extend(id, remaining, rate, -Infinity)
+    const isExtension = remaining > Math.max(0, this.remaining(id)) + minExtension || this.#find(id) === undefined
+    return isExtension && this.#extend(id, remaining, rate, -Infinity)
   }
 
-  /** Takes that an upstream is cold no longer. */
+  /** Ends the cold state of an upstream. */
   end (id: string): void {
     if (this.#cold.delete(id)) this.#options.ended(id)
   }
 
-  /** The reports for the other gateways. @param issues whether this gateway issues the tokens of an upstream */
+  /**
+   * The reports for the other gateways.
+   * @param issues whether this gateway issues the tokens of an upstream
+   */
   reports (issues: (id: string) => boolean): Record<string, ColdReport> {
     const now = this.#options.clock.now()
-    const lately = [...this.#cold].filter(([, { readAt }]) => now - readAt < readTime).slice(0, mostReported)
+    const lately = [...this.#cold].filter(([, { readAt }]) => now - readAt < reportTime).slice(0, maxReported)
     const ids = new Set([...lately.map(([id]) => id), ...this.ids.filter(issues)])
     return Object.fromEntries([...ids].flatMap(id => {
       const report = this.report(id)
@@ -113,13 +134,13 @@
     }))
   }
 
-  /** What is known of one upstream, for a gateway that may lack it; undefined where it is not cold. */
+  /** The report about one upstream, for a gateway that may lack it; undefined if the upstream is not cold. */
   report (id: string): ColdReport | undefined {
     const rate = this.rate(id)
     return Number.isFinite(rate) ? [rate, Math.ceil(this.remaining(id))] : undefined
   }
 
-  #find (id: string): Cold | undefined {
+  #find (id: string): ColdState | undefined {
     const cold = this.#cold.get(id)
     return cold === undefined || cold.until <= this.#options.clock.now() ? undefined : cold
   }
@@ -129,7 +150,7 @@
     const { clock } = this.#options
     const now = clock.now()
     const known = this.#find(id)
-    const time = Math.min(remaining, longest)
+    const time = Math.min(remaining, maxColdTime)
     this.#cold.set(id, {
       until: Math.max(known?.until ?? 0, now + time),
       since: known?.since ?? now,
--- a/packages/limits/src/owners.ts
+++ b/packages/limits/src/owners.ts
@@ -1,6 +1,8 @@
 /**
- * Which gateway issues the tokens of an upstream, and which part of its limit. The first of the live ones by rendezvous hashing issues, so that all agree without a message and
- * only the upstreams of a gateway that goes change hands. Owns what it found, for a moment, since it is asked for with each choice, and since when each gateway lives.
+ * Determines which gateway issues the tokens of an upstream, and which share of its limit. The owner is the first
+ * live gateway by rendezvous hashing. All gateways therefore agree without a message, and only the upstreams of a
+ * gateway that leaves change owner. Owns the time since which each gateway is live. Caches the owners briefly,
+ * because each choice of an upstream reads them.
  */
 import { type Clock } from '@eiderwind/clock'
 import { weight } from '@eiderwind/hash'
@@ -8,24 +10,30 @@
 /** Dependencies of `Owners`. */
 export interface OwnersOptions {
   readonly clock: Clock
-  /** Ids of all gateways that live, this one included. */
+  /** Ids of all live gateways, including this one. */
   readonly live: () => readonly string[]
-  /** Gateways that were heard lately, alive or not, this one included. */
+  /** Number of gateways that were seen recently, live or not, including this one. */
   readonly fleet: () => number
-  /** How long a gateway has to live before its part of each limit is issued here, in ms: until then another one may issue it. */
+  /**
+   * How long a gateway must be live before its share of each limit is issued here, in ms. Until then another gateway
+   * may issue it.
+   */
   readonly settleTime: number
 }
 
-/** How long a finding holds, in ms: short against the time in which gateways notice each other's end. */
-const heldFor = 100
+/**
+ * How long cached owners are valid, in ms. It is short compared with the time in which gateways notice that one has
+ * ended.
+ */
+const cacheTime = 100
 
-/** The issuers of upstreams' tokens, as one gateway sees them. */
+/** The owners of upstreams, as one gateway sees them. */
 export class Owners {
   readonly #options: OwnersOptions
-  readonly #found = new Map<string, string>()
+  readonly #cached = new Map<string, string>()
   #liveSince = new Map<string, number>()
-  #part = 1
-  #until = -Infinity
+  #share = 1
+  #validUntil = -Infinity
 
   constructor (options: OwnersOptions) {
     this.#options = options
@@ -34,35 +42,38 @@
   /** The id of the gateway that issues the tokens of an upstream. */
   of (upstream: string): string {
     this.look()
-    const found = this.#found.get(upstream) ?? first(upstream, [...this.#liveSince.keys()])
-    this.#found.set(upstream, found)
-    return found
+    const owner = this.#cached.get(upstream) ?? firstOwner(upstream, [...this.#liveSince.keys()])
+    this.#cached.set(upstream, owner)
+    return owner
   }
 
   /**
-   * The part of each limit that its owner issues: as many of the gateways that were heard lately as live. Where the fleet has come apart, all parts issue no more than the
-   * whole did.
+   * The share of each limit that its owner issues: the number of live gateways divided by the number seen recently.
+   * If the fleet is partitioned, all partitions together issue no more than the whole fleet did.
    */
   get part (): number {
     this.look()
-    return this.#part
+    return this.#share
   }
 
-  /** Looks who lives, where the last look is no longer good. To be called often, also where nothing is limited: who has lived for how long decides once something is. */
+  /**
+   * Updates the live gateways if the cache has expired. Must be called often, even if no upstream is limited: once
+   * one is, the time for which each gateway has been live matters.
+   */
   look (): void {
     const { clock, live, fleet, settleTime } = this.#options
     const now = clock.now()
-    if (now < this.#until) return
-    this.#until = now + heldFor
-    this.#found.clear()
+    if (now < this.#validUntil) return
+    this.#validUntil = now + cacheTime
+    this.#cached.clear()
     const before = this.#liveSince
     this.#liveSince = new Map(live().map(id => [id, before.get(id) ?? now]))
     const settled = [...this.#liveSince.values()].filter(since => now - since >= settleTime).length
-    this.#part = Math.max(1, settled) / Math.max(1, fleet())
+    this.#share = Math.max(1, settled) / Math.max(1, fleet())
   }
 }
 
-function first (upstream: string, gateways: readonly string[]): string {
-  const weighed = gateways.map(id => ({ id, weight: weight(upstream, id) }))
-  return weighed.reduce((best, each) => each.weight > best.weight || (each.weight === best.weight && each.id < best.id) ? each : best).id
+function firstOwner (upstream: string, gateways: readonly string[]): string {
+  const weighted = gateways.map(id => ({ id, weight: weight(upstream, id) }))
+  return weighted.reduce((best, each) => each.weight > best.weight || (each.weight === best.weight && each.id < best.id) ? each : best).id
 }
--- a/packages/limits/src/tokens.ts
+++ b/packages/limits/src/tokens.ts
@@ -1,7 +1,9 @@
 /**
- * The tokens that requests of this gateway need for upstreams that name a limit: asked of the gateway that keeps the upstream's bucket, one request and one upstream at a time,
- * and held for a moment. Owns the claims that wait, the tokens in hand and what was answered on when the next is due. Relies on `Issuer` where this gateway keeps the
- * bucket itself, and on datagrams else, which may be lost: an ask that is not answered in time counts as refused.
+ * Obtains the tokens that requests of this gateway need for limited upstreams. Each request asks the owner of one
+ * upstream at a time, and a token is held for a moment. Owns the waiting claims, the held tokens, and the times at
+ * which owners announced the next token.
+ * Relies on `Issuer` if this gateway is the owner, and otherwise on datagrams, which may be lost. A token request
+ * that is not answered in time counts as refused.
  */
 import { type Clock, type Random, type Subscription } from '@eiderwind/clock'
 import { type ColdReport, type ColdUpstreams } from './cold.js'
@@ -9,69 +11,72 @@
 import { type Limits } from './limits.js'
 import { type TokenMessage } from './messages.js'
 
-/** A request that waits for a token of any of some upstreams. */
+/** A request that waits for a token of any of several upstreams. */
 export interface Claim {
   /** 0 is the most urgent. */
   readonly priority: number
-  /** Until when it waits, on `Clock.now`, in ms. */
+  /** When the request stops waiting, on `Clock.now`, in ms. */
   readonly until: number
-  /** Upstreams that have no token for it in time. */
+  /** Upstreams that have no token for the request in time. */
   readonly refused: Set<string>
-  /** The ask that is under way for it. */
-  ask: number | undefined
+  /** The number of the pending token request. */
+  requestNumber: number | undefined
 }
 
 /** Dependencies of `Tokens`. */
 export interface TokensOptions {
   readonly clock: Clock
   readonly limits: Limits
-  /** Absent where no upstream is ever cold. */
+  /** Absent if no upstream is ever cold. */
   readonly cold?: ColdUpstreams
   readonly issuer: Issuer
-  /** The id of the gateway that keeps an upstream's bucket; undefined where that is this one. */
+  /** The id of the gateway that issues an upstream's tokens; undefined if it is this gateway. */
   readonly owner: (upstream: string) => string | undefined
   /** Sends a message to another gateway. */
   readonly post: (gateway: string, message: TokenMessage) => void
-  /** Called when an ask was not answered in time: who waits looks again. */
+  /** Called when a token request was not answered in time, so that waiting requests search again. */
   readonly unanswered: () => void
-  /** Draws the upstream that is asked for first, and the number of the first ask: numbers of an earlier life of this gateway must not fit. */
+  /**
+   * Draws the upstream that is asked first, and the number of the first token request, so that replies to an earlier
+   * process of this gateway do not match.
+   */
   readonly random: Random
 }
 
-/** `Ask.from` where the ask is this gateway's own. */
+/** The value of `TokenRequest.from` for requests of this gateway. */
 export const ownAsk = ''
 
-/** Time within which another gateway answers, in ms: many times the way there and back. */
-const replyTime = 50
+/** How long another gateway may take to reply, in ms. This is many times a network round trip. */
+const replyTimeout = 50
 
-/** What is left of a request's wait for the way of an ask and of its token, in ms. */
-const wayTime = 5
+/** Time subtracted from a request's wait for the transit of its token request and of the token, in ms. */
+const transitTime = 5
 
 /** How long a token is held for a request that needs it, in ms. */
-const heldFor = 100
+const tokenLifetime = 100
 
-/** Numbers of asks are drawn below this at the start. */
-const firstNumbers = 2 ** 40
+/** Upper bound for the number of the first token request. */
+const maxFirstNumber = 2 ** 40
 
-interface OpenAsk {
-  /** Undefined where it waits no longer: a token that was on its way is for any other request. */
+interface PendingRequest {
+  /** Undefined once the request no longer waits. A token that is still on its way then serves any other request. */
   claim: Claim | undefined
   readonly upstream: string
   readonly owner: string | undefined
-  /** How long it can wait, by what its owner knows, in ms. */
-  readonly patience: number
+  /** How long the request can wait, as its owner was told, in ms. */
+  readonly maxWait: number
   timer: Subscription
 }
 
-/** A token in hand. */
-interface Held {
-  /** Until when it may be used, on `Clock.now`, in ms. */
+/** A token that this gateway holds. */
+interface HeldToken {
+  /** When the token expires, on `Clock.now`, in ms. */
   readonly until: number
-  /** For which it was asked. */
+  /** The claim for which the token was requested. */
   readonly claim: Claim | undefined
 }
 
-interface Due {
+interface NextToken {
   /** On `Clock.now`, in ms. */
   readonly at: number
   readonly priority: number
@@ -80,21 +85,21 @@
 /** The tokens of one gateway. */
 export class Tokens {
   readonly #options: TokensOptions
-  readonly #asks = new Map<number, OpenAsk>()
-  /** The tokens in hand, by upstream. */
-  readonly #held = new Map<string, Held[]>()
-  readonly #dues = new Map<string, Due>()
-  #number: number
-  /** Tokens that requests of this gateway asked for and got, and those of them that were used. */
+  readonly #pending = new Map<number, PendingRequest>()
+  /** The held tokens, by upstream. */
+  readonly #held = new Map<string, HeldToken[]>()
+  readonly #nextTokens = new Map<string, NextToken>()
+  #lastNumber: number
+  /** Tokens that requests of this gateway asked for and received, and how many of them were used. */
   received = 0
   used = 0
 
   constructor (options: TokensOptions) {
     this.#options = options
-    this.#number = Math.floor(options.random() * firstNumbers)
+    this.#lastNumber = Math.floor(options.random() * maxFirstNumber)
   }
 
-  /** Whether an upstream names a limit. */
+  /** Whether an upstream has a limit. */
   isLimited (upstream: string): boolean {
     return this.#options.limits.isLimited(upstream)
   }
@@ -107,8 +112,9 @@
   }
 
   /**
-   * Takes the token of a request that is about to be sent. The first in the queue gets it, whichever asked for it: that one goes on with the ask of the first.
-   * @param claim of the request, where it waited
+   * Takes a token for a request that is about to be sent. The first request in the queue gets the token, whichever
+   * request asked for it. The one that asked takes over the pending token request of the first.
+   * @param claim of the request, if it waited
    */
   take (upstream: string, claim?: Claim): void {
     const { limits, issuer } = this.#options
@@ -116,69 +122,75 @@
     if (!this.#holds(upstream)) return issuer.take(upstream)
     const held = this.#held.get(upstream)?.shift()
     this.used++
-    if (claim !== undefined && held?.claim !== undefined && held.claim !== claim) this.#pass(claim, held.claim)
+    if (claim !== undefined && held?.claim !== undefined && held.claim !== claim) this.#transfer(claim, held.claim)
   }
 
-  /** Has the ask of a request that has its token already stand for another one. */
-  #pass (from: Claim, to: Claim): void {
-    const ask = from.ask === undefined ? undefined : this.#asks.get(from.ask)
-    if (ask === undefined || to.ask !== undefined || to.until <= this.#options.clock.now()) return
-    ask.claim = to
-    to.ask = from.ask
-    from.ask = undefined
+  /** Transfers the pending token request of a request that already has its token to another one. */
+  #transfer (from: Claim, to: Claim): void {
+    const pending = from.requestNumber === undefined ? undefined : this.#pending.get(from.requestNumber)
+    if (pending === undefined || to.requestNumber !== undefined || to.until <= this.#options.clock.now()) return
+    pending.claim = to
+    to.requestNumber = from.requestNumber
+    from.requestNumber = undefined
   }
 
-  /** Time until an upstream has a token for a request, as far as that is known, in ms; 0 where it is not. */
+  /** Time until an upstream has a token for a request, in ms; 0 if that time is not known. */
   due (upstream: string, priority: number): number {
-    const due = this.#dues.get(upstream)
+    const due = this.#nextTokens.get(upstream)
     if (due === undefined || due.priority > priority) return 0
     return Math.max(0, due.at - this.#options.clock.now())
   }
 
-  /** Forgets what is over. */
+  /** Removes expired state. */
   forget (): void {
     const now = this.#options.clock.now()
-    for (const [upstream, { at }] of this.#dues) if (at <= now) this.#dues.delete(upstream)
+    for (const [upstream, { at }] of this.#nextTokens) if (at <= now) this.#nextTokens.delete(upstream)
     for (const upstream of [...this.#held.keys()]) this.#holds(upstream)
   }
 
   claim (priority: number, until: number): Claim {
-    return { priority, until, refused: new Set(), ask: undefined }
+    return { priority, until, refused: new Set(), requestNumber: undefined }
   }
 
-  /** Asks for a token of one of the upstreams, unless an ask is under way. To be called again whenever something has changed. */
+  /**
+   * Asks for a token of one of the upstreams, unless a token request is pending. Must be called again after each
+   * change.
+   */
   pursue (claim: Claim, upstreams: readonly string[]): void {
     if (claim.until <= this.#options.clock.now()) return
-    while (claim.ask === undefined) {
+    while (claim.requestNumber === undefined) {
       const open = upstreams.filter(each => !claim.refused.has(each) && !this.has(each))
       if (open.length === 0) return
-      this.#ask(claim, this.#soonest(open, claim.priority))
+      this.#request(claim, this.#soonest(open, claim.priority))
     }
   }
 
-  /** Ends what is under way for a request that waits no longer. */
+  /** Ends the token request of a request that no longer waits. */
   release (claim: Claim): void {
-    const number = claim.ask
-    const ask = number === undefined ? undefined : this.#asks.get(number)
-    if (number === undefined || ask === undefined) return
-    claim.ask = undefined
-    ask.claim = undefined
-    ask.timer.cancel()
+    const number = claim.requestNumber
+    const pending = number === undefined ? undefined : this.#pending.get(number)
+    if (number === undefined || pending === undefined) return
+    claim.requestNumber = undefined
+    pending.claim = undefined
+    pending.timer.cancel()
     const { issuer, post } = this.#options
-    if (ask.owner === undefined) {
-      issuer.drop(ask.upstream, ownAsk, number)
-      this.#asks.delete(number)
+    if (pending.owner === undefined) {
+      issuer.drop(pending.upstream, ownAsk, number)
+      this.#pending.delete(number)
     } else {
-      post(ask.owner, { token: 'drop', upstream: ask.upstream, number })
-      ask.timer = this.#expiry(number, replyTime)
+      post(pending.owner, { token: 'drop', upstream: pending.upstream, number })
+      pending.timer = this.#startTimeout(number, replyTimeout)
     }
   }
 
-  /** Takes the answer to an ask. Returns whether those that wait should look again: a token has come, or none will for the request that asked. */
+  /**
+   * Handles the reply to a token request. Returns whether waiting requests should search again, because a token has
+   * come or none will come for the request that asked.
+   */
   answered (reply: Reply): boolean {
-    const ask = this.#asks.get(reply.number)
-    if (ask === undefined) return false
-    return reply.token === 'grant' ? this.#granted(reply.number, ask) : this.#later(reply.number, ask, reply.due)
+    const pending = this.#pending.get(reply.number)
+    if (pending === undefined) return false
+    return reply.token === 'grant' ? this.#handleGrant(reply.number, pending) : this.#handleLater(reply.number, pending, reply.due)
   }
 
   #soonest (upstreams: readonly string[], priority: number): string {
@@ -187,65 +199,65 @@
     return drawn.sort((a, b) => a.due - b.due || a.draw - b.draw)[0].upstream
   }
 
-  #ask (claim: Claim, upstream: string): void {
+  #request (claim: Claim, upstream: string): void {
     const { clock, limits, cold, issuer, owner: ownerOf, post } = this.#options
     const owner = ownerOf(upstream)
-    const number = ++this.#number
-    const patience = Math.max(0, claim.until - clock.now() - (owner === undefined ? 0 : wayTime))
-    claim.ask = number
-    this.#asks.set(number, { claim, upstream, owner, patience, timer: this.#expiry(number, replyTime) })
+    const number = ++this.#lastNumber
+    const patience = Math.max(0, claim.until - clock.now() - (owner === undefined ? 0 : transitTime))
+    claim.requestNumber = number
+    this.#pending.set(number, { claim, upstream, owner, maxWait: patience, timer: this.#startTimeout(number, replyTimeout) })
     if (owner === undefined) issuer.ask(upstream, { from: ownAsk, number, priority: claim.priority, patience })
     else post(owner, { token: 'ask', upstream, number, priority: claim.priority, patience, limit: [...limits.report(upstream)], ...coldField(cold?.report(upstream)) })
   }
 
-  #granted (number: number, { upstream, claim }: OpenAsk): boolean {
+  #handleGrant (number: number, { upstream, claim }: PendingRequest): boolean {
     const { clock } = this.#options
     this.#close(number)
-    // A process that stood still reads late what was granted long before.
-    if (claim !== undefined && clock.now() > claim.until + replyTime) return false
+    // A process that was suspended reads an old grant late.
+    if (claim !== undefined && clock.now() > claim.until + replyTimeout) return false
     this.received++
-    this.#held.set(upstream, [...this.#held.get(upstream) ?? [], { until: clock.now() + heldFor, claim }])
+    this.#held.set(upstream, [...this.#held.get(upstream) ?? [], { until: clock.now() + tokenLifetime, claim }])
     return true
   }
 
-  /** Takes that a token comes in `due` ms. Returns whether that is too late for the request. */
-  #later (number: number, ask: OpenAsk, due: number): boolean {
-    const { claim, upstream, patience } = ask
+  /** Handles the reply that a token is due in `due` ms. Returns whether that is too late for the request. */
+  #handleLater (number: number, pending: PendingRequest, due: number): boolean {
+    const { claim, upstream, maxWait } = pending
     if (claim === undefined) return false
-    this.#dues.set(upstream, { at: this.#options.clock.now() + due, priority: claim.priority })
-    const isTooLate = due > patience
-    if (isTooLate) this.#refuse(number, ask)
+    this.#nextTokens.set(upstream, { at: this.#options.clock.now() + due, priority: claim.priority })
+    const isTooLate = due > maxWait
+    if (isTooLate) this.#refuse(number, pending)
     else {
-      ask.timer.cancel()
-      ask.timer = this.#expiry(number, due + replyTime)
+      pending.timer.cancel()
+      pending.timer = this.#startTimeout(number, due + replyTimeout)
     }
     return isTooLate
   }
 
-  #expiry (number: number, time: number): Subscription {
+  #startTimeout (number: number, time: number): Subscription {
     return this.#options.clock.after(time, () => {
-      const ask = this.#asks.get(number)
-      if (ask === undefined) return
-      this.#refuse(number, ask)
+      const pending = this.#pending.get(number)
+      if (pending === undefined) return
+      this.#refuse(number, pending)
       this.#options.unanswered()
     })
   }
 
-  #refuse (number: number, { claim, upstream }: OpenAsk): void {
+  #refuse (number: number, { claim, upstream }: PendingRequest): void {
     claim?.refused.add(upstream)
     this.#close(number)
   }
 
-  #close (number: number): OpenAsk | undefined {
-    const ask = this.#asks.get(number)
-    if (ask === undefined) return undefined
-    ask.timer.cancel()
-    if (ask.claim !== undefined) ask.claim.ask = undefined
-    this.#asks.delete(number)
-    return ask
+  #close (number: number): PendingRequest | undefined {
+    const pending = this.#pending.get(number)
+    if (pending === undefined) return undefined
+    pending.timer.cancel()
+    if (pending.claim !== undefined) pending.claim.requestNumber = undefined
+    this.#pending.delete(number)
+    return pending
   }
 
-  /** Whether there is a token in hand. Those that were held too long lapse. */
+  /** Whether this gateway holds a token of an upstream. Expired tokens are dropped. */
   #holds (upstream: string): boolean {
     const held = this.#held.get(upstream)
     if (held === undefined) return false
@@ -256,7 +268,7 @@
   }
 }
 
-/** What an ask says of a cold upstream. */
+/** The field of a token request that reports a cold upstream. */
 function coldField (report: ColdReport | undefined): { cold?: [rate: number, remaining: number] } {
   return report === undefined ? {} : { cold: [...report] }
 }
--- a/packages/limits/test/cold.test.ts
+++ b/packages/limits/test/cold.test.ts
@@ -1,4 +1,4 @@
-/** How long an upstream counts as cold, by what is read and heard of it in whatever order, and what it gets meanwhile. */
+/** How long an upstream counts as cold after readings and reports in any order, and which rate it gets meanwhile. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { ColdUpstreams, Limits, coldRate } from '../src/index.js'
@@ -13,7 +13,7 @@
   return { clock, cold, ended }
 }
 
-test('an upstream is cold for as long as was read, and its end is told once', t => {
+test('an upstream is cold for the time that was read, and its end is announced once', t => {
   const { clock, cold, ended } = coldUpstreams()
   t.true(cold.read('a', 3000))
   t.false(cold.read('a', 2000))
@@ -29,7 +29,7 @@
   t.true(cold.read('a', 10))
 })
 
-test('the longer time holds, also where it is read first', t => {
+test('of two readings the longer time applies, in either order', t => {
   for (const times of [[1000, 5000], [5000, 1000]]) {
     const { clock, cold, ended } = coldUpstreams()
     for (const each of times) cold.read('a', each)
@@ -38,7 +38,7 @@
   }
 })
 
-test('a time without sense is none, and an enormous one ends after an hour', t => {
+test('a zero, negative or NaN time is ignored, and an enormous one ends after an hour', t => {
   const { clock, cold, ended } = coldUpstreams()
   for (const each of [0, -1, NaN]) t.false(cold.read('a', each))
   cold.read('a', 1e15)
@@ -46,7 +46,7 @@
   t.deepEqual(ended, ['a 3600000'])
 })
 
-test('what ends it ends it at once', t => {
+test('an explicit end applies at once and is announced only for a cold upstream', t => {
   const { cold, ended } = coldUpstreams()
   cold.read('a', 3000)
   cold.end('a')
@@ -55,7 +55,7 @@
   t.deepEqual(ended, ['a 0'])
 })
 
-test('a gateway that does not know the upstream or its service keeps to the rate that it hears', t => {
+test('a gateway without a configured rate uses the rate in a report', t => {
   const { cold } = coldUpstreams(Infinity)
   cold.read('b', 3000)
   t.is(cold.rate('b'), Infinity, 'no rate is configured, so it is not limited')
@@ -64,7 +64,7 @@
   t.is(cold.rate('a'), 32)
 })
 
-test('a report that was under way for less than 50 ms does not make a belief last', t => {
+test('reports that take less than 50 ms to arrive do not prolong the cold state', t => {
   const { clock, cold } = coldUpstreams()
   cold.read('a', 3000)
   for (let round = 0; round < 40; round++) {
@@ -77,7 +77,7 @@
   t.is(Math.round(cold.remaining('a')), 2000, 'a later coldness holds')
 })
 
-test('a gateway reports what it has read lately, and what it issues the tokens of as long as that lasts', t => {
+test('a gateway reports what it read within 600 ms, and the upstreams whose tokens it issues until they are warm', t => {
   const { clock, cold } = coldUpstreams()
   cold.read('a', 3000)
   cold.heard('b', [20, 3000])
@@ -89,13 +89,13 @@
   t.deepEqual(cold.reports(() => true), {})
 })
 
-test('however many upstreams start at once, the report stays short', t => {
+test('the reports stay short when 3000 upstreams start at once', t => {
   const { cold } = coldUpstreams()
   for (let index = 0; index < 3000; index++) cold.read(`u${index}`, 3000)
   t.is(Object.keys(cold.reports(none)).length, 64)
 })
 
-test('of a named limit and being cold the lower holds', t => {
+test('the lower of a named limit and the cold rate applies', t => {
   for (const [named, rate, both] of [[3, 32, 3], [50, 32, 32], [Infinity, 32, 32], [3, Infinity, 3]]) {
     const { clock, cold } = coldUpstreams(rate)
     const limits = new Limits(clock, cold)
@@ -107,7 +107,7 @@
   }
 })
 
-test('an upstream is limited since it was cold, or since it named a limit, whichever came first', t => {
+test('an upstream counts as limited since it was cold or named a limit, whichever came first', t => {
   const { clock, cold } = coldUpstreams()
   const limits = new Limits(clock, cold)
   clock.advance(100)
@@ -121,7 +121,7 @@
   t.is(limits.since('a'), undefined)
 })
 
-test('the rate leaves room in the bound for bursts, a token held over, and two gateways that issue for a moment', t => {
+test('the cold rate leaves room for bursts, tokens held over, and two gateways that issue at once', t => {
   for (const [rate, overshoot, slack] of [[32, 1.5, 5], [32, 1, 0], [10, 1, 5], [4, 1.5, 5], [2, 1, 1], [1000, 1.5, 5]]) {
     const given = coldRate(rate, overshoot, slack)
     t.true(given <= rate)
--- a/packages/limits/test/limits.test.ts
+++ b/packages/limits/test/limits.test.ts
@@ -1,4 +1,4 @@
-/** Which of several words about a limit holds, whoever read it and in whatever order they come. */
+/** Which of several reports about a limit applies, whichever gateway read it and in whatever order they arrive. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Limits } from '../src/index.js'
@@ -6,7 +6,7 @@
 /** This gateway issues the tokens of no upstream. */
 const none = (): boolean => false
 
-test('the newest word holds, and a limit lasts until an answer names none', t => {
+test('the newest limit applies, and it lasts until an answer names none', t => {
   const clock = new ManualClock()
   const limits = new Limits(clock)
   t.true(limits.named('a', 3))
@@ -21,13 +21,13 @@
   t.deepEqual(limits.limited, [])
 })
 
-test('an upstream that names 0 is asked again once in ten seconds', t => {
+test('an upstream that names 0 gets a request every ten seconds', t => {
   const limits = new Limits(new ManualClock())
   limits.named('a', 0)
   t.is(limits.rate('a'), 0.1)
 })
 
-test('of what two gateways were told the later holds, in both orders of arrival', t => {
+test('of the limits that two gateways read the later one applies, in both orders of arrival', t => {
   const clock = new ManualClock()
   const first = new Limits(clock)
   const second = new Limits(clock)
@@ -43,7 +43,7 @@
   t.is(second.rate('a'), 1)
 })
 
-test('an end that another gateway was told holds against the limit that this one was told before, and not against a later one', t => {
+test('the end of a limit that another gateway read overrides an older limit, but not a newer one', t => {
   const clock = new ManualClock()
   const limits = new Limits(clock)
   limits.named('a', 3)
@@ -56,7 +56,7 @@
   t.deepEqual(limits.reports(none), {})
 })
 
-test('a gateway that reads a change reports it for five seconds, whatever it hears and reads of the same limit meanwhile', t => {
+test('a gateway that reads a change reports it for five seconds, even if it reads or receives the same limit again', t => {
   const clock = new ManualClock()
   const limits = new Limits(clock)
   limits.heard('a', [3, 0])
@@ -78,7 +78,7 @@
   t.deepEqual(limits.report('c'), [null, 10_000])
 })
 
-test('the gateway that issues the tokens reports a limit as long as it holds, from whomever it has it, and its end for ten seconds', t => {
+test('the issuer of the tokens reports a limit while it lasts, from whichever gateway it came, and its end for ten seconds', t => {
   const clock = new ManualClock()
   const limits = new Limits(clock)
   const issues = (id: string): boolean => id === 'a'
@@ -93,7 +93,7 @@
   t.deepEqual(limits.reports(issues), {})
 })
 
-test('it is known since when a limit was named without a break', t => {
+test('the start of a limit is the first answer since which a limit was named without a break', t => {
   const clock = new ManualClock()
   const limits = new Limits(clock)
   clock.advance(100)
@@ -107,7 +107,7 @@
   t.is(limits.since('a'), 200)
 })
 
-test('upstreams that nobody remembers are forgotten', t => {
+test('upstreams that are no longer remembered are removed', t => {
   const limits = new Limits(new ManualClock())
   limits.named('a', 3)
   limits.named('b', 3)
--- a/packages/limits/test/messages.test.ts
+++ b/packages/limits/test/messages.test.ts
@@ -1,4 +1,4 @@
-/** The bytes of the datagrams about tokens, and what is not one. */
+/** The bytes of the datagrams about tokens, and which datagrams are rejected. */
 import test from 'ava'
 import { decodeMessage, encodeMessage, type TokenMessage } from '../src/index.js'
 
@@ -18,7 +18,7 @@
   }
 })
 
-test('what is no message is none', t => {
+test('an invalid datagram is rejected', t => {
   for (const bytes of ['', '{', '[]', 'null', '{"token":"steal","number":1}', '{"token":"grant","number":-1}', '{"token":"grant","number":1.5}', '{"token":"grant"}', '{"token":"later","number":1,"due":-1}', '{"token":"ask","upstream":"u","number":1,"priority":1,"patience":5}']) {
     t.is(decodeMessage(Buffer.from(bytes)), undefined, bytes)
   }
--- a/packages/limits/test/owners.test.ts
+++ b/packages/limits/test/owners.test.ts
@@ -1,4 +1,4 @@
-/** Which gateway issues the tokens of an upstream, and which part of its limit, as gateways come and go. */
+/** Which gateway owns the tokens of an upstream, and which share of its limit it issues, as gateways come and go. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Owners } from '../src/index.js'
@@ -9,7 +9,7 @@
   fleet = 3
   readonly owners = new Owners({ clock: this.clock, live: () => this.live, fleet: () => this.fleet, settleTime: 1000 })
 
-  /** Lets a second pass, with looks as often as heartbeats are sent. */
+  /** Advances by a second, with a refresh as often as heartbeats are sent. */
   settle (): void {
     for (let count = 0; count < 4; count++) {
       this.clock.advance(250)
@@ -20,7 +20,7 @@
 
 const upstreams = Array.from({ length: 300 }, (_each, index) => `u${index}`)
 
-test('gateways that see the same ones agree, whatever the order', t => {
+test('gateways with the same live set agree on the owners, whatever the order', t => {
   const one = new Fixture()
   const other = new Fixture()
   other.live = ['g3', 'g1', 'g2']
@@ -28,7 +28,7 @@
   for (const gateway of one.live) t.true(upstreams.filter(each => one.owners.of(each) === gateway).length > 60)
 })
 
-test('only the upstreams of a gateway that has gone change hands', t => {
+test('only the upstreams of a gateway that has left change owner', t => {
   const { clock, owners, ...fixture } = new Fixture()
   const before = new Map(upstreams.map(each => [each, owners.of(each)]))
   fixture.live.pop()
@@ -36,7 +36,7 @@
   for (const [each, owner] of before) t.true(owner === 'g3' ? owners.of(each) !== 'g3' : owners.of(each) === owner)
 })
 
-test('the whole of a limit is issued where all live, and the part of those that live where some were lost lately', t => {
+test('the whole limit is issued if all gateways are live, and the share of the live ones if some were lost recently', t => {
   const fixture = new Fixture()
   const { owners } = fixture
   owners.look()
@@ -50,7 +50,7 @@
   t.is(owners.part, 1)
 })
 
-test('a gateway that comes back counts after it has lived for a second: until then another one may issue its part', t => {
+test('a gateway that returns counts after it has been live for a second, because another one may issue its share until then', t => {
   const fixture = new Fixture()
   const { clock, owners } = fixture
   fixture.live = ['g1', 'g2']
@@ -63,7 +63,7 @@
   t.is(owners.part, 1)
 })
 
-test('a gateway alone has something to issue from its first moment', t => {
+test('a single gateway issues the whole limit from its start', t => {
   const fixture = new Fixture()
   fixture.live = ['g1']
   fixture.fleet = 1
--- a/packages/limits/test/tokens.test.ts
+++ b/packages/limits/test/tokens.test.ts
@@ -1,4 +1,4 @@
-/** Tokens that requests of a gateway ask another one for, whose answers may be late or lost. */
+/** Token requests to another gateway, whose replies may be late or lost. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Issuer, Limits, Tokens, type Claim, type TokenMessage } from '../src/index.js'
@@ -31,12 +31,12 @@
     return claim
   }
 
-  get asked (): string[] {
+  get requested (): string[] {
     return this.sent.map(each => 'upstream' in each ? `${each.token} ${each.upstream} ${each.number}` : each.token)
   }
 }
 
-test('an upstream without a limit needs none', t => {
+test('a request to an upstream without a limit needs no token', t => {
   const { tokens, sent } = new Fixture()
   t.true(tokens.has('c'))
   tokens.take('c')
@@ -44,14 +44,14 @@
   t.deepEqual(sent, [])
 })
 
-test('a request asks for one upstream at a time, and has one ask under way', t => {
+test('a request asks for one upstream at a time and has one token request pending', t => {
   const fixture = new Fixture()
   const claim = fixture.claim(100, 'a', 'b')
   fixture.tokens.pursue(claim, ['a', 'b'])
   t.deepEqual(fixture.sent, [{ token: 'ask', upstream: 'a', number: 1, priority: 1, patience: 95, limit: [10, 0] }])
 })
 
-test('a token is used once, and lapses where nobody uses it', t => {
+test('a token is used once, and expires if it is not used', t => {
   const fixture = new Fixture()
   const { clock, tokens } = fixture
   const claim = fixture.claim(100, 'a')
@@ -67,7 +67,7 @@
   t.deepEqual([tokens.received, tokens.used], [2, 1])
 })
 
-test('an answer that comes twice, or for nothing that was asked, gives no token', t => {
+test('a repeated or unknown reply gives no token', t => {
   const fixture = new Fixture()
   fixture.claim(100, 'a')
   fixture.tokens.answered({ token: 'grant', number: 1 })
@@ -78,20 +78,20 @@
   t.false(fixture.tokens.has('a'))
 })
 
-test('one that gets no token in time asks for the next upstream, and knows when the first is due', t => {
+test('a request that gets no token in time asks for the next upstream, and the time of the first one\'s token is stored', t => {
   const fixture = new Fixture()
   const { tokens, clock } = fixture
   const claim = fixture.claim(100, 'a', 'b')
   t.true(tokens.answered({ token: 'later', number: 1, due: 300 }))
   tokens.pursue(claim, ['a', 'b'])
-  t.deepEqual(fixture.asked, ['ask a 1', 'ask b 2'])
+  t.deepEqual(fixture.requested, ['ask a 1', 'ask b 2'])
   t.is(tokens.due('a', 1), 300)
   t.is(tokens.due('a', 0), 0)
   clock.advance(100)
   t.is(tokens.due('a', 2), 200)
 })
 
-test('one that gets a token soon enough waits for it, and asks nobody else meanwhile', t => {
+test('a request whose token comes in time waits for it and sends no other token request', t => {
   const fixture = new Fixture()
   const claim = fixture.claim(100, 'a', 'b')
   t.false(fixture.tokens.answered({ token: 'later', number: 1, due: 80 }))
@@ -99,10 +99,10 @@
   fixture.clock.advance(80)
   t.is(fixture.unanswered, 0)
   t.true(fixture.tokens.answered({ token: 'grant', number: 1 }))
-  t.deepEqual(fixture.asked, ['ask a 1'])
+  t.deepEqual(fixture.requested, ['ask a 1'])
 })
 
-test('an ask that is not answered within 50 ms, or not kept to, counts as refused', t => {
+test('a token request that is not answered within 50 ms, or whose announced token does not come, counts as refused', t => {
   const fixture = new Fixture()
   const { clock } = fixture
   const claim = fixture.claim(200, 'a', 'b')
@@ -113,23 +113,23 @@
   clock.advance(70)
   t.is(fixture.unanswered, 2)
   fixture.tokens.pursue(claim, ['a', 'b'])
-  t.deepEqual(fixture.asked, ['ask a 1', 'ask b 2'])
+  t.deepEqual(fixture.requested, ['ask a 1', 'ask b 2'])
   t.false(fixture.tokens.answered({ token: 'grant', number: 2 }))
 })
 
-test('one that waits no longer says so, and a token that was on its way is for whoever needs it', t => {
+test('a request that stops waiting drops its token request, and a token already on its way serves any other request', t => {
   const fixture = new Fixture()
   const claim = fixture.claim(100, 'a')
   fixture.tokens.answered({ token: 'later', number: 1, due: 50 })
   fixture.tokens.release(claim)
   fixture.tokens.release(claim)
-  t.deepEqual(fixture.asked, ['ask a 1', 'drop a 1'])
+  t.deepEqual(fixture.requested, ['ask a 1', 'drop a 1'])
   t.true(fixture.tokens.answered({ token: 'grant', number: 1 }))
   t.true(fixture.tokens.has('a'))
   t.false(fixture.tokens.answered({ token: 'grant', number: 1 }))
 })
 
-test('a token that comes long after its request has left gives none', t => {
+test('a token that comes more than 50 ms after its request was released is discarded', t => {
   const fixture = new Fixture()
   fixture.tokens.release(fixture.claim(100, 'a'))
   fixture.clock.advance(51)
@@ -137,7 +137,7 @@
   t.false(fixture.tokens.has('a'))
 })
 
-test('a request that takes the token of another one leaves it its own ask', t => {
+test('a request that takes the token of another one hands over its own token request', t => {
   const fixture = new Fixture()
   const { tokens } = fixture
   const first = fixture.claim(100, 'a')
@@ -146,13 +146,13 @@
   tokens.take('a', second)
   tokens.release(second)
   tokens.pursue(first, ['a'])
-  t.deepEqual(fixture.asked, ['ask a 1', 'ask a 2'])
+  t.deepEqual(fixture.requested, ['ask a 1', 'ask a 2'])
   t.true(tokens.answered({ token: 'grant', number: 2 }))
   tokens.take('a', first)
   t.deepEqual([tokens.received, tokens.used], [2, 2])
 })
 
-test('a process that stood still does not use a token that it reads long after', t => {
+test('a process that was suspended does not use a token that it reads long after', t => {
   const fixture = new Fixture()
   fixture.claim(100, 'a')
   fixture.clock.freeze(5000)
@@ -160,7 +160,7 @@
   t.false(fixture.tokens.has('a'))
 })
 
-test('where the bucket is kept here, a request has the token at once, or waits for it', t => {
+test('if this gateway issues the tokens, a request gets its token at once or waits for it', t => {
   const fixture = new Fixture()
   const { clock, tokens } = fixture
   fixture.owner = undefined
@@ -175,13 +175,13 @@
   t.true(tokens.has('a'))
 })
 
-test('a request that waits for nothing asks for nothing', t => {
+test('a request that cannot wait sends no token request', t => {
   const fixture = new Fixture()
   fixture.claim(0, 'a')
   t.deepEqual(fixture.sent, [])
 })
 
-test('what is over is forgotten', t => {
+test('expired times of next tokens are removed', t => {
   const fixture = new Fixture()
   const { tokens, clock } = fixture
   fixture.claim(100, 'a')
