--- a/packages/places/src/asker.ts
+++ b/packages/places/src/asker.ts
@@ -1,15 +1,16 @@
 /**
- * The places that requests of this gateway need where room is contended: asked of the gateway that issues them, one ask at a time for each request. Owns the asks that are
- * under way. Relies on `Issuer` where this gateway issues them itself, and on datagrams else, which may be lost: a request whose ask is not answered in time goes on as if
- * nothing was contended.
+ * Obtains places for this gateway's requests in contended rooms. Each request has at most one place request pending.
+ * Owns the pending place requests.
+ * Relies on `Issuer` if this gateway issues the places itself, and otherwise on datagrams, which may be lost. A
+ * request whose place request is not answered in time proceeds as if the room was not contended.
  */
 import { type Clock, type Random, type Subscription } from '@eiderwind/clock'
-import { ownAsk, useTime, type Ask, type Reply, type Word } from './ask.js'
-import { Claim, type Finding, type Wish } from './claim.js'
+import { localSender, placeLifetime, type PlaceRequest, type Reply, type CountUpdate } from './request.js'
+import { Claim, type PlaceDecision, type Wish } from './claim.js'
 import { type Contention } from './contention.js'
 import { type Issuer } from './issuer.js'
-import { Issuers } from './issuers.js'
-import { askMessage, type PlaceMessage } from './messages.js'
+import { RemoteIssuers } from './remoteissuers.js'
+import { requestMessage, type PlaceMessage } from './messages.js'
 import { type Room } from './room.js'
 
 /** Dependencies of `Asker`. */
@@ -19,47 +20,55 @@
   readonly id: string
   readonly contention: Contention
   readonly issuer: Issuer
-  /** The id of the gateway that issues the places of a room; undefined where that is this one. */
+  /** The id of the gateway that issues the places of a room; undefined if it is this gateway. */
   readonly owner: (room: string) => string | undefined
   /** Sends a message to another gateway. */
   readonly post: (gateway: string, message: PlaceMessage) => void
-  /** Requests in flight at an upstream from this gateway, and those about to be sent there. */
+  /** Requests in flight at an upstream from this gateway, including those about to be sent there. */
   readonly inFlight: (upstream: string) => number
   /** The data centre of this gateway. */
   readonly dataCentre: string
-  /** Called when requests that wait should look again. */
+  /** Called when waiting requests should search again. */
   readonly wake: () => void
-  /** Draws the number of the first ask: numbers of an earlier life of this gateway must not fit. */
+  /**
+   * Draws the number of the first place request, so that replies to an earlier process of this gateway do not match.
+   */
   readonly random: Random
 }
 
-/** Time within which another gateway answers, in ms: many times the way there and back; and as a part of the objective, if that is less. After half of it an ask is sent again. */
-const replyTime = 50
-const replyShare = 0.25
+/**
+ * How long another gateway may take to reply, in ms, and as a share of the request's objective if that is less. The
+ * time is many times a network round trip. The place request is sent again after half of it.
+ */
+const replyTimeout = 50
+const replyTimeoutShare = 0.25
 
-/** What is left of a request's wait for the way of an ask and of its place, in ms. */
-const wayTime = 5
+/** Time subtracted from a request's wait for the transit of its place request and of the reply, in ms. */
+const transitTime = 5
 
-/** Places that a request does not use, since it cannot be sent there, before it looks alone. */
-const mostFailed = 2
+/** Places that a request may fail to use, because it cannot be sent there, before it searches alone. */
+const maxUnusedPlaces = 2
 
-/** Numbers of asks are drawn below this at the start. */
-const firstNumbers = 2 ** 40
+/** Upper bound for the number of the first place request. */
+const maxFirstNumber = 2 ** 40
 
-interface OpenAsk {
+interface PendingRequest {
   readonly claim: Claim
   readonly owner: string | undefined
   timer: Subscription | undefined
 }
 
-/** Asks for places. */
+/** Requests places for the requests of this gateway. */
 export class Asker {
   readonly #options: AskerOptions
-  readonly #asks = new Map<number, OpenAsk>()
-  readonly #issuers: Issuers
-  #number: number
-  #wakes = false
-  /** Asks made, places received, refusals received, and requests that looked for room alone since no issuer answered. */
+  readonly #pending = new Map<number, PendingRequest>()
+  readonly #issuers: RemoteIssuers
+  #lastNumber: number
+  #isWakeScheduled = false
+  /**
+   * Place requests made, places received, refusals received, and requests that searched alone because no issuer
+   * replied.
+   */
   asked = 0
   received = 0
   refused = 0
@@ -67,23 +76,23 @@
 
   constructor (options: AskerOptions) {
     this.#options = options
-    this.#issuers = new Issuers(options.clock)
-    this.#number = Math.floor(options.random() * firstNumbers)
+    this.#issuers = new RemoteIssuers(options.clock)
+    this.#lastNumber = Math.floor(options.random() * maxFirstNumber)
   }
 
-  /** Whether places of a room are asked for now. */
+  /** Whether requests need places in a room now. */
   isContended (room: Room): boolean {
     return this.#options.contention.has(room)
   }
 
-  claim (wish: Wish): Claim {
-    return new Claim(wish)
+  claim (requirements: Wish): Claim {
+    return new Claim(requirements)
   }
 
-  /** What a request should do now. Asks for a place where one is needed. */
-  find (claim: Claim): Finding {
+  /** Returns what a request should do now. Requests a place if one is needed. */
+  find (claim: Claim): PlaceDecision {
     if (claim.state === 'placed' && this.#options.clock.now() > claim.until) this.reject(claim)
-    if (claim.state === 'none' && this.isContended(claim.wish.room)) this.#ask(claim)
+    if (claim.state === 'none' && this.isContended(claim.requirements.room)) this.#request(claim)
     switch (claim.state) {
       case 'placed': return { kind: 'place', upstream: claim.upstream }
       case 'refused': return { kind: 'refused', due: claim.due, by: claim.issuer ?? this.#options.id }
@@ -92,171 +101,186 @@
     }
   }
 
-  /** Takes that a request looked for room alone and found none. Returns whether it should look again, since it may ask now. */
-  lacked ({ state, wish: { room } }: Claim): boolean {
+  /**
+   * Records that a request searched alone and found no room. Returns whether it should search again, because it may
+   * request a place now.
+   */
+  lacked ({ state, requirements: { room } }: Claim): boolean {
     const wasContended = this.isContended(room)
-    this.#options.contention.met(room)
+    this.#options.contention.recordShortage(room)
     return state === 'none' && !wasContended
   }
 
-  /** Whether a request that looks alone has waited as long as it would without a queue for all. */
-  isOver ({ state, wish: { aloneUntil } }: Claim): boolean {
+  /** Whether a request that searches alone has waited as long as it would without the shared queue. */
+  isOver ({ state, requirements: { aloneUntil } }: Claim): boolean {
     return state === 'alone' && this.#options.clock.now() >= aloneUntil
   }
 
-  /** Takes that a request is sent to its place now, and counts there. */
+  /** Records that a request is sent to its place now. From then on it counts as in flight there. */
   use (claim: Claim): void {
     claim.state = 'none'
     if (claim.issuer === undefined) this.#options.issuer.settle(claim.order)
   }
 
-  /** Takes that a request cannot be sent to its place: it is told back, and another one is asked for. */
+  /** Records that a request cannot be sent to its place. The place is returned and another one is requested. */
   reject (claim: Claim): void {
-    this.#tellBack(claim)
-    claim.state = ++claim.failed < mostFailed ? 'none' : 'alone'
+    this.#returnPlace(claim)
+    claim.state = ++claim.unusedPlaces < maxUnusedPlaces ? 'none' : 'alone'
   }
 
-  /** Ends what is under way for a request that waits no longer. */
+  /** Ends the search of a request that no longer waits. */
   release (claim: Claim): void {
-    if (claim.state === 'placed') this.#tellBack(claim)
+    if (claim.state === 'placed') this.#returnPlace(claim)
     if (claim.state === 'asking') this.#drop(claim)
     claim.state = 'alone'
   }
 
-  /** Takes the answer to an ask. @param from the gateway that sent it; undefined: this one */
-  answered (from: string | undefined, reply: Reply): void {
+  /**
+   * Handles the reply to a place request.
+   * @param from the gateway that sent it; undefined for this gateway
+   */
+  handleReply (from: string | undefined, reply: Reply): void {
     const { clock, contention } = this.#options
-    if (from !== undefined) this.#issuers.answered(from, reply.place === 'grant' ? reply.order : undefined)
-    const ask = this.#asks.get(reply.number)
-    if (ask === undefined) return this.#unclaimed(from, reply)
-    const { claim } = ask
-    ask.timer?.cancel()
+    if (from !== undefined) this.#issuers.recordReply(from, reply.place === 'grant' ? reply.order : undefined)
+    const pending = this.#pending.get(reply.number)
+    if (pending === undefined) return this.#handleLateReply(from, reply)
+    const { claim } = pending
+    pending.timer?.cancel()
     if (reply.place === 'wait') {
-      ask.timer = clock.after(claim.wish.until - clock.now() + replyTime, () => { this.#asks.delete(reply.number) })
+      pending.timer = clock.after(claim.requirements.until - clock.now() + replyTimeout, () => { this.#pending.delete(reply.number) })
       return
     }
-    this.#asks.delete(reply.number)
-    if (reply.place === 'grant') this.#placed(claim, from, reply.upstream, reply.order)
+    this.#pending.delete(reply.number)
+    if (reply.place === 'grant') this.#handleGrant(claim, from, reply.upstream, reply.order)
     else {
-      contention.met(claim.wish.room)
+      contention.recordShortage(claim.requirements.room)
       claim.state = 'refused'
       claim.issuer = from
       claim.due = reply.due
       this.refused++
     }
-    this.#wakeSoon()
+    this.#scheduleWake()
   }
 
-  /** What the other gateways hear: the last grant of each issuer. */
-  get seen (): Record<string, number> {
+  /** The last grant received from each issuer, for the heartbeats to the other gateways. */
+  get lastGrants (): Record<string, number> {
     return this.#issuers.lastGrants
   }
 
-  /** Tells the issuer of a room what this gateway has in flight at an upstream now. @param shut for how long it leaves it out, in ms */
-  tell (room: Room, upstream: string, shut?: number): void {
-    this.#tell(this.#options.owner(room.key), room, upstream, shut)
+  /**
+   * Reports to the issuer of a room what this gateway has in flight at an upstream now.
+   * @param shut how long this gateway excludes the upstream, in ms
+   */
+  sendCount (room: Room, upstream: string, shut?: number): void {
+    this.#sendCount(this.#options.owner(room.key), room, upstream, shut)
   }
 
-  #tell (issuer: string | undefined, room: Room, upstream: string, shut?: number): void {
-    const word: Word = { upstream, count: this.#options.inFlight(upstream), seen: issuer === undefined ? 0 : this.#issuers.lastGrant(issuer), shut }
-    if (issuer === undefined) this.#options.issuer.hear(room, ownAsk, word)
-    else this.#options.post(issuer, { place: 'count', service: room.service, model: room.model, ...word })
+  #sendCount (issuer: string | undefined, room: Room, upstream: string, shut?: number): void {
+    const update: CountUpdate = { upstream, count: this.#options.inFlight(upstream), seen: issuer === undefined ? 0 : this.#issuers.lastGrant(issuer), shut }
+    if (issuer === undefined) this.#options.issuer.receiveCount(room, localSender, update)
+    else this.#options.post(issuer, { place: 'count', service: room.service, model: room.model, ...update })
   }
 
-  #ask (claim: Claim): void {
+  #request (claim: Claim): void {
     const { issuer, owner: ownerOf } = this.#options
-    const { room } = claim.wish
+    const { room } = claim.requirements
     const owner = ownerOf(room.key)
-    if (owner !== undefined && this.#issuers.isSilent(owner)) return this.#goAlone(claim)
+    if (owner !== undefined && this.#issuers.isBackedOff(owner)) return this.#continueAlone(claim)
     this.asked++
     claim.state = 'asking'
-    claim.number = ++this.#number
-    const open: OpenAsk = { claim, owner, timer: undefined }
-    this.#asks.set(claim.number, open)
-    if (owner === undefined) issuer.ask(room, this.#askOf(claim))
-    else this.#post(open, owner)
+    claim.number = ++this.#lastNumber
+    const pending: PendingRequest = { claim, owner, timer: undefined }
+    this.#pending.set(claim.number, pending)
+    if (owner === undefined) issuer.request(room, this.#requestOf(claim))
+    else this.#post(pending, owner)
   }
 
-  #askOf ({ number, wish: { priority, team, work, arrivedAt, inTimeUntil, until, aloneUntil, besides, again, early } }: Claim): Ask {
-    return { from: ownAsk, number, priority, team, work, arrivedAt, inTimeUntil, until, reviewAt: aloneUntil, besides: besides(), near: this.#options.dataCentre, again, early }
+  #requestOf ({ number, requirements: { priority, team, work, arrivedAt, inTimeUntil, until, aloneUntil, besides, again, early } }: Claim): PlaceRequest {
+    return { from: localSender, number, priority, team, work, arrivedAt, inTimeUntil, until, reviewAt: aloneUntil, besides: besides(), near: this.#options.dataCentre, again, early }
   }
 
-  /** Sends an ask to another gateway, and once more where it leaves it unanswered. */
-  #post (open: OpenAsk, owner: string): void {
+  /** Sends a place request to another gateway, and sends it once more if there is no reply. */
+  #post (pending: PendingRequest, owner: string): void {
     const { clock, post } = this.#options
-    const { claim } = open
-    const { number, wish: { room, objective } } = claim
-    const half = Math.min(replyTime, objective * replyShare) / 2
+    const { claim } = pending
+    const { number, requirements: { room, objective } } = claim
+    const half = Math.min(replyTimeout, objective * replyTimeoutShare) / 2
     const send = (): void => {
-      const ask = this.#askOf(claim)
-      post(owner, askMessage(room, { ...ask, until: ask.until - wayTime, reviewAt: claim.wish.aloneUntil - wayTime }, clock.now()))
+      const request = this.#requestOf(claim)
+      post(owner, requestMessage(room, { ...request, until: request.until - transitTime, reviewAt: claim.requirements.aloneUntil - transitTime }, clock.now()))
     }
-    open.timer = clock.after(half, () => {
+    pending.timer = clock.after(half, () => {
       send()
-      open.timer = clock.after(half, () => this.#unanswered(number, owner))
+      pending.timer = clock.after(half, () => this.#handleTimeout(number, owner))
     })
     send()
   }
 
-  #unanswered (number: number, owner: string): void {
-    const ask = this.#asks.get(number)
-    if (ask === undefined) return
-    this.#issuers.unanswered(owner)
-    this.#leave(ask.claim)
-    if (this.#issuers.isSilent(owner)) {
-      for (const each of [...this.#asks.values()]) if (each.owner === owner) this.#leave(each.claim)
+  #handleTimeout (number: number, owner: string): void {
+    const pending = this.#pending.get(number)
+    if (pending === undefined) return
+    this.#issuers.recordTimeout(owner)
+    this.#abandon(pending.claim)
+    if (this.#issuers.isBackedOff(owner)) {
+      for (const each of [...this.#pending.values()]) if (each.owner === owner) this.#abandon(each.claim)
     }
-    this.#wakeSoon()
+    this.#scheduleWake()
   }
 
-  /** Has a request look for room alone instead of waiting for an issuer. */
-  #leave (claim: Claim): void {
+  /** Makes a request search alone instead of waiting for an issuer. */
+  #abandon (claim: Claim): void {
     this.#drop(claim)
-    this.#goAlone(claim)
+    this.#continueAlone(claim)
   }
 
-  /** Has who waits look again once what is going on now is done: an own ask is answered within the look of its request. */
-  #wakeSoon (): void {
-    if (this.#wakes) return
-    this.#wakes = true
+  /**
+   * Wakes the waiting requests after the current task. This gateway's own issuer replies while the request is still
+   * searching, so an immediate wake would reenter that search.
+   */
+  #scheduleWake (): void {
+    if (this.#isWakeScheduled) return
+    this.#isWakeScheduled = true
     queueMicrotask(() => {
-      this.#wakes = false
+      this.#isWakeScheduled = false
       this.#options.wake()
     })
   }
 
-  #goAlone (claim: Claim): void {
+  #continueAlone (claim: Claim): void {
     const { clock, wake } = this.#options
     claim.state = 'alone'
     this.alone++
-    const left = claim.wish.aloneUntil - clock.now()
+    const left = claim.requirements.aloneUntil - clock.now()
     if (left > 0) clock.after(left, wake)
   }
 
-  #drop ({ number, wish: { room } }: Claim): void {
+  #drop ({ number, requirements: { room } }: Claim): void {
     const { issuer, post } = this.#options
-    const ask = this.#asks.get(number)
-    if (ask === undefined) return
-    ask.timer?.cancel()
-    this.#asks.delete(number)
-    if (ask.owner === undefined) issuer.drop(room, ownAsk, number)
-    else post(ask.owner, { place: 'drop', service: room.service, model: room.model, number })
+    const pending = this.#pending.get(number)
+    if (pending === undefined) return
+    pending.timer?.cancel()
+    this.#pending.delete(number)
+    if (pending.owner === undefined) issuer.drop(room, localSender, number)
+    else post(pending.owner, { place: 'drop', service: room.service, model: room.model, number })
   }
 
-  #placed (claim: Claim, issuer: string | undefined, upstream: string, order: number): void {
+  #handleGrant (claim: Claim, issuer: string | undefined, upstream: string, order: number): void {
     this.received++
-    Object.assign(claim, { state: 'placed', issuer, upstream, order, until: this.#options.clock.now() + useTime })
+    Object.assign(claim, { state: 'placed', issuer, upstream, order, until: this.#options.clock.now() + placeLifetime })
   }
 
-  #tellBack ({ issuer, order, upstream, wish: { room } }: Claim): void {
+  #returnPlace ({ issuer, order, upstream, requirements: { room } }: Claim): void {
     if (issuer === undefined) {
       this.#options.issuer.settle(order)
       this.#options.issuer.serve(room)
-    } else this.#tell(issuer, room, upstream)
+    } else this.#sendCount(issuer, room, upstream)
   }
 
-  /** A place that came too late. That of another gateway is over with the next heartbeat, which says that it was seen. */
-  #unclaimed (from: string | undefined, reply: Reply): void {
+  /**
+   * Handles a place that came too late. A grant of another gateway ends with the next heartbeat, which reports the
+   * grant as seen.
+   */
+  #handleLateReply (from: string | undefined, reply: Reply): void {
     if (reply.place === 'grant' && from === undefined) this.#options.issuer.settle(reply.order)
   }
 }
--- a/packages/places/src/backlogs.ts
+++ b/packages/places/src/backlogs.ts
@@ -1,47 +1,49 @@
 /**
- * What requests that only time tells apart (of one team, priority and return) get of the places of a room while some of them always wait. It is not they then who come too
- * seldom, so the next of them will get as much, whoever comes later and goes first. Owns these rates. Times are on `Clock.now`, in ms.
+ * The rates at which groups of requests get places while some of each group always wait. A group is the requests that
+ * differ only in time: same team, priority and retry state. Owns these rates. Times are on `Clock.now`, in ms.
+ * While some of a group always wait, its rate is not limited by the group's own demand. The next requests of the
+ * group can therefore expect the same rate, whatever arrives later and goes first.
  */
 import { Rate } from './rate.js'
 
-/** How long some of them have to have waited until their rate is known, and up to which gap that counts as always. */
-const leastTime = 500
-const longestGap = 100
+/** How long a group must have waited until its rate is known, and the longest gap within such a wait, in ms. */
+const minBacklogTime = 500
+const maxGap = 100
 
 interface Backlog {
-  /** Of the places given since some always wait. */
+  /** Of the places granted since some always wait. */
   rate: Rate
   since: number
-  waitedAt: number
+  lastWaitedAt: number
 }
 
-/** The groups of requests of one room that wait. */
+/** The waiting groups of one room. */
 export class Backlogs {
   readonly #groups = new Map<string, Backlog>()
 
-  /** Takes which groups wait now. */
-  look (groups: Iterable<string>, now: number): void {
+  /** Records which groups wait now. */
+  recordWaiting (groups: Iterable<string>, now: number): void {
     for (const group of groups) {
       const known = this.#groups.get(group)
-      if (known !== undefined && now - known.waitedAt <= longestGap) known.waitedAt = now
-      else this.#groups.set(group, { rate: new Rate(), since: now, waitedAt: now })
+      if (known !== undefined && now - known.lastWaitedAt <= maxGap) known.lastWaitedAt = now
+      else this.#groups.set(group, { rate: new Rate(), since: now, lastWaitedAt: now })
     }
   }
 
-  /** Counts a place that was given to one of a group. */
-  given (group: string, now: number): void {
+  /** Counts a place that was granted to a request of a group. */
+  recordGrant (group: string, now: number): void {
     this.#groups.get(group)?.rate.add(now)
   }
 
-  /** Places a second that a group gets; undefined where it has not always waited lately. */
+  /** Places per second that a group gets; undefined if it has not always waited recently. */
   rate (group: string, now: number): number | undefined {
     const known = this.#groups.get(group)
-    if (known === undefined || now - known.waitedAt > longestGap || now - known.since < leastTime) return undefined
+    if (known === undefined || now - known.lastWaitedAt > maxGap || now - known.since < minBacklogTime) return undefined
     return known.rate.at(now) ?? 0
   }
 
-  /** Forgets the groups that wait no more. */
+  /** Removes the groups that no longer wait. */
   forget (now: number): void {
-    for (const [group, { waitedAt }] of this.#groups) if (now - waitedAt > longestGap) this.#groups.delete(group)
+    for (const [group, { lastWaitedAt }] of this.#groups) if (now - lastWaitedAt > maxGap) this.#groups.delete(group)
   }
 }
--- a/packages/places/src/claim.ts
+++ b/packages/places/src/claim.ts
@@ -1,15 +1,18 @@
-/** A request of this gateway that may need a place: what it needs, how far its search is, and what it should do next. */
+/**
+ * A request of this gateway that may need a place: its requirements, the state of its search, and what it should do
+ * next.
+ */
 import { type Waiting } from '@eiderwind/fairness'
 import { type Room } from './room.js'
 
 /** What a request needs. Times are on `Clock.now`, in ms. */
 export interface Wish extends Waiting {
   readonly room: Room
-  /** When it waits no longer if it looks for room alone. */
+  /** When the request stops waiting if it searches for room alone. */
   readonly aloneUntil: number
-  /** The time within which its caller should have an answer, in ms. */
+  /** The time within which the caller should have an answer, in ms. */
   readonly objective: number
-  /** The upstreams that it cannot be sent to. */
+  /** The upstreams that the request cannot be sent to. */
   readonly besides: () => readonly string[]
 }
 
@@ -17,27 +20,33 @@
 
 /** A request that may need a place. */
 export class Claim {
-  readonly wish: Wish
+  readonly requirements: Wish
   state: State = 'none'
-  /** The ask that is under way. */
+  /** The number of the pending place request. */
   number = 0
-  /** Where it has a place, by which grant of which gateway, and until when; which gateway refused it. */
+  /**
+   * The upstream of the place, the grant's number, the gateway that granted or refused it, and when the place
+   * expires.
+   */
   upstream = ''
   order = 0
   issuer: string | undefined
   until = 0
-  /** When its caller should come back, once it is refused, in ms; 0: as after any refusal. */
+  /** When the caller of a refused request should retry, in ms; 0 for the delay of any other refusal. */
   due = 0
-  /** Asks whose place could not be used. */
-  failed = 0
+  /** Places that could not be used. */
+  unusedPlaces = 0
 
-  constructor (wish: Wish) {
-    this.wish = wish
+  constructor (requirements: Wish) {
+    this.requirements = requirements
   }
 }
 
-/** What a request should do: look for room by itself, wait, go to an upstream, or give up and come back in `due` ms (0: as after any refusal). */
-export type Finding =
+/**
+ * What a request should do: search for room alone, wait, go to an upstream, or be refused. A refused caller should
+ * retry after `due` ms; 0 stands for the delay of any other refusal.
+ */
+export type PlaceDecision =
   | { readonly kind: 'alone' }
   | { readonly kind: 'wait' }
   | { readonly kind: 'place', readonly upstream: string }
--- a/packages/places/src/grants.ts
+++ b/packages/places/src/grants.ts
@@ -1,14 +1,18 @@
 /**
- * The places that this gateway has given and that no count shows yet. Owns these grants, in memory only. One that was lost, told back or never used is over with the next
- * heartbeat of its gateway after it has lapsed, so no place is lost for longer.
+ * The places that this gateway has granted and that no in-flight count includes yet. Owns these grants, in memory
+ * only. A grant that was lost, returned or never used ends with the first heartbeat of its gateway after the grant
+ * has expired. No place is lost for longer.
  */
 import { type Clock } from '@eiderwind/clock'
-import { useTime } from './ask.js'
+import { placeLifetime } from './request.js'
 
-/** Time after which a word shows a grant, even if its sender does not say that it has seen it, in ms: what is left of it was lost, or is not used any more. */
-const lapse = 2 * useTime
+/**
+ * Age at which a report of the gateway ends a grant even if the report does not include the grant, in ms. By then a
+ * grant that is still missing was lost or can no longer be used.
+ */
+const grantLifetime = 2 * placeLifetime
 
-/** Numbers of grants begin with the wall time at the start, so that those of a later life are higher. */
+/** Grant numbers start from the wall time of the process start, so that numbers of a later process are higher. */
 const grantsPerMillisecond = 1000
 
 interface Grant {
@@ -17,12 +21,12 @@
   readonly at: number
 }
 
-/** Grants on their way. */
+/** Grants that no count includes yet. */
 export class Grants {
   readonly #clock: Clock
-  /** By the gateway that has them. */
+  /** By the gateway that holds them. */
   readonly #grants = new Map<string, Grant[]>()
-  /** How many there are, by upstream. */
+  /** Number of grants by upstream. */
   readonly #counts = new Map<string, number>()
   #order: number
 
@@ -31,46 +35,49 @@
     this.#order = Math.floor(clock.wall()) * grantsPerMillisecond
   }
 
-  /** How many there are at an upstream. */
-  of (upstream: string): number {
+  /** Number of grants at an upstream. */
+  count (upstream: string): number {
     return this.#counts.get(upstream) ?? 0
   }
 
-  /** Gives a place to a gateway. Returns the number of the grant. */
+  /** Grants a place to a gateway. Returns the number of the grant. */
   add (to: string, upstream: string): number {
     const order = ++this.#order
     const grants = this.#grants.get(to) ?? []
     this.#grants.set(to, grants)
     grants.push({ order, upstream, at: this.#clock.now() })
-    this.#counts.set(upstream, this.of(upstream) + 1)
+    this.#counts.set(upstream, this.count(upstream) + 1)
     return order
   }
 
-  /** Takes that the newest counts of a gateway are known. @param seen the last grant that they may show */
-  shown (gateway: string, seen: number | undefined): void {
-    this.#end(gateway, grant => this.#isShown(grant, seen))
+  /**
+   * Ends the grants that the newest counts of a gateway include, and those that have expired.
+   * @param seen the last grant that the counts may include
+   */
+  acknowledge (gateway: string, seen: number | undefined): void {
+    this.#endWhere(gateway, grant => this.#isAcknowledged(grant, seen))
   }
 
-  /** The same of its count at one upstream. */
-  shownAt (gateway: string, upstream: string, seen: number): void {
-    this.#end(gateway, grant => grant.upstream === upstream && this.#isShown(grant, seen))
+  /** Does the same for the gateway's count at one upstream. */
+  acknowledgeAt (gateway: string, upstream: string, seen: number): void {
+    this.#endWhere(gateway, grant => grant.upstream === upstream && this.#isAcknowledged(grant, seen))
   }
 
   /** Ends one grant of a gateway. */
   settle (gateway: string, order: number): void {
-    this.#end(gateway, grant => grant.order === order)
+    this.#endWhere(gateway, grant => grant.order === order)
   }
 
-  /** Ends those of the gateways that live no more. */
+  /** Ends the grants of gateways that are no longer live. */
   keepOnly (isLive: (gateway: string) => boolean): void {
-    for (const gateway of [...this.#grants.keys()]) if (!isLive(gateway)) this.#end(gateway, () => true)
+    for (const gateway of [...this.#grants.keys()]) if (!isLive(gateway)) this.#endWhere(gateway, () => true)
   }
 
-  #isShown ({ order, at }: Grant, seen: number | undefined): boolean {
-    return (seen !== undefined && order <= seen) || this.#clock.now() - at >= lapse
+  #isAcknowledged ({ order, at }: Grant, seen: number | undefined): boolean {
+    return (seen !== undefined && order <= seen) || this.#clock.now() - at >= grantLifetime
   }
 
-  #end (gateway: string, isOver: (grant: Grant) => boolean): void {
+  #endWhere (gateway: string, isOver: (grant: Grant) => boolean): void {
     const grants = this.#grants.get(gateway) ?? []
     const left: Grant[] = []
     for (const grant of grants) {
@@ -82,7 +89,7 @@
   }
 
   #release (upstream: string): void {
-    const left = this.of(upstream) - 1
+    const left = this.count(upstream) - 1
     if (left > 0) this.#counts.set(upstream, left)
     else this.#counts.delete(upstream)
   }
--- a/packages/places/src/index.ts
+++ b/packages/places/src/index.ts
@@ -1,11 +1,11 @@
-/** One queue for the room of a model's heads. */
-export { ownAsk, type Ask, type Reply, type Word } from './ask.js'
+/** One shared queue for places at the heads of each model. */
+export { localSender, type PlaceRequest, type Reply, type CountUpdate } from './request.js'
 export { Asker, type AskerOptions } from './asker.js'
-export { type Claim, type Finding, type Wish } from './claim.js'
+export { type Claim, type PlaceDecision, type Wish } from './claim.js'
 export { Contention, type ContentionOptions } from './contention.js'
-export { Counts } from './counts.js'
+export { InFlightCounts } from './inflightcounts.js'
 export { Issuer, type IssuerOptions } from './issuer.js'
 export { Member, type MemberNews, type MemberOptions } from './member.js'
 export { decodeMessage, encodeMessage, type PlaceMessage } from './messages.js'
-export { type Head } from './openings.js'
+export { type Head } from './freeplaces.js'
 export { roomOf, type Room } from './room.js'
--- a/packages/places/src/counts.ts
+++ b/packages/places/src/inflightcounts.ts
@@ -1,10 +1,11 @@
 /**
- * Requests in flight at upstreams from the other gateways: by the newest heartbeat of each, and by what it has told of single upstreams since. Owns these counts and keeps
- * their sums, since they are asked for with each choice; relies on `keepOnly` being called now and then, so that a gateway that ended counts nothing.
+ * Requests in flight at upstreams from the other gateways, by the newest heartbeat of each and its reports about
+ * single upstreams since. Owns these counts. Keeps their sums, because each choice of an upstream reads them. Relies
+ * on periodic calls of `keepOnly`, so that the counts of a gateway that ended are removed.
  */
 
-/** Counts of the other gateways. */
-export class Counts {
+/** In-flight counts of the other gateways. */
+export class InFlightCounts {
   readonly #counts = new Map<string, Map<string, number>>()
   readonly #sums = new Map<string, number>()
 
@@ -13,14 +14,14 @@
     return this.#sums.get(upstream) ?? 0
   }
 
-  /** Takes the heartbeat of a gateway: all that it has in flight. */
-  hear (gateway: string, inFlight: Readonly<Record<string, number>>): void {
+  /** Replaces all counts of a gateway by those in its heartbeat. */
+  replace (gateway: string, inFlight: Readonly<Record<string, number>>): void {
     const before = this.#counts.get(gateway)
     if (before !== undefined) for (const upstream of [...before.keys()]) if (inFlight[upstream] === undefined) this.set(gateway, upstream, 0)
     for (const [upstream, count] of Object.entries(inFlight)) this.set(gateway, upstream, count)
   }
 
-  /** Takes what a gateway has in flight at one upstream. */
+  /** Sets what a gateway has in flight at one upstream. */
   set (gateway: string, upstream: string, count: number): void {
     const counts = this.#counts.get(gateway) ?? new Map<string, number>()
     this.#counts.set(gateway, counts)
@@ -29,11 +30,11 @@
     else counts.set(upstream, count)
   }
 
-  /** Forgets the gateways that live no more. */
+  /** Removes the gateways that are no longer live. */
   keepOnly (isLive: (gateway: string) => boolean): void {
     for (const gateway of [...this.#counts.keys()]) {
       if (isLive(gateway)) continue
-      this.hear(gateway, {})
+      this.replace(gateway, {})
       this.#counts.delete(gateway)
     }
   }
--- a/packages/places/src/messages.ts
+++ b/packages/places/src/messages.ts
@@ -1,10 +1,11 @@
 /**
- * The datagrams by which gateways ask each other for places. This is the only place that knows their keys on the wire: never rename, drop or retype one. A gateway of an
- * earlier build drops them, and its requests are served without: what it has in flight is known by its heartbeats.
+ * The datagrams in which gateways request places from each other. Only this module knows their keys on the wire:
+ * never rename, drop or retype one. A gateway of an earlier build ignores these datagrams. Its requests are served
+ * without places, and their load is known from its heartbeats.
  */
 import { parseJson } from '@eiderwind/wire'
 import { z } from 'zod'
-import { type Ask } from './ask.js'
+import { type PlaceRequest } from './request.js'
 import { type Room } from './room.js'
 
 const number = z.int().nonnegative()
@@ -14,47 +15,61 @@
 
 const PlaceMessage = z.discriminatedUnion('place', [
   /**
-   * A request waits for a place. It came `age` ms ago, can begin for `timely` ms more and be in time (less than 0: it is late), and waits for `patience` ms, but only `review` ms without
-   * a prospect, at none of the upstreams `besides`, best in the data centre `near`. Its caller was refused before and has come back; or has come back sooner than it was told to.
+   * A request waits for a place. It arrived `age` ms ago and starts in time within the next `timely` ms (negative: it
+   * is already late). It waits for `patience` ms, but after `review` ms only if it is expected to be served in time.
+   * It cannot be sent to the upstreams in `besides`; `near` is its preferred data centre. `again`: its caller retries
+   * after a refusal. `early`: its caller retries sooner than the refusal asked for.
    */
   z.object({ place: z.literal('ask'), ...room, number, priority: z.number(), team: z.string(), work: z.number(), age: time, timely: z.number(), patience: time, review: time.optional(), besides: z.array(z.string()), near: z.string(), again: flag, early: flag }),
-  /** It waits no longer. */
+  /** The request no longer waits. */
   z.object({ place: z.literal('drop'), ...room, number }),
-  /** It is in the queue. */
+  /** The request is in the queue. */
   z.object({ place: z.literal('wait'), number }),
-  /** It has a place at an upstream: the grant `order` of the sender, whose grants have rising numbers. */
+  /** The request has a place at an upstream. `order` is the number of the grant; the numbers of one sender increase. */
   z.object({ place: z.literal('grant'), number, upstream: z.string(), order: number }),
-  /** It gets none in time. Its caller should come back in `due` ms; 0: as after any refusal. */
+  /**
+   * The request gets no place in time. Its caller should retry in `due` ms; 0 stands for the delay of any other
+   * refusal.
+   */
   z.object({ place: z.literal('later'), number, due: time }),
-  /** What the sender has in flight at an upstream, with all grants of the receiver up to `seen`; and for how many ms it leaves the upstream out, if it does. */
+  /**
+   * What the sender has in flight at an upstream, including all grants of the receiver up to `seen`. `shut`: how long
+   * the sender excludes the upstream, in ms, if it does.
+   */
   z.object({ place: z.literal('count'), ...room, upstream: z.string(), count: number, seen: number, shut: time.optional() })
 ])
-/** A message between the gateway that issues a model's places and one that asks for them. */
+/** A message between the gateway that issues a model's places and one that requests them. */
 export type PlaceMessage = z.infer<typeof PlaceMessage>
 
-/** An ask on the wire, where times are told by how long they are from now: clocks of gateways differ. */
-export type AskMessage = Extract<PlaceMessage, { place: 'ask' }>
+/** A place request on the wire. Its times are relative to now, because the clocks of gateways differ. */
+export type RequestMessage = Extract<PlaceMessage, { place: 'ask' }>
 
-/** The message that tells another gateway an ask. @param now on `Clock.now`, in ms */
-export function askMessage ({ service, model }: Room, { number, priority, team, work, arrivedAt, inTimeUntil, until, reviewAt, besides, near, again, early }: Ask, now: number): AskMessage {
+/**
+ * The message that carries a place request to another gateway.
+ * @param now on `Clock.now`, in ms
+ */
+export function requestMessage ({ service, model }: Room, { number, priority, team, work, arrivedAt, inTimeUntil, until, reviewAt, besides, near, again, early }: PlaceRequest, now: number): RequestMessage {
   return { place: 'ask', service, model, number, priority, team, work, age: Math.max(0, now - arrivedAt), timely: inTimeUntil - now, patience: Math.max(0, until - now), review: reviewAt === undefined ? undefined : Math.max(0, reviewAt - now), besides: [...besides], near, again, early }
 }
 
-/** The ask in a message of another gateway. @param now on `Clock.now`, in ms */
-export function heardAsk ({ number, priority, team, work, age, timely, patience, review, besides, near, again, early }: AskMessage, from: string, now: number): Ask {
+/**
+ * The place request in a message of another gateway.
+ * @param now on `Clock.now`, in ms
+ */
+export function receivedRequest ({ number, priority, team, work, age, timely, patience, review, besides, near, again, early }: RequestMessage, from: string, now: number): PlaceRequest {
   return { from, number, priority, team, work, arrivedAt: now - age, inTimeUntil: now + timely, until: now + patience, reviewAt: review === undefined ? undefined : now + review, besides, near, again, early }
 }
 
-/** How each of the datagrams begins: what is none need not be read. */
-const beginning = Buffer.from('{"place":')
+/** The first bytes of each of these datagrams. Datagrams that begin differently are not parsed. */
+const messagePrefix = Buffer.from('{"place":')
 
-/** The datagram of a message. */
+/** Encodes a message as a datagram. */
 export function encodeMessage ({ place, ...others }: PlaceMessage): string {
   return JSON.stringify({ place, ...others })
 }
 
-/** The message in a datagram, or undefined where the datagram is none. */
+/** Decodes a datagram. Returns undefined if it is not one of these messages. */
 export function decodeMessage (datagram: Buffer): PlaceMessage | undefined {
-  if (!datagram.subarray(0, beginning.length).equals(beginning)) return undefined
+  if (!datagram.subarray(0, messagePrefix.length).equals(messagePrefix)) return undefined
   return PlaceMessage.safeParse(parseJson(datagram.toString())).data
 }
--- a/packages/places/src/rate.ts
+++ b/packages/places/src/rate.ts
@@ -1,37 +1,37 @@
-/** How often something happens, smoothed over about a second. Pure; times are given, in ms. */
+/** The rate of an event, smoothed over about a second. Pure; times are parameters, in ms. */
 
-const smoothing = 1000
+const smoothingTime = 1000
 
-/** Time that has to be seen before a rate is known, in ms. */
-const leastSeen = 250
+/** Minimum time of observation before the rate is known, in ms. */
+const minObservedTime = 250
 
-/** After this long without anything it is not known any more, in ms. */
-const forgotten = 3000
+/** Time without events after which the rate is unknown again, in ms. */
+const expiryTime = 3000
 
-/** A rate. */
+/** The rate of an event. */
 export class Rate {
   #sum = 0
   #at = 0
   #since: number | undefined
 
   add (now: number): void {
-    if (this.#since === undefined || now - this.#at > forgotten) {
+    if (this.#since === undefined || now - this.#at > expiryTime) {
       this.#since = now
       this.#sum = 0
     }
-    this.#sum = this.#sum * Math.exp((this.#at - now) / smoothing) + 1
+    this.#sum = this.#sum * Math.exp((this.#at - now) / smoothingTime) + 1
     this.#at = now
   }
 
-  /** Times a second; undefined where it is not known. */
+  /** Events per second; undefined if the rate is not known. */
   at (now: number): number | undefined {
-    if (this.#since === undefined || this.isOver(now) || now - this.#since < leastSeen) return undefined
-    const seen = 1 - Math.exp((this.#since - now) / smoothing)
-    return this.#sum * Math.exp((this.#at - now) / smoothing) / seen * 1000 / smoothing
+    if (this.#since === undefined || this.isExpired(now) || now - this.#since < minObservedTime) return undefined
+    const seen = 1 - Math.exp((this.#since - now) / smoothingTime)
+    return this.#sum * Math.exp((this.#at - now) / smoothingTime) / seen * 1000 / smoothingTime
   }
 
-  /** Whether nothing has happened for so long that it is forgotten. */
-  isOver (now: number): boolean {
-    return now - this.#at > forgotten
+  /** Whether there was no event for so long that the rate is unknown again. */
+  isExpired (now: number): boolean {
+    return now - this.#at > expiryTime
   }
 }
--- a/packages/places/src/room.ts
+++ b/packages/places/src/room.ts
@@ -1,15 +1,15 @@
-/** What requests compete for: the heads of one model of a service. */
+/** A room: the free capacity at the heads of one model of a service, for which its requests compete. */
 
-/** The heads of a model. */
+/** The room of one model. */
 export interface Room {
   readonly service: string
-  /** Empty where requests name none. */
+  /** Empty if requests name no model. */
   readonly model: string
-  /** By which it is known in maps, in heartbeats and by rendezvous hashing: part of the protocol. */
+  /** Identifies the room in maps, in heartbeats and in rendezvous hashing. It is part of the protocol. */
   readonly key: string
 }
 
-/** The room of a model. */
+/** Returns the room of a model. */
 export function roomOf (service: string, model: string): Room {
   return { service, model, key: `${service}/${model}` }
 }
--- a/packages/places/src/roomqueue.ts
+++ b/packages/places/src/roomqueue.ts
@@ -1,110 +1,116 @@
-/** The one queue of a room: who waits, and what is known for deciding who is next. Owns the asks of all gateways; when they are served is decided in `issuer.ts`. */
+/**
+ * The shared queue of one room: the waiting place requests of all gateways, and the data that decides their order.
+ * Owns these requests. `issuer.ts` decides when they are served.
+ */
 import { type Subscription } from '@eiderwind/clock'
 import { TeamUsage, WaitingLine, kindOf } from '@eiderwind/fairness'
-import { type Ask } from './ask.js'
-import { Prospects } from './prospects.js'
+import { type PlaceRequest } from './request.js'
+import { WaitEstimator } from './waitestimator.js'
 import { type Room } from './room.js'
 
-/** How long an empty queue is kept, in ms: what its teams usually ask for is learnt over minutes. */
-const keptFor = 600_000
+/** How long an empty queue is retained, in ms. The usual demand of its teams is learnt over minutes. */
+const idleRetention = 600_000
 
 /** The queue of a room. Times are on `Clock.now`, in ms. */
 export class RoomQueue {
   readonly room: Room
-  readonly line = new WaitingLine<Ask>()
-  /** The next look at the queue, if nothing else happens in it. */
+  readonly line = new WaitingLine<PlaceRequest>()
+  /** The next check of the queue, if nothing else happens in it. */
   timer: Subscription | undefined
-  readonly #asks = new Map<string, Ask>()
-  /** Those whose prospect has yet to be looked at. */
-  readonly #unreviewed = new Set<Ask>()
+  readonly #requests = new Map<string, PlaceRequest>()
+  /** Requests whose review is still to come. */
+  readonly #awaitingReview = new Set<PlaceRequest>()
   readonly #usage = new TeamUsage()
-  readonly #prospects = new Prospects()
+  readonly #waitEstimator = new WaitEstimator()
   #usedAt = 0
 
   constructor (room: Room) {
     this.room = room
   }
 
-  /** Puts an ask into the queue, instead of its earlier datagram where it comes twice. */
-  add (ask: Ask, now: number): void {
+  /** Adds a request to the queue. A repeated datagram replaces the earlier one. */
+  add (request: PlaceRequest, now: number): void {
     this.#usedAt = now
-    if (!this.drop(ask.from, ask.number)) this.#usage.asked(ask.team, ask.work, now)
-    this.#asks.set(keyOf(ask.from, ask.number), ask)
-    this.line.add(ask)
-    if (ask.reviewAt !== undefined) this.#unreviewed.add(ask)
+    if (!this.drop(request.from, request.number)) this.#usage.asked(request.team, request.work, now)
+    this.#requests.set(keyOf(request.from, request.number), request)
+    this.line.add(request)
+    if (request.reviewAt !== undefined) this.#awaitingReview.add(request)
   }
 
-  /** Removes an ask. Returns whether it waited. */
+  /** Removes a request. Returns whether it waited. */
   drop (from: string, number: number): boolean {
     const key = keyOf(from, number)
-    const ask = this.#asks.get(key)
-    if (ask === undefined) return false
-    this.line.remove(ask)
-    this.#forget(ask)
+    const request = this.#requests.get(key)
+    if (request === undefined) return false
+    this.line.remove(request)
+    this.#remove(request)
     return true
   }
 
-  /** Removes those that have waited as long as they can, and returns them. */
-  takeEnded (now: number): Ask[] {
+  /** Removes and returns the requests that have waited as long as they can. */
+  takeEnded (now: number): PlaceRequest[] {
     const ended = this.line.takeEnded(now)
-    for (const each of ended) this.#forget(each)
+    for (const each of ended) this.#remove(each)
     return ended
   }
 
-  /** Removes those that would not be served in time, of those whose review is due, and returns them. */
-  review (now: number): Ask[] {
-    const due = [...this.#unreviewed].filter(({ reviewAt = Infinity }) => reviewAt <= now)
-    for (const each of due) this.#unreviewed.delete(each)
-    const hopeless = this.#prospects.hopeless(due, this.line, this.#usage, now)
-    for (const { from, number } of hopeless) this.drop(from, number)
-    return hopeless
+  /** Removes and returns the requests that are due for review and would not be served in time. */
+  review (now: number): PlaceRequest[] {
+    const dueForReview = [...this.#awaitingReview].filter(({ reviewAt = Infinity }) => reviewAt <= now)
+    for (const each of dueForReview) this.#awaitingReview.delete(each)
+    const rejected = this.#waitEstimator.notServedInTime(dueForReview, this.line, this.#usage, now)
+    for (const { from, number } of rejected) this.drop(from, number)
+    return rejected
   }
 
-  /** When the next review is due, or somebody waits no longer; Infinity where nobody waits. */
-  get nextLook (): number {
-    return [...this.#unreviewed].reduce((first, { reviewAt = Infinity }) => Math.min(first, reviewAt), this.line.firstEnd)
+  /** When the next review is due or the wait of a request ends; Infinity if none waits. */
+  get nextCheckAt (): number {
+    return [...this.#awaitingReview].reduce((first, { reviewAt = Infinity }) => Math.min(first, reviewAt), this.line.firstEnd)
   }
 
-  /** The one that gets the next place. @param besides those that cannot use it */
-  next (besides: ReadonlySet<Ask>, now: number): Ask | undefined {
+  /**
+   * The request that gets the next place.
+   * @param besides requests that cannot use it
+   */
+  next (besides: ReadonlySet<PlaceRequest>, now: number): PlaceRequest | undefined {
     return this.line.next(this.#usage, now, besides)
   }
 
-  /** Takes that a place is given to an ask, which leaves. */
-  served (ask: Ask, now: number): void {
-    this.drop(ask.from, ask.number)
-    this.#usage.served(ask.team, ask.work, now, kindOf(ask, now))
-    this.#prospects.given(ask, now)
+  /** Records that a place is granted to a request, and removes the request. */
+  recordGrant (request: PlaceRequest, now: number): void {
+    this.drop(request.from, request.number)
+    this.#usage.served(request.team, request.work, now, kindOf(request, now))
+    this.#waitEstimator.recordGrant(request, now)
   }
 
-  /** Takes that all were served for which there are places now. */
-  look (now: number): void {
-    this.#prospects.look(this.line, now)
+  /** Records which requests still wait after all free places were granted. */
+  recordWaiting (now: number): void {
+    this.#waitEstimator.recordWaiting(this.line, now)
   }
 
-  /** In how many ms an ask that has just come would be served. */
-  expected (ask: Ask, now: number): number {
-    return this.#prospects.wait(ask, this.line, this.#usage, now)
+  /** The time after which a request that has just arrived is expected to be served, in ms. */
+  expectedWait (request: PlaceRequest, now: number): number {
+    return this.#waitEstimator.expectedWait(request, this.line, this.#usage, now)
   }
 
-  /** In how many ms a refused caller should come back; 0: as after any refusal. */
-  due (now: number): number {
-    return this.#prospects.return(this.line.size, now)
+  /** The time after which a refused caller should retry, in ms; 0 stands for the delay of any other refusal. */
+  retryDelay (now: number): number {
+    return this.#waitEstimator.retryDelay(this.line.size, now)
   }
 
-  /** Forgets what is over. */
+  /** Removes expired state. */
   forget (now: number): void {
-    this.#prospects.forget(now)
+    this.#waitEstimator.forget(now)
   }
 
-  /** Whether it is not worth keeping. */
-  isOver (now: number): boolean {
-    return this.line.size === 0 && now - this.#usedAt > keptFor
+  /** Whether the queue need not be retained. */
+  isExpired (now: number): boolean {
+    return this.line.size === 0 && now - this.#usedAt > idleRetention
   }
 
-  #forget (ask: Ask): void {
-    this.#asks.delete(keyOf(ask.from, ask.number))
-    this.#unreviewed.delete(ask)
+  #remove (request: PlaceRequest): void {
+    this.#requests.delete(keyOf(request.from, request.number))
+    this.#awaitingReview.delete(request)
   }
 }
 
--- a/packages/places/test/parts.test.ts
+++ b/packages/places/test/parts.test.ts
@@ -1,7 +1,7 @@
-/** Where room counts as contended, what the others have in flight, how often places come free, and which datagrams are read. */
+/** Contended rooms, in-flight counts of the other gateways, the rate of events, and the datagrams. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
-import { Contention, Counts, decodeMessage, encodeMessage, roomOf, type PlaceMessage } from '../src/index.js'
+import { Contention, InFlightCounts, decodeMessage, encodeMessage, roomOf, type PlaceMessage } from '../src/index.js'
 import { Rate } from '../src/rate.js'
 
 const room = roomOf('s', 'm')
@@ -22,39 +22,39 @@
   t.true(contention.has(room))
   clock.advance(1)
   t.false(contention.has(room))
-  t.deepEqual(contention.own, [])
+  t.deepEqual(contention.ownShortages, [])
   contention.forget()
   t.deepEqual(changes, [true, false])
   t.is(contention.count, 0)
 })
 
-test('what one gateway has met the others hear, and they do not pass it on', t => {
+test('a shortage that one gateway met reaches the others, which do not pass it on', t => {
   const clock = new ManualClock()
   const first = new Contention({ clock, fullness: () => 0 })
   const second = new Contention({ clock, fullness: () => 0 })
-  first.met(room)
-  t.deepEqual(first.own, [room.key])
-  second.hear(first.own)
+  first.recordShortage(room)
+  t.deepEqual(first.ownShortages, [room.key])
+  second.receive(first.ownShortages)
   t.true(second.has(room))
-  t.deepEqual(second.own, [])
+  t.deepEqual(second.ownShortages, [])
   clock.advance(1000)
   t.false(first.has(room))
-  t.deepEqual(first.own, [])
+  t.deepEqual(first.ownShortages, [])
 })
 
-test('a heartbeat replaces what its gateway had in flight, and a gateway that ended has nothing', t => {
-  const counts = new Counts()
-  counts.hear('x', { a: 2, b: 1 })
-  counts.hear('y', { a: 1 })
+test('a heartbeat replaces the counts of its gateway, and a gateway that ended has none', t => {
+  const counts = new InFlightCounts()
+  counts.replace('x', { a: 2, b: 1 })
+  counts.replace('y', { a: 1 })
   counts.set('x', 'a', 1)
   t.deepEqual([counts.of('a'), counts.of('b')], [2, 1])
-  counts.hear('x', { c: 3 })
+  counts.replace('x', { c: 3 })
   t.deepEqual([counts.of('a'), counts.of('b'), counts.of('c')], [1, 0, 3])
   counts.keepOnly(id => id === 'y')
   t.deepEqual([counts.of('a'), counts.of('c')], [1, 0])
 })
 
-test('a rate is known after a quarter of a second, and forgotten after three', t => {
+test('a rate is known after a quarter of a second, and unknown again after three seconds', t => {
   const rate = new Rate()
   t.is(rate.at(0), undefined)
   for (let now = 0; now < 200; now += 10) rate.add(now)
@@ -62,10 +62,10 @@
   for (let now = 200; now < 2000; now += 10) rate.add(now)
   t.true(Math.abs((rate.at(2000) ?? 0) - 100) < 5, String(rate.at(2000)))
   t.is(rate.at(5000), undefined)
-  t.true(rate.isOver(5000))
+  t.true(rate.isExpired(5000))
 })
 
-test('messages are read as they were written, and other datagrams are none', t => {
+test('messages are decoded as they were encoded, and other datagrams are rejected', t => {
   const messages: PlaceMessage[] = [
     { place: 'ask', service: 's', model: 'm', number: 1, priority: 0, team: '', work: 1, age: 0, timely: -1, patience: 2, besides: ['a'], near: 'dc' },
     { place: 'ask', service: 's', model: 'm', number: 1, priority: 0, team: '', work: 1, age: 0, timely: -1, patience: 2, review: 1, besides: [], near: 'dc' },
--- a/packages/places/test/world.ts
+++ b/packages/places/test/simulation.ts
@@ -1,4 +1,7 @@
-/** A fleet of gateways before a few heads, on a manual clock: real issuers and askers, with datagrams that take time, get lost and come twice, and processes that die or stand still. */
+/**
+ * Simulates a fleet of gateways before a few heads, on a manual clock. It uses the real issuers and askers. Datagrams
+ * are delayed, lost and duplicated, and processes die or are paused.
+ */
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
 import { Member, roomOf, type Asker, type Claim, type PlaceMessage, type Room, type Wish } from '../src/index.js'
 
@@ -9,56 +12,56 @@
 /** Silence after which a gateway counts as gone, in ms. */
 const heartbeatTimeout = 1000
 
-/** How datagrams fare. */
-export interface Weather {
+/** The behaviour of the network. */
+export interface NetworkConditions {
   readonly loss: number
-  readonly doubled: number
-  /** Longest way of a datagram, in ms. */
+  readonly duplication: number
+  /** Upper bound of the transit time of a datagram, in ms. */
   readonly delay: number
 }
 
-/** The best weather. */
-export const calm: Weather = { loss: 0, doubled: 0, delay: 1 }
+/** No loss, no duplicates and little delay. */
+export const reliableNetwork: NetworkConditions = { loss: 0, duplication: 0, delay: 1 }
 
-/** A fleet and its heads. */
-export interface WorldOptions {
+/** The size of the fleet, its heads and its network. */
+export interface SimulationOptions {
   readonly gateways: number
   readonly heads: number
   readonly capacity: number
   readonly seed?: number
-  readonly weather?: Weather
+  readonly network?: NetworkConditions
 }
 
-/** One gateway: what it has in flight, and its parts. */
+/** One gateway with its requests in flight and its part in the shared queues. */
 export class Gateway {
   readonly id: string
   readonly inFlight = new Map<string, number>()
   readonly #member: Member
-  /** Whom it takes for the issuer. */
+  /** The gateway that this one considers the issuer. */
   owner: string
   isDead = false
-  /** Until when the process stands still. */
+  /** When the pause of the process ends. */
   pausedUntil = 0
-  readonly #world: World
-  /** When each other gateway was heard last. */
-  readonly #heardAt = new Map<string, number>()
-  readonly #missed: Array<() => void> = []
+  readonly #simulation: Simulation
+  /** When the last heartbeat of each other gateway arrived. */
+  readonly #lastHeartbeatAt = new Map<string, number>()
+  readonly #deferred: Array<() => void> = []
 
-  constructor (world: World, id: string, owner: string) {
-    const { clock, random } = world
+  constructor (simulation: Simulation, id: string, owner: string) {
+    const { clock, random } = simulation
     this.id = id
     this.owner = owner
-    this.#world = world
+    this.#simulation = simulation
     this.#member = new Member({
       clock,
       id,
       dataCentre: 'dc',
-      heads: () => world.heads.map(id => ({ id, dataCentre: 'dc', capacity: world.options.capacity, closedFor: 0 })),
+      heads: () => simulation.heads.map(id => ({ id, dataCentre: 'dc', capacity: simulation.options.capacity, closedFor: 0 })),
       fullness: () => 1,
       inFlight: upstream => this.count(upstream),
       owner: () => this.owner === id ? undefined : this.owner,
-      post: (to, message) => world.send(id, to, message),
-      wake: () => world.wake(this),
+      post: (to, message) => simulation.send(id, to, message),
+      wake: () => simulation.wake(this),
       random
     })
   }
@@ -76,65 +79,65 @@
     return this.inFlight.get(upstream) ?? 0
   }
 
-  /** Does something once the process runs; never where it has died. */
+  /** Runs a task, after the pause if the process is paused; never if the process has died. */
   run (task: () => void): void {
     if (this.isDead) return
-    if (this.#world.clock.now() < this.pausedUntil) this.#missed.push(task)
+    if (this.#simulation.clock.now() < this.pausedUntil) this.#deferred.push(task)
     else task()
   }
 
-  /** Goes on after a pause. */
+  /** Continues after a pause. */
   resume (): void {
-    for (const task of this.#missed.splice(0)) task()
+    for (const task of this.#deferred.splice(0)) task()
   }
 
-  take (from: string, message: PlaceMessage): void {
+  receive (from: string, message: PlaceMessage): void {
     this.#member.take(message, from)
   }
 
-  /** Forgets the gateways that were not heard. */
+  /** Removes the gateways whose heartbeats have stopped. */
   forget (): void {
-    const isLive = (id: string): boolean => this.#world.now - (this.#heardAt.get(id) ?? 0) <= heartbeatTimeout
+    const isLive = (id: string): boolean => this.#simulation.now - (this.#lastHeartbeatAt.get(id) ?? 0) <= heartbeatTimeout
     this.#member.forget(isLive)
   }
 
-  hear (from: string, inFlight: Readonly<Record<string, number>>, grants: Readonly<Record<string, number>>): void {
-    this.#heardAt.set(from, this.#world.now)
+  receiveHeartbeat (from: string, inFlight: Readonly<Record<string, number>>, grants: Readonly<Record<string, number>>): void {
+    this.#lastHeartbeatAt.set(from, this.#simulation.now)
     this.#member.hear(from, inFlight, { grants })
   }
 }
 
-/** A request that looks for room. */
+/** A request that searches for room. */
 export interface Request {
   readonly gateway: Gateway
   readonly claim: Claim
-  /** How its search ended, and when. */
-  ending: 'served' | 'refused' | 'alone' | undefined
+  /** How the search ended, and when. */
+  outcome: 'served' | 'refused' | 'alone' | undefined
   endedAt: number
   upstream: string | undefined
 }
 
-/** The fleet. */
-export class World {
+/** The simulated fleet. */
+export class Simulation {
   readonly clock = new ManualClock()
-  readonly options: WorldOptions
+  readonly options: SimulationOptions
   readonly random: Random
   readonly heads: string[]
   readonly gateways: Gateway[]
   readonly requests: Request[] = []
-  weather: Weather
+  network: NetworkConditions
   sent = 0
-  /** Most requests at one head at any time beyond its capacity. */
-  beyond = 0
+  /** Maximum number of requests beyond its capacity at any head at any time. */
+  maxExcess = 0
 
-  constructor (options: WorldOptions) {
+  constructor (options: SimulationOptions) {
     this.options = options
     this.random = seeded(options.seed ?? 1)
-    this.weather = options.weather ?? calm
+    this.network = options.network ?? reliableNetwork
     this.heads = Array.from({ length: options.heads }, (_each, index) => `h${index}`)
     this.gateways = Array.from({ length: options.gateways }, (_each, index) => new Gateway(this, `g${index}`, 'g0'))
     for (const gateway of this.gateways) {
-      this.clock.after(this.random() * heartbeatInterval, () => this.#beat(gateway))
+      this.clock.after(this.random() * heartbeatInterval, () => this.#sendHeartbeat(gateway))
     }
   }
 
@@ -142,27 +145,27 @@
     return this.clock.now()
   }
 
-  /** A request comes to a gateway. */
-  async ask (gateway: Gateway, wish: Partial<Wish> = {}): Promise<Request> {
+  /** Starts a request at a gateway. */
+  async request (gateway: Gateway, requirements: Partial<Wish> = {}): Promise<Request> {
     const now = this.now
-    const claim = gateway.asker.claim({ room, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, aloneUntil: now + 110, objective: 500, besides: () => [], ...wish })
-    const request: Request = { gateway, claim, ending: undefined, endedAt: 0, upstream: undefined }
+    const claim = gateway.asker.claim({ room, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, aloneUntil: now + 110, objective: 500, besides: () => [], ...requirements })
+    const request: Request = { gateway, claim, outcome: undefined, endedAt: 0, upstream: undefined }
     this.requests.push(request)
-    this.#look(request)
+    this.#search(request)
     await settled()
     return request
   }
 
-  /** The request at a head ends. */
+  /** Ends the request at its head. */
   end (request: Request): void {
     const { gateway, upstream } = request
     if (upstream === undefined) return
     request.upstream = undefined
     gateway.inFlight.set(upstream, gateway.count(upstream) - 1)
-    gateway.run(() => gateway.asker.tell(room, upstream))
+    gateway.run(() => gateway.asker.sendCount(room, upstream))
   }
 
-  /** Lets time pass, a ms at a time. */
+  /** Advances the clock, one ms at a time. */
   async advance (span: number): Promise<void> {
     for (let passed = 0; passed < span; passed++) {
       this.clock.advance(1)
@@ -180,57 +183,57 @@
   send (from: string, to: string, message: PlaceMessage): void {
     this.sent++
     const target = this.gateways.find(each => each.id === to)
-    const times = this.random() < this.weather.doubled ? 2 : 1
+    const times = this.random() < this.network.duplication ? 2 : 1
     for (let time = 0; time < times; time++) {
-      if (this.random() < this.weather.loss) continue
-      this.clock.after(this.random() * this.weather.delay, () => target?.run(() => target.take(from, message)))
+      if (this.random() < this.network.loss) continue
+      this.clock.after(this.random() * this.network.delay, () => target?.run(() => target.receive(from, message)))
     }
   }
 
   wake (gateway: Gateway): void {
-    for (const each of this.requests) if (each.gateway === gateway && each.ending === undefined) this.#look(each)
+    for (const each of this.requests) if (each.gateway === gateway && each.outcome === undefined) this.#search(each)
   }
 
-  #look (request: Request): void {
+  #search (request: Request): void {
     const { gateway, claim } = request
-    if (gateway.isDead || request.ending !== undefined) return
+    if (gateway.isDead || request.outcome !== undefined) return
     const finding = gateway.asker.find(claim)
     if (finding.kind === 'wait') return
-    request.ending = finding.kind === 'place' ? 'served' : finding.kind
+    request.outcome = finding.kind === 'place' ? 'served' : finding.kind
     request.endedAt = this.now
     if (finding.kind !== 'place') return
     request.upstream = finding.upstream
     gateway.inFlight.set(finding.upstream, gateway.count(finding.upstream) + 1)
     gateway.asker.use(claim)
-    this.beyond = Math.max(this.beyond, this.load(finding.upstream) - this.options.capacity)
+    this.maxExcess = Math.max(this.maxExcess, this.load(finding.upstream) - this.options.capacity)
   }
 
-  /** Requests that have waited as long as they can are refused, as by the timer of a gateway's queue. */
+  /** Refuses requests that have waited as long as they can, like the timer of a gateway's queue. */
   #expire (): void {
     for (const each of this.requests) {
-      if (each.ending !== undefined || each.gateway.isDead || this.now < each.claim.wish.until) continue
+      if (each.outcome !== undefined || each.gateway.isDead || this.now < each.claim.requirements.until) continue
       each.gateway.asker.release(each.claim)
-      each.ending = 'refused'
+      each.outcome = 'refused'
       each.endedAt = this.now
     }
   }
 
-  #beat (gateway: Gateway): void {
+  #sendHeartbeat (gateway: Gateway): void {
     if (gateway.isDead) return
-    this.clock.after(heartbeatInterval, () => this.#beat(gateway))
+    this.clock.after(heartbeatInterval, () => this.#sendHeartbeat(gateway))
     gateway.run(() => {
       gateway.forget()
       const inFlight = Object.fromEntries(gateway.inFlight)
-      const grants = gateway.asker.seen
+      const grants = gateway.asker.lastGrants
       for (const other of this.gateways) {
-        if (other === gateway || this.random() < this.weather.loss) continue
-        this.clock.after(this.random() * this.weather.delay, () => other.run(() => other.hear(gateway.id, inFlight, grants)))
+        if (other === gateway || this.random() < this.network.loss) continue
+        this.clock.after(this.random() * this.network.delay, () => other.run(() => other.receiveHeartbeat(gateway.id, inFlight, grants)))
       }
     })
   }
 }
 
-/** Lets what waits for promises go on. */
+/** Lets pending promise callbacks run. */
 async function settled (): Promise<void> {
   await new Promise(resolve => setImmediate(resolve))
 }
