--- a/packages/crashes/src/crashes.ts
+++ b/packages/crashes/src/crashes.ts
@@ -1,122 +1,132 @@
 /**
- * What a gateway does about requests that crash the upstreams that run them: it gathers whose attempts broke, finds out whether that was a crash,
- * reports it to the other gateways, takes their reports, and says which requests may be sent. Owns the history, the trials and the reports; relies on its
- * caller for each attempt's end, for heartbeats in both directions, and for a look whether a process still listens at an address.
+ * Handles requests that crash the upstreams that run them. It collects the requests whose attempts broke, finds out
+ * whether the upstream crashed, exchanges reports with the other gateways, and decides which requests may be sent.
+ *
+ * This module owns the history, the trials and the reports. It relies on its caller for the end of each attempt, for
+ * the exchange of heartbeats, and for a check whether a process still listens at an address.
  */
 import { type Clock } from '@eiderwind/clock'
 import { CrashHistory, type BlockedRequest, type Crash, type Standing } from './history.js'
 import { Reports, type CrashReport } from './reports.js'
 import { Trials, type Trial } from './trials.js'
 
-/** What is asked of a request. The fingerprint is made when it is first read. */
-export interface Identified {
+/** The identity of a request. The fingerprint may be computed on first use. */
+export interface RequestIdentity {
   readonly fingerprint: string
 }
 
-/** An upstream, and where it answers. */
+/** An upstream and its address. */
 export interface UpstreamAddress {
   readonly id: string
   /** `host:port` */
   readonly address: string
 }
 
-/** What another gateway says in a heartbeat. */
-export interface CrashNews {
+/** The fields on crashes in a heartbeat. */
+export interface CrashHeartbeatFields {
   readonly crashes: readonly CrashReport[]
-  /** Fingerprints of requests that have lately run to their end after a crash. */
+  /** Fingerprints of requests that recently completed after a crash. */
   readonly cleared: readonly string[]
 }
 
 /** Dependencies of `Crashes`. */
 export interface CrashesOptions {
   readonly clock: Clock
-  /** Whether an upstream has certainly ended: a later life of it has begun. */
+  /** Whether an upstream has certainly ended, because a newer incarnation of it has started. */
   readonly hasEnded: (upstream: string) => boolean
   /** Whether a process still listens at an address. */
   readonly listensAt: (address: string) => Promise<boolean>
-  /** The trials of the other gateways: the request, by upstream. */
+  /** The trials of the other gateways: fingerprint of the request by upstream, an object per gateway. */
   readonly otherTrials: () => ReadonlyArray<Readonly<Record<string, string>>>
-  /** Called when there is news that the other gateways should hear now. */
+  /** Called when the other gateways should be notified at once. */
   readonly tell: () => void
-  /** Called when requests that wait should look again. */
+  /** Called when waiting requests should search for an upstream again. */
   readonly changed: () => void
-  /** Called when an upstream has crashed, as seen here. */
+  /** Called when this gateway has found that an upstream crashed. */
   readonly crashed: (crash: Crash) => void
-  /** Called when a request is blocked by a verdict given here, with the upstreams that crashed under it as far as they are known here. */
+  /**
+   * Called when this gateway decides to block a request, with the crashed upstreams of the request that are known here.
+   */
   readonly blocked: (request: string, upstreams: readonly string[]) => void
 }
 
-/** Time in which the attempts at a crashed upstream break, one connection after another, in ms. */
-const gatherTime = 5
+/**
+ * Time for which broken attempts at an upstream are collected, in ms. The connections of a crashed upstream break one
+ * after another within this time.
+ */
+const gatherWindowMs = 5
 
-/** Requests that are known to be, or suspected of being, the cause of crashes. */
+/** Requests that are known or suspected to crash upstreams. */
 export class Crashes {
   readonly #options: CrashesOptions
   readonly #history: CrashHistory
   readonly #trials: Trials
   readonly #reports: Reports
-  /** Requests whose attempts have broken and which are not reported yet, by upstream. */
-  readonly #broken = new Map<string, Set<string>>()
+  /** Fingerprints of requests with broken attempts that are not reported yet, by upstream. */
+  readonly #unreported = new Map<string, Set<string>>()
 
   constructor (options: CrashesOptions) {
     const { clock, changed, blocked, tell, otherTrials } = options
     this.#options = options
     this.#history = new CrashHistory({ clock, changed, blocked })
-    this.#trials = new Trials({ clock, others: otherTrials, begun: tell, over: changed })
+    this.#trials = new Trials({ clock, others: otherTrials, begun: tell, ended: changed })
     this.#reports = new Reports(clock)
   }
 
-  /** What may be done with a request. Costs nothing while no upstream has crashed. */
-  standing (request: Identified): Standing {
+  /** How a request may be sent. The check is free while no upstream has crashed. */
+  standing (request: RequestIdentity): Standing {
     return this.#history.isEmpty ? 'trusted' : this.#history.standing(request.fingerprint)
   }
 
-  /** Whether a suspect may be sent now: there is a verdict on its last crash, and no gateway tries it elsewhere. */
-  mayTry ({ fingerprint }: Identified): boolean {
+  /**
+   * Whether a suspected request may be sent now. All of its crashes must be decided, and no gateway may have a trial of
+   * it.
+   */
+  mayTry ({ fingerprint }: RequestIdentity): boolean {
     return !this.#history.isPending(fingerprint) && !this.#trials.has(fingerprint)
   }
 
-  /** Upstreams at which a suspect is tried: another suspect must not join it, and any other request should not. */
+  /** Upstreams that run a trial. Another suspect must not be sent there, and any other request should not. */
   get underTrial (): ReadonlySet<string> {
     return this.#trials.upstreams
   }
 
   /** Time for which a request stays blocked, in ms. */
-  blockedFor ({ fingerprint }: Identified): number {
+  blockedFor ({ fingerprint }: RequestIdentity): number {
     return this.#history.blockedFor(fingerprint)
   }
 
-  /** Records that a suspect is sent to an upstream. */
-  sent ({ fingerprint }: Identified, upstream: string): Trial {
+  /** Begins a trial: records that a suspect is sent to an upstream. */
+  sent ({ fingerprint }: RequestIdentity, upstream: string): Trial {
     return this.#trials.begin(fingerprint, upstream)
   }
 
-  /** Records that a request has run to its end. */
-  served (request: Identified): void {
+  /** Records that a request has completed. */
+  served (request: RequestIdentity): void {
     if (this.#history.isEmpty || !this.#history.clear(request.fingerprint)) return
     this.#reports.cleared(request.fingerprint)
   }
 
   /** Records that the connection of a request to an upstream broke. */
-  broke ({ fingerprint }: Identified, upstream: UpstreamAddress): void {
+  broke ({ fingerprint }: RequestIdentity, upstream: UpstreamAddress): void {
     const at = this.#options.clock.now()
     this.#history.suspect({ upstream: upstream.id, at, requests: [fingerprint] })
-    const gathered = this.#broken.get(upstream.id)
+    const gathered = this.#unreported.get(upstream.id)
     if (gathered !== undefined) {
       gathered.add(fingerprint)
       return
     }
-    this.#broken.set(upstream.id, new Set([fingerprint]))
-    this.#options.clock.after(gatherTime, () => this.#examine(upstream, at))
+    this.#unreported.set(upstream.id, new Set([fingerprint]))
+    this.#options.clock.after(gatherWindowMs, () => this.#checkCrash(upstream, at))
   }
 
-  /** What the other gateways should hear. */
-  get news (): CrashNews & { readonly trials: Readonly<Record<string, string>> } {
+  /** The heartbeat fields for the other gateways. */
+  get news (): CrashHeartbeatFields & { readonly trials: Readonly<Record<string, string>> } {
     return { crashes: this.#reports.crashes, cleared: this.#reports.clearances, trials: this.#trials.own }
   }
 
-  /** Takes what another gateway says. */
-  hear ({ crashes, cleared }: CrashNews): void {
+  /** Applies the heartbeat fields of another gateway. */
+  hear ({ crashes, cleared }: CrashHeartbeatFields): void {
     const now = this.#options.clock.now()
     for (const { upstream, age, requests } of crashes) this.#history.confirm({ upstream, at: now - age, requests })
     for (const request of cleared) this.#history.clear(request)
@@ -127,20 +137,23 @@
     return this.#history.blocked
   }
 
-  /** Takes blocked requests from another gateway or from the store. */
+  /** Adds blocked requests from another gateway or from the store. */
   block (blocked: readonly BlockedRequest[]): void {
     for (const { request, age } of blocked) this.#history.block(request, age)
   }
 
-  /** Finds out whether an upstream whose connections broke has crashed: then nothing listens at its address, or its next life does. */
-  #examine (upstream: UpstreamAddress, at: number): void {
-    if (this.#options.hasEnded(upstream.id)) return this.#examined(upstream.id, at, false)
-    this.#options.listensAt(upstream.address).then(listens => this.#examined(upstream.id, at, listens), () => this.#examined(upstream.id, at, false))
+  /**
+   * Finds out whether an upstream whose connections broke has crashed. If it has, no process listens at its address, or
+   * only its next incarnation does.
+   */
+  #checkCrash (upstream: UpstreamAddress, at: number): void {
+    if (this.#options.hasEnded(upstream.id)) return this.#concludeCheck(upstream.id, at, false)
+    this.#options.listensAt(upstream.address).then(listens => this.#concludeCheck(upstream.id, at, listens), () => this.#concludeCheck(upstream.id, at, false))
   }
 
-  #examined (upstream: string, at: number, listens: boolean): void {
-    const requests = [...this.#broken.get(upstream) ?? []]
-    this.#broken.delete(upstream)
+  #concludeCheck (upstream: string, at: number, listens: boolean): void {
+    const requests = [...this.#unreported.get(upstream) ?? []]
+    this.#unreported.delete(upstream)
     if (listens && !this.#options.hasEnded(upstream)) return this.#history.withdraw(upstream)
     const crash = { upstream, at, requests }
     this.#history.confirm(crash)
--- a/packages/crashes/src/fingerprint.ts
+++ b/packages/crashes/src/fingerprint.ts
@@ -1,10 +1,11 @@
 /**
- * By what a request is known again. Its caller sends it anew under another id, perhaps to another gateway, so only its content shows that it
- * is the same: whose it is, and what is asked for. Pure; the fingerprint is exchanged between gateways and stored, so it must not change.
+ * Computes the fingerprint that identifies a request across retries. A caller retries under another id and perhaps at
+ * another gateway, so only the content identifies the request: its team and what it requests. Pure. Gateways exchange
+ * and store fingerprints, so the function must not change.
  */
 import { createHash } from 'node:crypto'
 
-/** What makes two tries the same request. */
+/** The content that is equal for all tries of a request. */
 export interface RequestContent {
   readonly method: string
   readonly host: string
@@ -15,12 +16,15 @@
   readonly body: Buffer | undefined
 }
 
-/** Length of a fingerprint in hexadecimal digits: 64 bits, so that among a million requests two are alike once in 37 million such sets. */
+/**
+ * Length of a fingerprint in hexadecimal digits. These 64 bits give one collision in 37 million sets of a million
+ * requests.
+ */
 const fingerprintDigits = 16
 
 /** The fingerprint of a request. */
 export function fingerprint ({ method, host, target, team, body }: RequestContent): string {
-  // JSON keeps the parts apart: no part can be continued by the next one.
+  // JSON delimits the parts, so no two contents give the same string.
   const hash = createHash('sha256').update(JSON.stringify([method, host, target, team]))
   if (body !== undefined) hash.update(body)
   return hash.digest('hex').slice(0, fingerprintDigits)
--- a/packages/crashes/src/history.ts
+++ b/packages/crashes/src/history.ts
@@ -1,17 +1,21 @@
 /**
- * Which requests were in flight at upstreams when they crashed, and what follows for them. Owns the records; relies on its callers to report crashes
- * from all gateways, and runs that came to an end.
+ * Records which requests were in flight at upstreams that crashed, and decides which requests are suspected or blocked.
+ * This module owns the records. It relies on its callers to report crashes seen by all gateways, and completed
+ * requests.
  *
- * A crash takes some 20 requests with it, and all of them but one only ran beside the one that caused it. So no request is blocked for having been
- * there. After two crashes a request is suspected: from then on it runs where no other suspect does (`Trials`), and only a crash in which it was the
- * only suspect blocks it. A run to its end clears it.
+ * A crash interrupts about 20 requests, and all but one of them only ran beside its cause. So a request is not blocked
+ * just because it was in flight. After two crashes a request is suspected: it then runs only where no other suspect
+ * runs (`Trials`). A crash in which it was the only suspect blocks it. A completed run clears it.
  */
 import { type Clock } from '@eiderwind/clock'
 
-/** What may be done with a request. `suspected`: it may run, but not beside another suspect. `blocked`: it is not sent to any upstream. */
+/**
+ * How a request may be sent. `suspected`: it may run, but not beside another suspect. `blocked`: it is not sent to any
+ * upstream.
+ */
 export type Standing = 'trusted' | 'suspected' | 'blocked'
 
-/** An upstream that crashed, and the requests that were in flight there, by fingerprint. */
+/** An upstream that crashed, and the fingerprints of the requests that were in flight there. */
 export interface Crash {
   readonly upstream: string
   /** When its connections broke, in ms on `Clock.now`. */
@@ -19,7 +23,7 @@
   readonly requests: readonly string[]
 }
 
-/** A request that is sent to no upstream. */
+/** A request that is not sent to any upstream. */
 export interface BlockedRequest {
   /** Its fingerprint. */
   readonly request: string
@@ -30,45 +34,58 @@
 /** Dependencies of `CrashHistory`. */
 export interface CrashHistoryOptions {
   readonly clock: Clock
-  /** Called when a request may be sent again or never will be: those that wait for that look again. */
+  /** Called when the standing of requests has changed, so that waiting requests check it again. */
   readonly changed: () => void
-  /** Called when a request is blocked by a verdict given here, with the upstreams that crashed under it. */
+  /** Called when this gateway decides to block a request, with the upstreams that crashed while they ran it. */
   readonly blocked: (request: string, upstreams: readonly string[]) => void
 }
 
-/** Crashes after which a request is suspected. One more that it alone can have caused, and it is blocked: so it costs three engines. */
-const suspectedAfter = 2
+/**
+ * Number of crashes after which a request is suspected. One more crash with no other suspect blocks it, so a harmful
+ * request costs three engines.
+ */
+const suspectThreshold = 2
 
 /**
- * Crashes after which a request is blocked even where there was another suspect each time: several harmful requests at once meet each other, and gateways hear
- * of each other's trials too late. In a model of 3, 13 and 35 gateways with ten harmful requests at once (crashes/test/harm.test.ts) 22, 35 and 35 engines
- * crash; with 5 it is 29, 41 and 42 at the same 2 in 10,000 to 1 in 1,000 other requests refused, with 3 it is 13, 21 and 27, and up to 1 in 10 are refused.
+ * Number of crashes after which a request is blocked even if each had another suspect. The limit is needed because
+ * several harmful requests may meet at one upstream, and because gateways learn of each other's trials too late.
+ *
+ * In a model of 3, 13 and 35 gateways with ten harmful requests at once (crashes/test/harm.test.ts), 4 costs 22, 35 and
+ * 35 engines. With 5 it is 29, 41 and 42 engines, and the same 2 in 10,000 to 1 in 1,000 other requests are refused.
+ * With 3 it is 13, 21 and 27 engines, and up to 1 in 10 other requests are refused.
  */
-const blockedAfter = 4
+const blockThreshold = 4
 
 /**
- * Time in which reports of one crash by different gateways are one crash, in ms: an engine that crashes is back after some seconds, perhaps under
- * the same id, and can crash again only then.
+ * Time within which reports about an upstream count as one crash, in ms. A crashed engine needs some seconds to return,
+ * perhaps under the same id, and can't crash again before that.
  */
-const sameCrash = 1500
+const sameCrashWindowMs = 1500
 
 /**
- * Time between a crash and the verdict on it, in ms, in which the other gateways report who else was in flight there: many times the way between
- * gateways, and far below the time after which callers leave a silent stream (2 s).
+ * Time between a crash and the decision on it, in ms. The other gateways report their requests in flight within this
+ * time. It is many times the network delay between gateways, and far below the time after which callers abandon a
+ * silent stream (2 s).
  */
-const settleTime = 150
+const settleTimeMs = 150
 
-/** How long a request that is not blocked is remembered after the last crash, in ms: callers have returned after half a minute. */
-const suspicionMemory = 10 * 60_000
+/**
+ * Time after its last crash for which a request that is not blocked is remembered, in ms. Callers have returned after
+ * half a minute.
+ */
+const suspicionRetentionMs = 10 * 60_000
 
-/** Time after which a blocked request may run once more, as a suspect, in ms: its engines may have been mended. */
-const blockTime = 60 * 60_000
+/**
+ * Time after which a blocked request may run once more as a suspect, in ms. The engines may have been fixed by then.
+ */
+const blockDurationMs = 60 * 60_000
 
 /**
- * Requests that are remembered: a bound on memory where each crash leaves 20 that never come again. With 400 crashes of 20 requests each the history held
- * 1.2 MB (heap after a collection), the crashes of the last minutes included, whose number is not bounded.
+ * Maximum number of remembered requests. It bounds memory, since each crash leaves 20 requests, most of which never
+ * return. With 400 crashes of 20 requests each the history took 1.2 MB (heap after a collection). That includes the
+ * crashes of the last minutes, whose number is not bounded.
  */
-const mostRequests = 2000
+const maxRequests = 2000
 
 /** A crash that several gateways may report. */
 interface CrashEvent {
@@ -77,18 +94,18 @@
   readonly requests: Set<string>
   /** Whether it is known to be a crash and not only a broken connection. */
   confirmed: boolean
-  /** Whether all that concerns it should be known, and the verdict was given. */
+  /** Whether the time for reports is over and the crash was decided. */
   settled: boolean
 }
 
-/** What is known of one request. */
+/** The record of one request. */
 interface RequestRecord {
   readonly crashes: CrashEvent[]
-  /** On `Clock.now`; undefined where it is not blocked. */
+  /** When it was blocked, on `Clock.now`; undefined if it never was. */
   blockedAt: number | undefined
 }
 
-/** The crashes of the last minutes, by request. */
+/** The crashes of the last minutes by request. */
 export class CrashHistory {
   readonly #options: CrashHistoryOptions
   readonly #records = new Map<string, RequestRecord>()
@@ -99,7 +116,7 @@
     this.#options = options
   }
 
-  /** Whether there is nothing to ask for. */
+  /** Whether no request is recorded. */
   get isEmpty (): boolean {
     return this.#records.size === 0
   }
@@ -108,16 +125,16 @@
     const record = this.#records.get(request)
     if (record === undefined) return 'trusted'
     if (this.blockedFor(request) > 0) return 'blocked'
-    return record.crashes.length >= suspectedAfter || record.blockedAt !== undefined ? 'suspected' : 'trusted'
+    return record.crashes.length >= suspectThreshold || record.blockedAt !== undefined ? 'suspected' : 'trusted'
   }
 
-  /** Time for which a request stays blocked, in ms; 0 where it is not. */
+  /** Time for which a request stays blocked, in ms; 0 if it is not blocked. */
   blockedFor (request: string): number {
     const blockedAt = this.#records.get(request)?.blockedAt
-    return blockedAt === undefined ? 0 : Math.max(0, blockedAt + blockTime - this.#options.clock.now())
+    return blockedAt === undefined ? 0 : Math.max(0, blockedAt + blockDurationMs - this.#options.clock.now())
   }
 
-  /** Whether there is no verdict yet on a crash that a request was in. */
+  /** Whether a crash that the request was in is undecided. */
   isPending (request: string): boolean {
     return this.#records.get(request)?.crashes.some(each => !each.settled) === true
   }
@@ -128,67 +145,70 @@
     return [...this.#records].flatMap(([request, { blockedAt }]) => blockedAt === undefined || this.blockedFor(request) === 0 ? [] : [{ request, age: now - blockedAt }])
   }
 
-  /** Takes that the connections to an upstream broke, which may have been a crash: until that is known the requests count as if it was. */
+  /** Records that the connections to an upstream broke. It counts as a crash until `withdraw`. */
   suspect (crash: Crash): void {
-    this.#take(crash)
+    this.#recordCrash(crash)
   }
 
-  /** Takes that an upstream has crashed. */
+  /** Records that an upstream has crashed. */
   confirm (crash: Crash): void {
-    const event = this.#take(crash)
+    const event = this.#recordCrash(crash)
     if (event.confirmed) return
     event.confirmed = true
-    this.#options.clock.after(settleTime, () => this.#settle(event))
+    this.#options.clock.after(settleTimeMs, () => this.#settle(event))
   }
 
-  /** Takes that the upstream whose connections broke did not crash, as far as this gateway sees: unless another one has seen it. */
+  /**
+   * Records that the upstream did not crash as far as this gateway can tell. Has no effect if another gateway has
+   * confirmed the crash.
+   */
   withdraw (upstream: string): void {
     const event = this.#crashes.get(upstream)
     if (event === undefined || event.confirmed) return
     this.#crashes.delete(upstream)
-    for (const request of event.requests) this.#forgetCrash(request, event)
+    for (const request of event.requests) this.#removeCrash(request, event)
     this.#options.changed()
   }
 
-  /** Takes that a request has run to its end without harm. Returns whether it was in any crash. */
+  /** Records that a request has completed. Returns whether it was in any crash. */
   clear (request: string): boolean {
     const known = this.#records.delete(request)
     if (known) this.#options.changed()
     return known
   }
 
-  /** Takes that a request is blocked, from another gateway. @param age time since it was blocked, in ms */
+  /** Adds a request that another gateway has blocked. @param age time since it was blocked, in ms */
   block (request: string, age: number): void {
     if (this.blockedFor(request) > 0) return
-    this.#record(request).blockedAt = this.#options.clock.now() - age
+    this.#requestRecord(request).blockedAt = this.#options.clock.now() - age
     this.#options.changed()
   }
 
-  #take ({ upstream, at, requests }: Crash): CrashEvent {
+  #recordCrash ({ upstream, at, requests }: Crash): CrashEvent {
     const last = this.#crashes.get(upstream)
-    const event = last !== undefined && Math.abs(last.at - at) < sameCrash ? last : { upstream, at, requests: new Set<string>(), confirmed: false, settled: false }
+    const event = last !== undefined && Math.abs(last.at - at) < sameCrashWindowMs ? last : { upstream, at, requests: new Set<string>(), confirmed: false, settled: false }
     this.#crashes.set(upstream, event)
     const added = [...new Set(requests)].filter(each => !event.requests.has(each))
     for (const request of added) this.#add(request, event)
-    // Reports are repeated: one that says nothing new has nothing forgotten.
-    if (added.length > 0) this.#forget()
+    // Reports are repeated. A report without new requests evicts nothing.
+    if (added.length > 0) this.#evict()
     return event
   }
 
   #add (request: string, event: CrashEvent): void {
     event.requests.add(request)
-    this.#record(request).crashes.push(event)
+    this.#requestRecord(request).crashes.push(event)
   }
 
-  #record (request: string): RequestRecord {
+  #requestRecord (request: string): RequestRecord {
     const record = this.#records.get(request) ?? { crashes: [], blockedAt: undefined }
-    // At the end of the order in which records are forgotten.
+    // Moves the record to the end of the eviction order.
     this.#records.delete(request)
     this.#records.set(request, record)
     return record
   }
 
-  #forgetCrash (request: string, event: CrashEvent): void {
+  #removeCrash (request: string, event: CrashEvent): void {
     const record = this.#records.get(request)
     if (record === undefined) return
     const crashes = record.crashes.filter(each => each !== event)
@@ -196,45 +216,45 @@
     else this.#records.set(request, { ...record, crashes })
   }
 
-  /** The verdict on a crash, once all gateways have said who was there. */
+  /** Decides on a crash, after all gateways had time to report their requests in flight. */
   #settle (event: CrashEvent): void {
     event.settled = true
     const suspects = [...event.requests].filter(each => this.#wasSuspected(each, event))
     if (suspects.length === 1) this.#block(suspects[0])
     for (const request of event.requests) {
-      if ((this.#records.get(request)?.crashes.length ?? 0) >= blockedAfter) this.#block(request)
+      if ((this.#records.get(request)?.crashes.length ?? 0) >= blockThreshold) this.#block(request)
     }
     this.#options.changed()
   }
 
-  /** Whether a request was suspected already when it was in a crash. */
+  /** Whether a request was already suspected when a crash happened. */
   #wasSuspected (request: string, event: CrashEvent): boolean {
     const { crashes = [], blockedAt } = this.#records.get(request) ?? {}
-    return blockedAt !== undefined || crashes.filter(each => each.at < event.at).length >= suspectedAfter
+    return blockedAt !== undefined || crashes.filter(each => each.at < event.at).length >= suspectThreshold
   }
 
   #block (request: string): void {
-    const record = this.#record(request)
+    const record = this.#requestRecord(request)
     if (this.blockedFor(request) > 0) return
     record.blockedAt = this.#options.clock.now()
     this.#options.blocked(request, record.crashes.map(each => each.upstream))
   }
 
-  /** Forgets what is too old, and the oldest where there are too many. Blocked requests stay longest. */
-  #forget (): void {
-    const before = this.#options.clock.now() - suspicionMemory
+  /** Evicts records that are too old, and the oldest ones if there are too many. Blocked requests are evicted last. */
+  #evict (): void {
+    const before = this.#options.clock.now() - suspicionRetentionMs
     for (const [upstream, { at }] of this.#crashes) if (at < before) this.#crashes.delete(upstream)
     for (const [request, { crashes, blockedAt }] of this.#records) {
       if (blockedAt === undefined && crashes.every(each => each.at < before)) this.#records.delete(request)
     }
-    if (this.#records.size > mostRequests) this.#forgetOldest((_request, { crashes, blockedAt }) => blockedAt === undefined && crashes.length < suspectedAfter)
-    if (this.#records.size > mostRequests) this.#forgetOldest(() => true)
+    if (this.#records.size > maxRequests) this.#evictOldest((_request, { crashes, blockedAt }) => blockedAt === undefined && crashes.length < suspectThreshold)
+    if (this.#records.size > maxRequests) this.#evictOldest(() => true)
   }
 
-  #forgetOldest (may: (request: string, record: RequestRecord) => boolean): void {
+  #evictOldest (mayEvict: (request: string, record: RequestRecord) => boolean): void {
     for (const [request, record] of this.#records) {
-      if (this.#records.size <= mostRequests) return
-      if (may(request, record)) this.#records.delete(request)
+      if (this.#records.size <= maxRequests) return
+      if (mayEvict(request, record)) this.#records.delete(request)
     }
   }
 }
--- a/packages/crashes/src/reports.ts
+++ b/packages/crashes/src/reports.ts
@@ -1,11 +1,12 @@
 /**
- * What this gateway has lately seen of crashes, for the other gateways. Owns the reports; each stays in the heartbeats for a while, since a datagram
- * may be lost. Bounded, so that a heartbeat stays a small datagram.
+ * Reports of recent crashes seen by this gateway, for the other gateways. It owns the reports. Each one is repeated in
+ * the heartbeats for a while, since a datagram may be lost. Their number is bounded so that a heartbeat stays a small
+ * datagram.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Crash } from './history.js'
 
-/** A crash, as one gateway reports it to another one. */
+/** A crash as one gateway reports it to another. */
 export interface CrashReport {
   readonly upstream: string
   /** Time since the connections broke, in ms. */
@@ -14,12 +15,15 @@
   readonly requests: readonly string[]
 }
 
-/** How long a report is repeated, in ms: four regular heartbeats of a small fleet. */
-const reportTime = 1000
+/** Time for which a report is repeated, in ms: four regular heartbeats of a small fleet. */
+const reportRetentionMs = 1000
 
-/** Crashes, and requests of one crash and clearances, that are reported at once: below 6 kB together. */
-const mostCrashes = 4
-const mostRequests = 64
+/**
+ * Maximum number of crashes per heartbeat, and of requests per crash and of clearances. Together they take less than 6
+ * kB.
+ */
+const maxCrashes = 4
+const maxRequests = 64
 
 /** Reports to the other gateways. */
 export class Reports {
@@ -34,22 +38,22 @@
   /** The crashes of the last second, the newest first. */
   get crashes (): CrashReport[] {
     const now = this.#clock.now()
-    this.#crashes = this.#crashes.filter(({ at }) => now - at <= reportTime)
+    this.#crashes = this.#crashes.filter(({ at }) => now - at <= reportRetentionMs)
     return this.#crashes.map(({ upstream, at, requests }) => ({ upstream, age: Math.round(now - at), requests }))
   }
 
-  /** Requests that have run to their end in the last second, the newest first. */
+  /** Requests that have completed in the last second, the newest first. */
   get clearances (): string[] {
     const now = this.#clock.now()
-    this.#cleared = this.#cleared.filter(({ at }) => now - at <= reportTime)
+    this.#cleared = this.#cleared.filter(({ at }) => now - at <= reportRetentionMs)
     return this.#cleared.map(({ request }) => request)
   }
 
   crashed ({ upstream, at, requests }: Crash): void {
-    this.#crashes = [{ upstream, at, requests: requests.slice(0, mostRequests) }, ...this.#crashes].slice(0, mostCrashes)
+    this.#crashes = [{ upstream, at, requests: requests.slice(0, maxRequests) }, ...this.#crashes].slice(0, maxCrashes)
   }
 
   cleared (request: string): void {
-    this.#cleared = [{ request, at: this.#clock.now() }, ...this.#cleared].slice(0, mostRequests)
+    this.#cleared = [{ request, at: this.#clock.now() }, ...this.#cleared].slice(0, maxRequests)
   }
 }
--- a/packages/crashes/src/trials.ts
+++ b/packages/crashes/src/trials.ts
@@ -1,61 +1,63 @@
 /**
- * Suspected requests that run now, each at an upstream where no other suspect runs: so a crash there shows which of them causes it. Owns the trials
- * of this gateway; those of the others come with their heartbeats. A trial that is heard of too late costs proof, not safety.
+ * Trials: suspected requests that run now, each at an upstream where no other suspect runs. A crash of the upstream
+ * then shows which request causes it. This module owns the trials of this gateway; those of the other gateways arrive
+ * with their heartbeats. If a trial becomes known too late, two suspects may run at one upstream. A crash there proves
+ * nothing, but safety is not affected.
  */
 import { type Clock } from '@eiderwind/clock'
 
 /** Dependencies of `Trials`. */
 export interface TrialsOptions {
   readonly clock: Clock
-  /** The trials of the other gateways: the request, by upstream. */
+  /** The trials of the other gateways: fingerprint of the request by upstream, an object per gateway. */
   readonly others: () => ReadonlyArray<Readonly<Record<string, string>>>
-  /** Called when a trial begins, so that the others hear of it. */
+  /** Called when a trial begins, so that the other gateways are notified. */
   readonly begun: () => void
-  /** Called when a trial is over, so that those that wait for it look again. */
-  readonly over: () => void
+  /** Called when a trial has ended, so that waiting requests search for an upstream again. */
+  readonly ended: () => void
 }
 
 /**
- * Time that a suspect has to run after the first part of its answer before another one may join it, in ms. Requests that crash their engine did so 50 to 90
- * ms after they began to run.
+ * Time that a suspect has to run after the first part of its answer before another one may join it, in ms. Requests
+ * that crash their engine did so 50 to 90 ms after they began to run.
  */
-const provingTime = 300
+const provingTimeMs = 300
 
-/** One suspected request at one upstream. */
+/** The trial of one suspected request at one upstream. */
 export class Trial {
   readonly #clock: Clock
-  readonly #over: () => void
-  #timed = false
+  readonly #onEnd: () => void
+  #hasTimer = false
 
-  constructor (clock: Clock, over: () => void) {
+  constructor (clock: Clock, onEnd: () => void) {
     this.#clock = clock
-    this.#over = over
+    this.#onEnd = onEnd
   }
 
-  /** Records that a part of its answer came. */
+  /** Records that a part of the answer arrived. */
   received (): void {
-    if (this.#timed) return
-    this.#timed = true
-    this.#clock.after(provingTime, () => this.#over())
+    if (this.#hasTimer) return
+    this.#hasTimer = true
+    this.#clock.after(provingTimeMs, () => this.#onEnd())
   }
 
   /** Records that the attempt has ended. */
   end (): void {
-    this.#over()
+    this.#onEnd()
   }
 }
 
-/** The trials under way. */
+/** The current trials. */
 export class Trials {
   readonly #options: TrialsOptions
-  /** Own trials: the request and the trial, by upstream. */
+  /** The trials of this gateway by upstream. */
   readonly #own = new Map<string, { readonly request: string, readonly trial: Trial }>()
 
   constructor (options: TrialsOptions) {
     this.#options = options
   }
 
-  /** The own trials: the request, by upstream. */
+  /** The trials of this gateway: fingerprint of the request by upstream. */
   get own (): Record<string, string> {
     return Object.fromEntries([...this.#own].map(([upstream, { request }]) => [upstream, request]))
   }
@@ -65,7 +67,7 @@
     return new Set([...this.#own.keys(), ...this.#options.others().flatMap(each => Object.keys(each))])
   }
 
-  /** Whether any gateway tries a request now. */
+  /** Whether any gateway has a trial of a request now. */
   has (request: string): boolean {
     return [this.own, ...this.#options.others()].some(each => Object.values(each).includes(request))
   }
@@ -81,6 +83,6 @@
   #end (upstream: string, trial: Trial): void {
     if (this.#own.get(upstream)?.trial !== trial) return
     this.#own.delete(upstream)
-    this.#options.over()
+    this.#options.ended()
   }
 }
--- a/packages/crashes/test/fleet.ts
+++ b/packages/crashes/test/fleet.ts
@@ -1,26 +1,30 @@
 /**
- * A model of gateways that share heads with a request that crashes whichever begins to run it. The decisions are those of `Crashes`; heads, callers and the
- * way between gateways are made here, on a manual clock. A caller sends a request twice at most, and each try goes to two heads at most.
+ * A model of gateways that share heads, and of harmful requests that crash each head that begins to run them. `Crashes`
+ * makes the decisions. Heads, callers and the network are simulated on a manual clock. A caller sends a request at most
+ * twice, and each try goes to at most two heads.
  */
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
-import { Crashes, type Identified, type Standing, type Trial } from '@eiderwind/crashes'
+import { Crashes, type RequestIdentity, type Standing, type Trial } from '@eiderwind/crashes'
 
-/** What a gateway asks and tells while it forwards. */
-export interface Judge {
-  standing (request: Identified): Standing
-  mayTry (request: Identified): boolean
+/** The part of `Crashes` that a gateway uses while it forwards. */
+export interface CrashPolicy {
+  standing (request: RequestIdentity): Standing
+  mayTry (request: RequestIdentity): boolean
   readonly underTrial: ReadonlySet<string>
-  sent (request: Identified, upstream: string): Trial | undefined
-  broke (request: Identified, upstream: { readonly id: string, readonly address: string }): void
-  served (request: Identified): void
+  sent (request: RequestIdentity, upstream: string): Trial | undefined
+  broke (request: RequestIdentity, upstream: { readonly id: string, readonly address: string }): void
+  served (request: RequestIdentity): void
 }
 
-/** The rule without trials: three crashes block a request, whoever else was there. All gateways share one count, without delay. */
-export class CountAlone implements Judge {
+/**
+ * The rule without trials: three crashes block a request regardless of the other requests in flight. All gateways share
+ * one count without delay.
+ */
+export class CountingPolicy implements CrashPolicy {
   readonly #crashes = new Map<string, Set<string>>()
   readonly underTrial = new Set<string>()
 
-  standing ({ fingerprint }: Identified): Standing {
+  standing ({ fingerprint }: RequestIdentity): Standing {
     return (this.#crashes.get(fingerprint)?.size ?? 0) >= 3 ? 'blocked' : 'trusted'
   }
 
@@ -30,46 +34,49 @@
 
   sent (): undefined {}
 
-  broke ({ fingerprint }: Identified, { id }: { readonly id: string }): void {
+  broke ({ fingerprint }: RequestIdentity, { id }: { readonly id: string }): void {
     this.#crashes.set(fingerprint, (this.#crashes.get(fingerprint) ?? new Set()).add(id))
   }
 
-  served ({ fingerprint }: Identified): void {
+  served ({ fingerprint }: RequestIdentity): void {
     this.#crashes.delete(fingerprint)
   }
 }
 
-/** Options of a fleet. Spans are in ms. */
+/** Options of a fleet. Times are in ms. */
 export interface FleetOptions {
   readonly seed: number
   readonly gateways: number
   readonly heads: number
-  /** Harmful requests, each of which comes again each `interval`, at any gateway. */
+  /** Number of harmful requests. Each is sent again every `interval` at a random gateway. */
   readonly harmful: number
   readonly interval: number
-  /** Other requests that begin in each ms. */
+  /** Number of other requests that begin in each ms. */
   readonly rate: number
-  readonly span: number
-  /** By default the real one, with reports between gateways. */
-  readonly judge?: Judge
+  readonly duration: number
+  /** By default `Crashes`, with reports between gateways. */
+  readonly policy?: CrashPolicy
 }
 
-/** What came of it. */
+/** The result of a simulation. */
 export interface FleetResult {
-  /** Engines that crashed. */
+  /** Number of crashed engines. */
   readonly crashed: number
-  /** Other requests, and those of them that were refused as blocked. */
+  /** Number of other requests, and how many of them were refused as blocked. */
   readonly others: number
   readonly refused: number
-  /** Other requests that were served to their end. */
+  /** Number of other requests that completed. */
   readonly served: number
-  /** Longest time between the first and the last gateway's block of one request, in ms; undefined where one never blocked it. */
+  /**
+   * Maximum time between the first and the last gateway's block of one request, in ms. Undefined if a gateway never
+   * blocked one of them.
+   */
   readonly spread: number | undefined
 }
 
-interface Running {
+interface RunningRequest {
   readonly request: ModelRequest
-  readonly gateway: Judge
+  readonly gateway: CrashPolicy
   readonly head: string
   readonly sentAt: number
   readonly endsAt: number
@@ -78,29 +85,32 @@
   begun: boolean
 }
 
-interface ModelRequest extends Identified {
+interface ModelRequest extends RequestIdentity {
   readonly harmful: boolean
   attempts: number
   tries: number
   waitsUntil: number
-  gateway: Judge
+  gateway: CrashPolicy
 }
 
-/** Time that an ordinary request runs, that a harmful one runs until its head crashes, until a crashed head is replaced, and until a caller gives up waiting. */
-const runTime = 700
-const crashTime = 70
-const replaceTime = 2000
-const waitTime = 1500
-/** The way between two gateways, in ms, and the share of datagrams that is lost. */
-const way = 3
-const loss = 0.02
+/**
+ * Time that an ordinary request runs, that a harmful one runs until its head crashes, until a crashed head is replaced,
+ * and that a request waits at most.
+ */
+const runTimeMs = 700
+const crashTimeMs = 70
+const replaceTimeMs = 2000
+const maxWaitMs = 1500
+/** Network delay between two gateways, in ms, and the ratio of datagrams that are lost. */
+const networkDelayMs = 3
+const lossRatio = 0.02
 /** Time between two regular heartbeats, in ms. */
-const heartbeatInterval = 250
+const heartbeatIntervalMs = 250
 /** Time until the first part of an answer, in ms. */
-const firstTime = 60
+const firstAnswerMs = 60
 
-/** Plays a fleet. */
-export async function play (options: FleetOptions): Promise<FleetResult> {
+/** Simulates a fleet. */
+export async function simulate (options: FleetOptions): Promise<FleetResult> {
   const fleet = new Fleet(options)
   await fleet.run()
   return fleet.result
@@ -110,13 +120,13 @@
   readonly #options: FleetOptions
   readonly #clock = new ManualClock()
   readonly #random: Random
-  readonly #judges: Judge[]
+  readonly #policies: CrashPolicy[]
   readonly #crashes: Crashes[] = []
   readonly #blockedAt = new Map<string, number[]>()
   #heads: string[]
-  #lives = 0
+  #startedHeads = 0
   readonly #down = new Set<string>()
-  #running: Running[] = []
+  #running: RunningRequest[] = []
   #waiting: ModelRequest[] = []
   #crashed = 0
   #others = 0
@@ -126,10 +136,10 @@
   constructor (options: FleetOptions) {
     this.#options = options
     this.#random = seeded(options.seed)
-    this.#heads = Array.from({ length: options.heads }, () => this.#nextLife())
-    const { judge } = options
-    this.#judges = Array.from({ length: options.gateways }, (_each, index) => judge ?? this.#gateway(index))
-    if (judge === undefined) this.#clock.every(heartbeatInterval, () => { for (const index of this.#crashes.keys()) this.#tell(index) })
+    this.#heads = Array.from({ length: options.heads }, () => this.#nextHead())
+    const { policy } = options
+    this.#policies = Array.from({ length: options.gateways }, (_each, index) => policy ?? this.#createGateway(index))
+    if (policy === undefined) this.#clock.every(heartbeatIntervalMs, () => { for (const index of this.#crashes.keys()) this.#sendReports(index) })
   }
 
   get result (): FleetResult {
@@ -139,28 +149,28 @@
   }
 
   async run (): Promise<void> {
-    const { span } = this.#options
-    for (let time = 0; time < span; time++) {
+    const { duration } = this.#options
+    for (let time = 0; time < duration; time++) {
       this.#arrivals(time)
       this.#clock.advance(1)
-      // What was found out about addresses is told by promises.
+      // The checks of addresses resolve as promises.
       await Promise.resolve()
       this.#endRuns()
-      this.#look()
+      this.#sendWaiting()
     }
   }
 
-  #nextLife (): string {
-    return `head-${++this.#lives}`
+  #nextHead (): string {
+    return `head-${++this.#startedHeads}`
   }
 
-  #gateway (index: number): Crashes {
+  #createGateway (index: number): Crashes {
     const crashes = new Crashes({
       clock: this.#clock,
       hasEnded: () => false,
       listensAt: async address => !this.#down.has(address),
       otherTrials: () => this.#crashes.filter((_each, other) => other !== index).map(each => each.news.trials),
-      tell: () => this.#tell(index),
+      tell: () => this.#sendReports(index),
       changed: () => {},
       crashed: () => {},
       blocked: request => { this.#blockedAt.set(request, [...this.#blockedAt.get(request) ?? [], this.#clock.now()]) }
@@ -169,11 +179,11 @@
     return crashes
   }
 
-  #tell (from: number): void {
+  #sendReports (from: number): void {
     const { news } = this.#crashes[from]
     if (news.crashes.length === 0 && news.cleared.length === 0) return
     for (const [to, crashes] of this.#crashes.entries()) {
-      if (to !== from && this.#random() >= loss) this.#clock.after(way, () => crashes.hear(news))
+      if (to !== from && this.#random() >= lossRatio) this.#clock.after(networkDelayMs, () => crashes.hear(news))
     }
   }
 
@@ -189,15 +199,15 @@
   }
 
   #begin (fingerprint: string, harmful: boolean): void {
-    this.#waiting.push({ fingerprint, harmful, attempts: 0, tries: 1, waitsUntil: this.#clock.now() + waitTime, gateway: this.#anyGateway() })
+    this.#waiting.push({ fingerprint, harmful, attempts: 0, tries: 1, waitsUntil: this.#clock.now() + maxWaitMs, gateway: this.#randomGateway() })
   }
 
-  #anyGateway (): Judge {
-    return this.#judges[Math.floor(this.#random() * this.#judges.length)]
+  #randomGateway (): CrashPolicy {
+    return this.#policies[Math.floor(this.#random() * this.#policies.length)]
   }
 
-  /** Sends those that wait, as `Path` does. */
-  #look (): void {
+  /** Sends waiting requests, as `Path` does. */
+  #sendWaiting (): void {
     const waiting = this.#waiting
     this.#waiting = []
     for (const request of waiting) {
@@ -222,14 +232,14 @@
     const now = this.#clock.now()
     const trial = standing === 'suspected' ? gateway.sent(request, head) : undefined
     request.attempts++
-    this.#running.push({ request, gateway, head, trial, sentAt: now, endsAt: now + runTime * (0.5 + this.#random()), crashesAt: request.harmful ? now + crashTime : undefined, begun: false })
+    this.#running.push({ request, gateway, head, trial, sentAt: now, endsAt: now + runTimeMs * (0.5 + this.#random()), crashesAt: request.harmful ? now + crashTimeMs : undefined, begun: false })
     return true
   }
 
   #endRuns (): void {
     const now = this.#clock.now()
     for (const each of this.#running) {
-      if (!each.begun && now >= each.sentAt + firstTime) {
+      if (!each.begun && now >= each.sentAt + firstAnswerMs) {
         each.begun = true
         each.trial?.received()
       }
@@ -249,25 +259,28 @@
     this.#crashed++
     this.#down.add(head)
     this.#heads = this.#heads.filter(each => each !== head)
-    this.#clock.after(replaceTime, () => this.#heads.push(this.#nextLife()))
+    this.#clock.after(replaceTimeMs, () => this.#heads.push(this.#nextHead()))
     const lost = this.#running.filter(each => each.head === head)
     this.#running = this.#running.filter(each => each.head !== head)
     for (const { request, gateway, trial } of lost) {
       trial?.end()
       gateway.broke(request, { id: head, address: head })
-      this.#again(request)
+      this.#retry(request)
     }
   }
 
-  /** A try goes to two heads; then the caller tries once more, at any gateway. */
-  #again (request: ModelRequest): void {
+  /**
+   * Retries a request that was interrupted by a crash. A try goes to two heads; then the caller tries once more, at a
+   * random gateway.
+   */
+  #retry (request: ModelRequest): void {
     if (request.attempts >= 2) {
       if (request.tries >= 2) return
       request.tries++
       request.attempts = 0
-      request.gateway = this.#anyGateway()
+      request.gateway = this.#randomGateway()
     }
-    request.waitsUntil = this.#clock.now() + waitTime
+    request.waitsUntil = this.#clock.now() + maxWaitMs
     this.#waiting.push(request)
   }
 }
--- a/packages/crashes/test/history.test.ts
+++ b/packages/crashes/test/history.test.ts
@@ -1,4 +1,4 @@
-/** The verdicts on requests that were in flight at upstreams when they crashed. */
+/** Which requests are suspected, blocked or cleared after crashes of the upstreams that ran them. */
 import { ManualClock } from '@eiderwind/clock'
 import test from 'ava'
 import { CrashHistory } from '@eiderwind/crashes'
@@ -7,7 +7,7 @@
   readonly clock: ManualClock
   readonly history: CrashHistory
   readonly blocked: string[]
-  /** Crashes an upstream and waits for the verdict. */
+  /** Crashes an upstream and waits for the decision. */
   readonly crash: (upstream: string, ...requests: string[]) => void
 }
 
@@ -22,7 +22,7 @@
   return { clock, history, blocked, crash }
 }
 
-test('a request alone under three crashes is blocked at the third', t => {
+test('a request that is alone in three crashes is blocked at the third', t => {
   const { history, blocked, crash } = fixture()
   crash('a', 'p')
   t.is(history.standing('p'), 'trusted')
@@ -33,7 +33,7 @@
   t.deepEqual(blocked, ['p'])
 })
 
-test('those that ran beside it are told apart by the crash in which it was the only suspect', t => {
+test('a crash with one suspect blocks that request and none that ran beside it', t => {
   const { history, blocked, crash } = fixture()
   crash('a', 'p', 'x', 'y', 'z')
   crash('b', 'p', 'x', 'y')
@@ -45,7 +45,7 @@
   t.is(history.standing('new'), 'trusted')
 })
 
-test('two suspects in one crash: neither is blocked for it, the one that crashes the next upstream alone is', t => {
+test('a crash with two suspects blocks neither; the one that crashes the next upstream alone is blocked', t => {
   const { history, blocked, crash } = fixture()
   crash('a', 'p', 'x')
   crash('b', 'p', 'x')
@@ -57,7 +57,7 @@
   t.is(history.standing('x'), 'trusted')
 })
 
-test('four crashes block a request also where it never was the only suspect', t => {
+test('four crashes block a request that was never the only suspect', t => {
   const { blocked, crash } = fixture()
   for (const upstream of ['a', 'b', 'c']) crash(upstream, 'p', 'q')
   t.deepEqual(blocked, [])
@@ -65,7 +65,7 @@
   t.deepEqual(blocked, ['p', 'q'])
 })
 
-test('reports of several gateways about one crash are one crash; a later one of the same upstream is another', t => {
+test('reports of several gateways about one crash count once; a later crash of the same upstream counts again', t => {
   const { clock, history, blocked, crash } = fixture()
   history.confirm({ upstream: 'a', at: 0, requests: ['p'] })
   history.confirm({ upstream: 'a', at: 3, requests: ['p', 'x'] })
@@ -80,7 +80,7 @@
   t.deepEqual(blocked, ['p'])
 })
 
-test('a report that comes within the time of the verdict counts: who was there as well is not left out', t => {
+test('a report that arrives before the decision on a crash adds its suspects, so neither suspect is blocked', t => {
   const { clock, history, blocked, crash } = fixture()
   crash('a', 'p', 'x')
   crash('b', 'p', 'x')
@@ -92,7 +92,7 @@
   t.deepEqual(blocked, [])
 })
 
-test('a broken connection counts until it is known that nothing crashed', t => {
+test('a broken connection counts as a crash until it is withdrawn, unless another gateway confirms the crash', t => {
   const { clock, history, crash } = fixture()
   crash('a', 'p')
   history.suspect({ upstream: 'b', at: clock.now(), requests: ['p'] })
@@ -104,10 +104,10 @@
   history.suspect({ upstream: 'b', at: clock.now(), requests: ['p'] })
   history.confirm({ upstream: 'b', at: clock.now(), requests: ['q'] })
   history.withdraw('b')
-  t.is(history.standing('p'), 'suspected', 'another gateway has seen the crash')
+  t.is(history.standing('p'), 'suspected', 'another gateway has confirmed the crash')
 })
 
-test('a run to the end clears also a request that is blocked', t => {
+test('a completed run also clears a blocked request', t => {
   const { history, crash } = fixture()
   for (const upstream of ['a', 'b', 'c']) crash(upstream, 'p')
   t.true(history.clear('p'))
@@ -125,10 +125,10 @@
   t.is(history.standing('p'), 'suspected')
   crash('a', 'p')
   t.is(history.standing('p'), 'blocked')
-  t.deepEqual(blocked, ['p'], 'the first block was learnt, the second is a verdict')
+  t.deepEqual(blocked, ['p'], 'the first block came from another gateway, the second was decided here')
 })
 
-test('suspicions are forgotten after ten minutes; many requests are not all remembered, but those that are blocked are', t => {
+test('suspicions expire after ten minutes; with many requests old ones are evicted, but not blocked ones', t => {
   const { clock, history, crash } = fixture()
   crash('a', 'p')
   crash('b', 'p')
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -11,7 +11,7 @@
     find: 'suspects.length === 1',
     replace: 'false',
     test: 'packages/crashes/dist/test/history.test.js',
-    title: 'a request alone under three crashes*'
+    title: 'a request that is alone in three crashes*'
   },
   {
     name: 'life-late-record',
