--- a/packages/forward/src/answers.ts
+++ b/packages/forward/src/answers.ts
@@ -1,6 +1,7 @@
 /**
- * How answers of upstreams are read and passed on: whose they are, whether the request ran, and how their end is
- * marked (framing). Keeps no state. An answer never gets a framing that claims more than the upstream's own did.
+ * Interprets and forwards the answers of upstreams: which request they belong to, whether that request ran, and how the
+ * end of the answer is marked (framing). Keeps no state. The answer to a caller never has stricter framing than the
+ * upstream's answer.
  */
 import { type ServerResponse } from 'node:http'
 import { type Answered } from '@eiderwind/dispatch'
@@ -8,22 +9,22 @@
 import { type HeaderNames } from './names.js'
 import { type CallerRequest } from './request.js'
 
-/** One header of an answer; the first value if it came more than once. */
+/** One header of an answer; the first value if it occurs more than once. */
 export function answerHeader (headers: AnswerHeaders, name: string): string | undefined {
   const value = headers[name]
   return Array.isArray(value) ? value[0] : value
 }
 
-/** Whether an answer carries the id of the request, and so was made for it. */
-export function belongs (headers: AnswerHeaders, id: string, names: HeaderNames): boolean {
+/** Whether an answer carries the id of the request. An answer with another id belongs to another request. */
+export function matchesRequest (headers: AnswerHeaders, id: string, names: HeaderNames): boolean {
   return answerHeader(headers, names.request) === id
 }
 
-/** Status of an upstream that the request was not meant for (RFC 9110, section 15.5.20). */
+/** Status of an answer by an upstream that the request was not meant for (RFC 9110, section 15.5.20). */
 const misdirected = 421
 
-/** Whether an upstream says that it did not and will not run the request. */
-export function saysNotRun (status: number, headers: AnswerHeaders, names: HeaderNames): boolean {
+/** Whether an upstream reports that it did not and will not run the request. */
+export function reportsNotRun (status: number, headers: AnswerHeaders, names: HeaderNames): boolean {
   return status === misdirected || answerHeader(headers, names.notRun) !== undefined
 }
 
@@ -33,21 +34,21 @@
 }
 
 /**
- * Makes a response end with its connection, as the upstream's answer does. Such an answer may have been cut short, so the
- * response must not get a length or chunks by which it would seem complete.
+ * Ends a response by closing its connection, as the upstream does. Such an answer may have been cut off, so the
+ * response must not get a length or chunks that would make it look complete.
  */
 export function endWithConnection (response: ServerResponse): void {
   response.shouldKeepAlive = false
   response.useChunkedEncodingByDefault = false
 }
 
-/** Sends a collected answer to the caller, framed as it came. */
+/** Sends a collected answer to the caller with the framing of the upstream's answer. */
 export function sendAnswer (request: CallerRequest, { status, headers, body }: Answered): void {
   const { incoming, response, delivery } = request
   const framed = isFramed(headers)
   if (!framed) endWithConnection(response)
   const length = framed ? { 'content-length': String(body.length) } : {}
-  request.passOn()
+  request.recordForwarded()
   response.writeHead(status, { ...endToEnd(headers), ...length })
   delivery.end(incoming.method === 'HEAD' ? undefined : body)
   request.finish(`answered ${status}`)
--- a/packages/forward/src/attempt.ts
+++ b/packages/forward/src/attempt.ts
@@ -1,47 +1,50 @@
 /**
- * One send of a request to one upstream, until its result is known. Owns the call and the collected bytes of its answer;
- * reports to `InFlight` and `Suspects` what was sent to and received from the upstream. Relies on `Connections` to report
- * whether anything of a failed call was sent.
+ * One send of a request to one upstream, until the result is known. It owns the call and the collected bytes of its
+ * answer, and reports to `InFlight` and `Suspects` what was sent to and received from the upstream. It relies on
+ * `Connections` to report whether any part of a failed call was sent.
  */
 import { type Trial } from '@eiderwind/crashes'
 import { type InFlightRequest } from '@eiderwind/detect'
 import { isSuccess, type AttemptResult } from '@eiderwind/dispatch'
 import { type Upstream } from '@eiderwind/roster'
 import { Receiver, type AnswerHeaders, type CallFailure, type Cancel, type Flow } from '@eiderwind/wire'
-import { answerHeader, belongs, saysNotRun } from './answers.js'
+import { answerHeader, matchesRequest, reportsNotRun } from './answers.js'
 import { type Context } from './context.js'
 import { outgoingCall } from './outgoing.js'
 import { type CallerRequest } from './request.js'
 
-/** Longest answer that is collected, and longest event of a stream, in bytes: a bound on memory. */
-export const maxCollected = 8 * 2 ** 20
+/** Maximum size of a collected answer and of a stream event, in bytes. It bounds memory. */
+export const maxCollectedBytes = 8 * 2 ** 20
 
-/** Errors of a connection that did not come up, after which the upstream is suspected. */
-const unreachable = new Set(['UND_ERR_CONNECT_TIMEOUT', 'ECONNREFUSED', 'EHOSTUNREACH'])
+/** Error codes of a connection that was not established. The upstream is suspected after one of them. */
+const unreachableCodes = new Set(['UND_ERR_CONNECT_TIMEOUT', 'ECONNREFUSED', 'EHOSTUNREACH'])
 
-/** Characters of an upstream's own text that the log shows. */
-const longestShown = 40
+/** Maximum number of characters of an upstream's text in a log line. */
+const maxLoggedChars = 40
 
 /** Options of an attempt. */
 export interface AttemptOptions {
   readonly context: Context
   readonly request: CallerRequest
   readonly upstream: Upstream
-  /** The model that is asked for; empty if there is none. */
+  /** The requested model; empty if there is none. */
   readonly model: string
-  /** Id of the last event that the caller has, if a stream is resumed. */
+  /** Id of the last event that the caller received, if a stream is resumed. */
   readonly lastEvent?: number
-  /** Whether it goes over a new connection, never over a kept one. */
+  /** Whether to open a new connection instead of reusing an idle one. */
   readonly newConnection: boolean
-  /** What is told how a request fares that is suspected of crashing its upstreams. */
+  /** The trial that is notified of the attempt's progress, if the request is suspected of crashing its upstreams. */
   readonly trial: Trial | undefined
-  /** Called when the request should go on elsewhere, with the reason; perhaps several times. Returns whether it does. */
+  /**
+   * Called when the request should move to another upstream, with the reason; possibly several times. Returns whether
+   * it moves.
+   */
   readonly onMove?: (why: string) => boolean
   /** Called once, with the result. */
   readonly onEnd: (result: AttemptResult) => void
 }
 
-/** One send of a request to one upstream. Subclasses say what is done with a good answer. */
+/** One send of a request to one upstream. Subclasses define what happens to a successful answer. */
 export abstract class Attempt extends Receiver {
   readonly #options: AttemptOptions
   #inFlight: InFlightRequest | undefined
@@ -51,7 +54,7 @@
   #headers: AnswerHeaders = {}
   /** Whether anything of the request may have left this process. */
   #written = false
-  #passedOn = false
+  #forwarded = false
   #chunks: Buffer[] = []
   #size = 0
   #ended = false
@@ -61,20 +64,20 @@
     this.#options = options
   }
 
-  /** Whether an answer is passed on while it arrives, and not collected. */
-  protected abstract passesOn (status: number): boolean
-  /** Passes on the status and headers of an answer. */
+  /** Whether an answer with this status is forwarded as it arrives instead of being collected. */
+  protected abstract isForwarded (status: number): boolean
+  /** Forwards the status and headers of an answer. */
   protected abstract onHead (status: number, headers: AnswerHeaders): void
-  /** Passes on a part of the body. */
+  /** Forwards a part of the body. */
   protected abstract onChunk (chunk: Buffer): void
-  /** Whether an answer that was passed on is complete when it ends. */
+  /** Whether a forwarded answer is complete when it ends. */
   protected abstract isComplete (): boolean
 
   protected get request (): CallerRequest {
     return this.#options.request
   }
 
-  /** Reads no further from the upstream, which owes nothing until it is read again. */
+  /** Stops reading from the upstream. The upstream is not expected to send anything until `resume`. */
   protected pause (): void {
     const { context } = this.#options
     if (this.#ended) return
@@ -82,7 +85,7 @@
     if (this.#inFlight !== undefined) context.inFlight.pause(this.#inFlight)
   }
 
-  /** Reads on after `pause`. */
+  /** Continues reading after `pause`. */
   protected resume (): void {
     const { context } = this.#options
     if (this.#ended) return
@@ -97,7 +100,7 @@
     this.#inFlight = context.inFlight.begin(upstream.id, model, {
       stalled: () => { onMove?.('the upstream stalled') },
       moved: onMove,
-      lost: () => this.#lose('the upstream has started again', true),
+      lost: () => this.#lose('the upstream has restarted', true),
       withdrawn: why => this.#withdraw(why)
     })
     this.#cancel = context.connections.send(outgoingCall(request, upstream, context.names, lastEvent), this, newConnection)
@@ -105,17 +108,17 @@
     else request.cancelWith(() => this.abort('the request has ended'))
   }
 
-  /** Ends it with its answer lost, and cuts its connection. */
+  /** Ends the attempt as lost and closes its connection. */
   abort (why: string): void {
     this.#lose(why)
   }
 
-  /** Does not send it, unless it is being sent already: a call that waits for its connection fails as not sent. */
+  /** Cancels the attempt unless it is already being sent. A call that waits for its connection fails as not sent. */
   #withdraw (why: string): void {
     if (!this.#written) this.#cancel?.(new Error(why))
   }
 
-  /** @param broken whether it is the upstream that broke off */
+  /** Ends the attempt as lost. @param broken whether the upstream broke the connection */
   #lose (why: string, broken?: true): void {
     this.#end({ kind: 'lost', why, broken })
     this.#cancel?.(new Error(why))
@@ -128,35 +131,35 @@
   head (status: number, headers: AnswerHeaders, flow: Flow): void {
     if (this.#ended) return
     const { context, request, upstream } = this.#options
-    if (!belongs(headers, request.id, context.names)) {
+    if (!matchesRequest(headers, request.id, context.names)) {
       context.log.write('answer-foreign', { request: request.id, upstream: upstream.id, other: answerHeader(headers, context.names.request) ?? '' })
-      return this.abort('an answer of another request came')
+      return this.abort('the answer carries the id of another request')
     }
     this.#received()
     this.#flow = flow
     this.#status = status
     this.#headers = headers
-    context.answered(upstream, { status, headers, refused: this.#saysNotRun, sentAt: this.#inFlight?.sentAt ?? 0 })
-    this.#passedOn = !this.#saysNotRun && this.passesOn(status)
-    if (this.#passedOn) this.onHead(status, headers)
+    context.answered(upstream, { status, headers, refused: this.#reportsNotRun, sentAt: this.#inFlight?.sentAt ?? 0 })
+    this.#forwarded = !this.#reportsNotRun && this.isForwarded(status)
+    if (this.#forwarded) this.onHead(status, headers)
   }
 
   data (chunk: Buffer): void {
     if (this.#ended) return
     this.#received()
-    if (this.#passedOn) return this.onChunk(chunk)
+    if (this.#forwarded) return this.onChunk(chunk)
     this.#size += chunk.length
     this.#chunks.push(chunk)
-    if (this.#size > maxCollected) this.abort('the answer is too long')
+    if (this.#size > maxCollectedBytes) this.abort('the answer is too long')
   }
 
   end (): void {
     if (this.#ended) return
-    if (this.#passedOn) {
+    if (this.#forwarded) {
       return this.#end(this.isComplete() ? { kind: 'passed' } : { kind: 'lost', why: 'the stream ended in the middle of an event', broken: true })
     }
-    if (this.#saysNotRun) {
-      return this.#end({ kind: 'not-run', why: `the upstream answered ${this.#status}${this.#saidRetryAfter}`, sent: true })
+    if (this.#reportsNotRun) {
+      return this.#end({ kind: 'not-run', why: `the upstream answered ${this.#status}${this.#retryAfterNote}`, sent: true })
     }
     this.#end({ kind: 'answered', status: this.#status, headers: this.#headers, body: Buffer.concat(this.#chunks) })
   }
@@ -164,22 +167,25 @@
   fail ({ error, sent }: CallFailure): void {
     if (this.#ended) return
     const { context, upstream } = this.#options
-    if (unreachable.has((error as { code?: string }).code ?? '')) context.suspects.add(upstream.id)
-    // An upstream that says in the head of its answer that it did not run the request need not finish the answer.
-    const refused = this.#status > 0 && this.#saysNotRun
+    if (unreachableCodes.has((error as { code?: string }).code ?? '')) context.suspects.add(upstream.id)
+    // An upstream may leave its answer incomplete if the headers report that the request did not run.
+    const refused = this.#status > 0 && this.#reportsNotRun
     if (refused || !sent) this.#end({ kind: 'not-run', why: error.message, sent: refused })
     else this.#end({ kind: 'lost', why: error.message, broken: true })
   }
 
-  /** Whether the upstream has said that it did not run the request. */
-  get #saysNotRun (): boolean {
-    return saysNotRun(this.#status, this.#headers, this.#options.context.names)
+  /** Whether the upstream reported that it did not run the request. */
+  get #reportsNotRun (): boolean {
+    return reportsNotRun(this.#status, this.#headers, this.#options.context.names)
   }
 
-  /** What an answer said of when to come back, for the log: as it came, since it decides what may be sent there. */
-  get #saidRetryAfter (): string {
-    const said = answerHeader(this.#headers, 'retry-after')
-    return said === undefined ? '' : `, Retry-After ${said.slice(0, longestShown)}`
+  /**
+   * The `Retry-After` of the answer, for the log. The value is logged unparsed, since it decides what may be sent to
+   * the upstream.
+   */
+  get #retryAfterNote (): string {
+    const retryAfter = answerHeader(this.#headers, 'retry-after')
+    return retryAfter === undefined ? '' : `, Retry-After ${retryAfter.slice(0, maxLoggedChars)}`
   }
 
   #received (): void {
@@ -195,22 +201,25 @@
     const { context: { inFlight }, trial, onEnd } = this.#options
     if (this.#inFlight !== undefined) inFlight.end(this.#inFlight)
     trial?.end()
-    this.#tellCrashes(result)
+    this.#reportToCrashes(result)
     this.#chunks = []
     onEnd(result)
   }
 
-  /** An attempt that breaks off may have crashed its upstream; one that runs to its end has not. */
-  #tellCrashes (result: AttemptResult): void {
+  /**
+   * Reports the result to `Crashes`. An attempt whose connection breaks may have crashed its upstream; one that
+   * completes has not.
+   */
+  #reportToCrashes (result: AttemptResult): void {
     const { context: { crashes }, request, upstream } = this.#options
     if (result.kind === 'lost' && result.broken === true) crashes.broke(request, upstream)
     else if (isSuccess(result)) crashes.served(request)
   }
 }
 
-/** An attempt whose answer is collected whole. */
+/** An attempt that collects the whole answer. */
 export class CollectAttempt extends Attempt {
-  protected passesOn (): boolean {
+  protected isForwarded (): boolean {
     return false
   }
 
--- a/packages/forward/src/backlog.ts
+++ b/packages/forward/src/backlog.ts
@@ -1,47 +1,54 @@
 /**
- * What is kept of answers whose callers read slower than upstreams write. Pure: bytes and times are given. The load that it answers: many callers on slow links, or that have stopped
- * reading, whose answers would fill a gateway's memory and hold upstreams' places for as long as their connections last. A caller that reads slowly but steadily keeps its answer.
+ * The unread bytes of answers whose callers read more slowly than the upstreams write. Pure: bytes and times are passed
+ * in.
+ *
+ * The bounds protect a gateway from many callers that are on slow links or have stopped reading. Their answers would
+ * fill its memory and occupy capacity at the upstreams for as long as their connections last. A caller that reads
+ * slowly but steadily keeps its answer.
  */
 
-/** Bounds on what is kept. */
+/** Bounds on the unread bytes. */
 export interface BacklogBounds {
-  /** Bytes kept for one caller at which its upstream is read no further. */
+  /** Unread bytes of one caller at which its upstream is paused. */
   readonly perCaller: number
-  /** Bytes kept for all callers at which no upstream of a slow caller is read further. */
+  /** Unread bytes of all callers at which the upstreams of all slow callers are paused. */
   readonly total: number
-  /** Longest time that a caller may read nothing of what is kept for it, in ms. */
+  /** Maximum time that a caller with unread bytes may read nothing, in ms. */
   readonly patience: number
 }
 
 /** A caller whose connection is to be closed. */
-export interface Overdue<Caller> {
+export interface StalledCaller<Caller> {
   readonly caller: Caller
-  /** What is kept for it. */
+  /** Its unread bytes. */
   readonly bytes: number
-  /** How long it has read nothing, in ms. */
+  /** Time since it last read, in ms. */
   readonly idle: number
 }
 
-/** Part of its bound to which what is kept for a caller falls before its upstream is read on, so that it is not paused again by the next event. */
-const relief = 0.5
+/**
+ * The upstream of a caller is resumed when the caller's unread bytes fall to this part of `perCaller`, so that the next
+ * event does not pause it again.
+ */
+const resumeRatio = 0.5
 
 /**
- * Multiple of the total above which callers are closed sooner. While upstreams are paused, what is kept grows no further than by what each had sent already; collected answers may
- * come on top of that.
+ * Multiple of `total` above which callers are closed sooner. While upstreams are paused, the unread bytes grow only by
+ * what each upstream had sent before, and by collected answers.
  */
-const greatestExcess = 2
+const overloadRatio = 2
 
-/** Part of the patience that is left then. */
-const patienceInExcess = 0.25
+/** Factor by which `patience` shrinks above that bound. */
+const overloadPatienceRatio = 0.25
 
-/** What is kept for one caller. */
+/** The unread bytes of one caller. */
 interface Entry {
   bytes: number
-  /** When it last read, or when something was first kept for it, in ms. */
+  /** When the caller last read, or when its first unread bytes came, in ms. */
   progressAt: number
 }
 
-/** Bytes that wait for callers, and when each of these last read. Callers for whom nothing waits are unknown to it. */
+/** Unread bytes by caller, and when each caller last read. A caller without unread bytes has no entry. */
 export class Backlog<Caller> {
   readonly #bounds: BacklogBounds
   readonly #entries = new Map<Caller, Entry>()
@@ -51,17 +58,17 @@
     this.#bounds = bounds
   }
 
-  /** Bytes kept for all callers. */
+  /** Unread bytes of all callers. */
   get total (): number {
     return this.#total
   }
 
-  /** Callers for whom something is kept. */
+  /** Callers with unread bytes. */
   get callers (): readonly Caller[] {
     return [...this.#entries.keys()]
   }
 
-  /** Counts bytes that are kept for a caller. @param now in ms */
+  /** Adds unread bytes of a caller. @param now in ms */
   add (caller: Caller, bytes: number, now: number): void {
     const entry = this.#entries.get(caller) ?? { bytes: 0, progressAt: now }
     entry.bytes += bytes
@@ -69,7 +76,7 @@
     this.#total += bytes
   }
 
-  /** Counts off bytes that a caller has read. @param now in ms */
+  /** Subtracts bytes that a caller has read. @param now in ms */
   read (caller: Caller, bytes: number, now: number): void {
     const entry = this.#entries.get(caller)
     if (entry === undefined) return
@@ -79,37 +86,40 @@
     if (entry.bytes === 0) this.#entries.delete(caller)
   }
 
-  /** Has the time of a caller that cannot read yet begin now. @param now in ms */
-  excuse (caller: Caller, now: number): void {
+  /** Restarts the idle time of a caller, which could not read before now. @param now in ms */
+  restartIdleTime (caller: Caller, now: number): void {
     const entry = this.#entries.get(caller)
     if (entry !== undefined) entry.progressAt = now
   }
 
-  /** Forgets a caller that has left. */
+  /** Removes a caller that has disconnected. */
   remove (caller: Caller): void {
     this.#total -= this.#entries.get(caller)?.bytes ?? 0
     this.#entries.delete(caller)
   }
 
-  /** Whether the upstream of a caller is paused, if it is being read. */
+  /** Whether to pause the upstream of a caller. */
   isFull (caller: Caller): boolean {
     const bytes = this.#bytes(caller)
     return bytes > 0 && (bytes >= this.#bounds.perCaller || this.#total >= this.#bounds.total)
   }
 
-  /** Whether the upstream of a caller is read on, if it was paused. */
-  isRelieved (caller: Caller): boolean {
+  /** Whether to resume the paused upstream of a caller. */
+  mayResume (caller: Caller): boolean {
     const bytes = this.#bytes(caller)
-    return bytes === 0 || (bytes <= this.#bounds.perCaller * relief && this.#total < this.#bounds.total)
+    return bytes === 0 || (bytes <= this.#bounds.perCaller * resumeRatio && this.#total < this.#bounds.total)
   }
 
-  /** The callers to close: those that have read nothing for too long, longest first. Well above the total their time is shorter, until the rest fits. */
-  overdue (now: number): Array<Overdue<Caller>> {
+  /**
+   * The callers to close: those that have read nothing for too long, longest idle first. Above `total * overloadRatio`
+   * the permitted time is shorter, until the remaining bytes fit.
+   */
+  overdue (now: number): Array<StalledCaller<Caller>> {
     const { total: bound, patience } = this.#bounds
     let total = this.#total
-    const limit = (): number => total > bound * greatestExcess ? patience * patienceInExcess : patience
-    const slowestFirst = [...this.#entries].map(([caller, { bytes, progressAt }]) => ({ caller, bytes, idle: now - progressAt })).sort((a, b) => b.idle - a.idle)
-    return slowestFirst.filter(({ bytes, idle }) => {
+    const limit = (): number => total > bound * overloadRatio ? patience * overloadPatienceRatio : patience
+    const longestIdleFirst = [...this.#entries].map(([caller, { bytes, progressAt }]) => ({ caller, bytes, idle: now - progressAt })).sort((a, b) => b.idle - a.idle)
+    return longestIdleFirst.filter(({ bytes, idle }) => {
       if (idle <= limit()) return false
       total -= bytes
       return true
--- a/packages/forward/src/context.ts
+++ b/packages/forward/src/context.ts
@@ -1,4 +1,7 @@
-/** What all requests of a gateway share while they are forwarded. The gateway makes one and passes it to each path. */
+/**
+ * The dependencies that all requests of a gateway share while they are forwarded. The gateway creates one and passes it
+ * to each path.
+ */
 import { type Clock, type Random } from '@eiderwind/clock'
 import { type Crashes } from '@eiderwind/crashes'
 import { type InFlight, type Suspects } from '@eiderwind/detect'
@@ -10,11 +13,11 @@
 import { type Forecast } from '@eiderwind/work'
 import { type HeaderNames } from './names.js'
 
-/** The head of an upstream's answer to a request. */
+/** Status and headers of an upstream's answer, without the body. */
 export interface AnswerHead {
   readonly status: number
   readonly headers: AnswerHeaders
-  /** Whether it says that the request was not run. */
+  /** Whether the upstream reports that the request did not run. */
   readonly refused: boolean
   /** When the request was sent, on `Clock.now`. */
   readonly sentAt: number
@@ -24,7 +27,7 @@
 export interface Context {
   readonly clock: Clock
   readonly log: Log
-  /** Where this gateway is. */
+  /** The data centre of this gateway. */
   readonly dataCentre: string
   readonly names: HeaderNames
   readonly roster: Roster
@@ -35,15 +38,15 @@
   readonly intake: Intake
   readonly crashes: Crashes
   readonly queue: Queue
-  /** Counts callers of a model that are refused for lack of room. Absent: nobody asks for it. */
+  /** Counts callers of a model that are refused for lack of room. Absent if the counts are not used. */
   readonly offered?: OfferedLoad
-  /** Absent: no first event is predicted. */
+  /** Absent if first events are not forecast. */
   readonly forecast?: Forecast
   readonly random: Random
-  /** Asks for places where room is contended. Absent where each gateway looks for room alone. */
+  /** Requests places where room is contended. Absent if each gateway looks for room by itself. */
   readonly places?: Asker
   /** The retry budget of a service. */
   readonly retryBudget: (service: string) => RetryBudget
-  /** Takes what the head of an upstream's answer says of the upstream itself. */
+  /** Called with the status and headers of each answer, which may describe the state of the upstream. */
   readonly answered: (upstream: Upstream, answer: AnswerHead) => void
 }
--- a/packages/forward/src/delivery.ts
+++ b/packages/forward/src/delivery.ts
@@ -1,20 +1,24 @@
 /**
- * Sends an answer to its caller no faster than the caller reads, and keeps what it has not read yet. Owns those bytes and the end of the response, also after the request
- * itself has ended. `Deliveries` closes the connections of callers that read nothing for too long; how much and how long is decided in `backlog.ts`.
+ * Sends an answer to its caller no faster than the caller reads, and buffers the rest. This module owns the buffered
+ * bytes and the end of the response, also after the request itself has ended. `Deliveries` closes the connections of
+ * callers that read nothing for too long. `backlog.ts` decides how much is buffered and for how long.
  */
 import { type ServerResponse } from 'node:http'
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type Log } from '@eiderwind/log'
 import { Backlog, type BacklogBounds } from './backlog.js'
 
-/** Bytes that are handed to a connection at a time: what a caller reads shows no finer than this. */
-const pieceSize = 16 * 1024
+/** Maximum size of a write to a connection, in bytes. It is also the resolution at which a caller's reading is seen. */
+const maxPieceBytes = 16 * 1024
 
-/** Time between two looks for callers that do not read, in ms. */
-const checkInterval = 250
+/** Time between two checks for callers that do not read, in ms. */
+const checkIntervalMs = 250
 
-/** Time between two looks after which this process did not run in between, in ms: what callers have read meanwhile is not seen yet. */
-const longestInterval = 1000
+/**
+ * Time between two checks above which this process counts as paused, in ms. What callers read during a pause has not
+ * been seen yet.
+ */
+const maxCheckIntervalMs = 1000
 
 /** Dependencies of `Deliveries`. */
 export interface DeliveriesOptions {
@@ -23,7 +27,7 @@
   readonly bounds: BacklogBounds
 }
 
-/** All answers that callers have not read to their end. */
+/** All answers that callers have not read completely. */
 export class Deliveries {
   readonly #options: DeliveriesOptions
   readonly #backlog: Backlog<Delivery>
@@ -36,47 +40,48 @@
     this.#backlog = new Backlog(options.bounds)
   }
 
-  /** Callers for whom a part of an answer is kept. */
+  /** Number of callers with buffered bytes. */
   get waiting (): number {
     return this.#backlog.callers.length
   }
 
-  /** Bytes that are kept for them. */
+  /** Bytes that are buffered for all callers. */
   get bytes (): number {
     return this.#backlog.total
   }
 
-  /** Callers whose connections were closed since they did not read. */
+  /** Number of callers whose connections were closed because they did not read. */
   get closed (): number {
     return this.#closed
   }
 
   /**
-   * The delivery of one answer.
-   * @param id of its request @param onClose called before its connection is closed for lack of progress
+   * Opens the delivery of one answer.
+   * @param id id of the request
+   * @param onClose called before the connection is closed for lack of progress
    */
   open (response: ServerResponse, id: string, onClose: () => void): Delivery {
-    return new Delivery({ clock: this.#options.clock, backlog: this.#backlog, response, id, onClose, onKept: () => this.#watch() })
+    return new Delivery({ clock: this.#options.clock, backlog: this.#backlog, response, id, onClose, onUnread: () => this.#startChecks() })
   }
 
-  #watch (): void {
+  #startChecks (): void {
     if (this.#timer !== undefined) return
     this.#checkedAt = this.#options.clock.now()
-    this.#timer = this.#options.clock.every(checkInterval, () => this.#check())
+    this.#timer = this.#options.clock.every(checkIntervalMs, () => this.#check())
   }
 
   #check (): void {
     const { clock, log } = this.#options
     const now = clock.now()
-    const wasPaused = now - this.#checkedAt > longestInterval
+    const wasPaused = now - this.#checkedAt > maxCheckIntervalMs
     this.#checkedAt = now
-    for (const each of this.#backlog.callers) if (wasPaused || !each.mayRead) this.#backlog.excuse(each, now)
+    for (const each of this.#backlog.callers) if (wasPaused || !each.canRead) this.#backlog.restartIdleTime(each, now)
     for (const { caller, bytes, idle } of this.#backlog.overdue(now)) {
       this.#closed++
       log.write('caller-stalled', { request: caller.id, bytes, idle: Math.round(idle), kept: this.#backlog.total, answered: caller.ended })
       caller.close()
     }
-    for (const each of this.#backlog.callers) each.relieve()
+    for (const each of this.#backlog.callers) each.resumeUpstream()
     if (this.#backlog.callers.length > 0) return
     this.#timer?.cancel()
     this.#timer = undefined
@@ -90,20 +95,20 @@
   readonly response: ServerResponse
   readonly id: string
   readonly onClose: () => void
-  /** Called when something is kept. */
-  readonly onKept: () => void
+  /** Called when bytes are counted as unread. */
+  readonly onUnread: () => void
 }
 
 /** The delivery of one answer. */
 export class Delivery {
   readonly #options: DeliveryOptions
-  /** Bytes that are not handed to the connection yet. */
+  /** Bytes that were not written to the connection yet. */
   #pieces: Buffer[] = []
-  /** Bytes that were handed to the connection, which has not passed them on. */
-  #handed = 0
+  /** Bytes that were written to the connection and have not drained from it yet. */
+  #inConnection = 0
   #ending: 'end' | 'cut' | undefined
-  #watched = false
-  #onRelief: (() => void) | undefined
+  #isListening = false
+  #onResume: (() => void) | undefined
 
   constructor (options: DeliveryOptions) {
     this.#options = options
@@ -114,36 +119,41 @@
     return this.#options.id
   }
 
-  /** Whether all of the answer is here. */
+  /** Whether the whole answer has arrived. */
   get ended (): boolean {
     return this.#ending === 'end'
   }
 
-  /** Whether the caller can read: not before the answers to the requests that it sent earlier on the same connection. */
-  get mayRead (): boolean {
+  /**
+   * Whether the caller can read this answer. It can't before the answers to its earlier requests on the same connection
+   * are sent.
+   */
+  get canRead (): boolean {
     return this.#options.response.socket !== null
   }
 
-  /** Sends bytes, or keeps them until the caller has read what was sent before. */
+  /** Sends bytes, or buffers them until the caller has read the bytes before them. */
   write (bytes: Buffer): void {
-    if (bytes.length <= pieceSize) return this.#take(bytes)
-    // Copies: a view would keep all of the bytes in memory for the sake of the last of them.
-    for (let at = 0; at < bytes.length; at += pieceSize) this.#take(Buffer.from(bytes.subarray(at, at + pieceSize)))
+    if (bytes.length <= maxPieceBytes) return this.#writeOrQueue(bytes)
+    // A copy, since a view would keep all of the bytes in memory until the last piece is sent.
+    for (let at = 0; at < bytes.length; at += maxPieceBytes) this.#writeOrQueue(Buffer.from(bytes.subarray(at, at + maxPieceBytes)))
   }
 
-  /** Ends the answer once the caller has got what is kept. @param last its last bytes */
+  /** Ends the answer after the buffered bytes are sent. @param last the last bytes of the answer */
   end (last?: Buffer): void {
     const { response } = this.#options
     this.#ending = 'end'
-    if (this.#isBlocked || (last !== undefined && last.length > pieceSize)) {
+    if (this.#isBlocked || (last !== undefined && last.length > maxPieceBytes)) {
       if (last !== undefined) this.write(last)
       return this.#endOnceSent()
     }
     response.end(last)
-    this.#keepRest()
+    this.#countRemaining()
   }
 
-  /** Closes the connection once the caller has got what is kept: the answer can't be completed, and must not seem so. */
+  /**
+   * Closes the connection after the buffered bytes are sent. The answer can't be completed and must not look complete.
+   */
   cut (): void {
     this.#ending = 'cut'
     this.#endOnceSent()
@@ -152,73 +162,73 @@
   /** Closes the connection at once. */
   close (): void {
     const { response, onClose } = this.#options
-    this.#forget()
+    this.#discard()
     onClose()
-    // A reset: what the system still holds for this connection is freed as well.
+    // A reset also frees the bytes that the operating system still holds for this connection.
     if (response.socket === null) response.destroy()
     else response.socket.resetAndDestroy()
   }
 
-  /** Whether no more of the answer should be read from its upstream, until `onRelief` is called. */
-  isFull (onRelief: () => void): boolean {
+  /** Whether to stop reading the answer from its upstream until `onResume` is called. */
+  isFull (onResume: () => void): boolean {
     const { backlog } = this.#options
     if (!backlog.isFull(this)) return false
-    this.#onRelief = onRelief
+    this.#onResume = onResume
     return true
   }
 
-  /** Has the upstream read on where there is room again. */
-  relieve (): void {
-    const onRelief = this.#onRelief
-    if (onRelief === undefined || !this.#options.backlog.isRelieved(this)) return
-    this.#onRelief = undefined
-    onRelief()
+  /** Resumes reading from the upstream if the backlog permits it again. */
+  resumeUpstream (): void {
+    const onResume = this.#onResume
+    if (onResume === undefined || !this.#options.backlog.mayResume(this)) return
+    this.#onResume = undefined
+    onResume()
   }
 
   get #isBlocked (): boolean {
     return this.#pieces.length > 0 || this.#options.response.writableNeedDrain
   }
 
-  #take (piece: Buffer): void {
+  #writeOrQueue (piece: Buffer): void {
     if (this.#options.response.destroyed) return
     if (this.#isBlocked) {
       this.#pieces.push(piece)
-      this.#keep(piece.length)
+      this.#countUnread(piece.length)
     } else if (!this.#options.response.write(piece)) {
-      this.#handed = piece.length
-      this.#keep(piece.length)
+      this.#inConnection = piece.length
+      this.#countUnread(piece.length)
     }
   }
 
-  #keep (bytes: number): void {
-    const { clock, backlog, response, onKept } = this.#options
+  #countUnread (bytes: number): void {
+    const { clock, backlog, response, onUnread } = this.#options
     backlog.add(this, bytes, clock.now())
-    onKept()
-    if (this.#watched) return
-    this.#watched = true
+    onUnread()
+    if (this.#isListening) return
+    this.#isListening = true
     response.on('drain', () => this.#drained())
-    response.once('finish', () => this.#forget())
-    response.once('close', () => this.#forget())
+    response.once('finish', () => this.#discard())
+    response.once('close', () => this.#discard())
   }
 
-  #forget (): void {
+  #discard (): void {
     this.#pieces = []
     this.#options.backlog.remove(this)
   }
 
   #drained (): void {
     const { clock, backlog, response } = this.#options
-    backlog.read(this, this.#handed, clock.now())
-    this.#handed = 0
-    while (this.#pieces.length > 0 && !response.writableNeedDrain) this.#hand(this.#pieces.shift() as Buffer)
-    this.relieve()
+    backlog.read(this, this.#inConnection, clock.now())
+    this.#inConnection = 0
+    while (this.#pieces.length > 0 && !response.writableNeedDrain) this.#writePiece(this.#pieces.shift() as Buffer)
+    this.resumeUpstream()
     if (this.#ending !== undefined) this.#endOnceSent()
   }
 
-  #hand (piece: Buffer): void {
+  #writePiece (piece: Buffer): void {
     const { clock, backlog, response } = this.#options
     if (response.write(piece)) backlog.read(this, piece.length, clock.now())
-    else this.#handed = piece.length
+    else this.#inConnection = piece.length
   }
 
   #endOnceSent (): void {
@@ -229,12 +239,12 @@
       return
     }
     response.end()
-    this.#keepRest()
+    this.#countRemaining()
   }
 
-  /** Counts what the connection has not passed on at the end of the answer. */
-  #keepRest (): void {
+  /** Counts the bytes that are still in the connection at the end of the answer. */
+  #countRemaining (): void {
     const { response } = this.#options
-    if (!response.writableFinished && response.writableLength > 0) this.#keep(response.writableLength)
+    if (!response.writableFinished && response.writableLength > 0) this.#countUnread(response.writableLength)
   }
 }
--- a/packages/forward/src/events.ts
+++ b/packages/forward/src/events.ts
@@ -1,6 +1,6 @@
 /**
- * Cuts a stream of server-sent events (HTML, section 9.2) into complete events, so that a caller never gets a part of an
- * event from one upstream and the rest from another. Owns the bytes of the event that is not complete yet.
+ * Splits a stream of server-sent events (HTML, section 9.2) into complete events, so that a caller never gets one part
+ * of an event from one upstream and the rest from another. It owns the bytes of the incomplete event.
  */
 
 /** A complete event of a stream. */
@@ -12,31 +12,31 @@
 
 const lineFeed = 10
 const carriageReturn = 13
-/** An empty line with the line feed before it, in both forms. */
+/** The line feed that ends the previous line and an empty line, in both forms. */
 const emptyLine = '\n\n'
 const emptyLineCrlf = '\n\r\n'
 
-const nothing = Buffer.alloc(0)
+const emptyBuffer = Buffer.alloc(0)
 
 const idField = Buffer.from('id:')
 
 /** Splits the bytes of one stream into events. */
 export class EventSplitter {
-  #rest: Buffer = nothing
+  #incomplete: Buffer = emptyBuffer
 
   /** Whether all bytes so far belong to complete events. */
   get atBoundary (): boolean {
-    return this.#rest.length === 0
+    return this.#incomplete.length === 0
   }
 
-  /** Bytes of the event that is not complete yet. */
-  get held (): number {
-    return this.#rest.length
+  /** Bytes of the incomplete event. */
+  get pendingBytes (): number {
+    return this.#incomplete.length
   }
 
-  /** Takes the next bytes, and returns the events that they complete. */
+  /** Adds the next bytes and returns the events that they complete. */
   push (chunk: Buffer): StreamEvent[] {
-    const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk])
+    const bytes = this.#incomplete.length === 0 ? chunk : Buffer.concat([this.#incomplete, chunk])
     const events: StreamEvent[] = []
     let start = 0
     for (let end = eventEnd(bytes, start); end >= 0; end = eventEnd(bytes, start)) {
@@ -44,13 +44,13 @@
       events.push({ bytes: event, id: eventId(event) })
       start = end
     }
-    // A view of the bytes would keep all of them in memory.
-    this.#rest = start === bytes.length ? nothing : Buffer.from(bytes.subarray(start))
+    // A copy, since a view would keep all of the bytes in memory.
+    this.#incomplete = start === bytes.length ? emptyBuffer : Buffer.from(bytes.subarray(start))
     return events
   }
 }
 
-/** Index behind the empty line that ends the event at `start`, or -1 if the event is not complete. */
+/** Index after the empty line that ends the event at `start`, or -1 if the event is incomplete. */
 function eventEnd (bytes: Buffer, start: number): number {
   for (let at = bytes.indexOf(lineFeed, start); at >= 0; at = bytes.indexOf(lineFeed, at + 1)) {
     if (bytes[at + 1] === lineFeed) return at + emptyLine.length
@@ -59,7 +59,7 @@
   return -1
 }
 
-/** The number in the first line `id: …` of an event, if there is one. */
+/** The number in the first line `id: …` of an event; undefined if there is none. */
 function eventId (event: Buffer): number | undefined {
   for (let start = 0; start >= 0 && start < event.length;) {
     const end = event.indexOf(lineFeed, start)
--- a/packages/forward/src/index.ts
+++ b/packages/forward/src/index.ts
@@ -1,4 +1,4 @@
-/** Carries a caller's request to upstreams, and their answers and streams back. */
+/** Forwards a caller's request to upstreams, and their answers and streams to the caller. */
 export { CallerRequest, type CallerRequestOptions } from './request.js'
 export { type AnswerHead, type Context } from './context.js'
 export { type BacklogBounds } from './backlog.js'
--- a/packages/forward/src/names.ts
+++ b/packages/forward/src/names.ts
@@ -1,28 +1,31 @@
-/** Names of the headers that carry what forwarding needs. The platform's own names are filled in by its adapter. */
+/** Names of the headers that forwarding uses. The platform's adapter provides the names. */
 
 /** Header names between callers, gateway and upstreams, in lower case. */
 export interface HeaderNames {
-  /** Id of the request, repeated on its answer. */
+  /** Id of the request, also on its answer. */
   readonly request: string
-  /** Milliseconds that the caller will wait, or that are left when the request goes to an upstream. */
+  /** Time that the caller will wait or, on a request to an upstream, the time left; in ms. */
   readonly deadline: string
-  /** The caller's API key. It is never passed on. */
+  /** The caller's API key. It is never forwarded. */
   readonly key: string
   /** The team that holds the key. Only the gateway sets it. */
   readonly team: string
-  /** The upstream that a request is meant for; any other one refuses it. */
+  /** The upstream that the request is meant for. Any other upstream refuses it. */
   readonly upstream: string
-  /** The model that is asked for. */
+  /** The requested model. */
   readonly model: string
   /** Urgency for upstreams, 0 (most urgent) to 9. */
   readonly urgency: string
-  /** Present on an answer if the request was not run. */
+  /** Present on an answer if the request did not run. */
   readonly notRun: string
-  /** Tokens of the prompt and the most of the answer, by the caller, as `1460,80`. Absent where callers do not say. */
+  /**
+   * Tokens of the prompt and the maximum tokens of the answer, from the caller, as `1460,80`. Absent if callers do not
+   * send them.
+   */
   readonly tokens?: string
-  /** Tokens of the answer that the caller expects. Absent where callers do not say. */
+  /** Tokens that the caller expects in the answer. Absent if callers do not send them. */
   readonly length?: string
 }
 
-/** Id of the last event that the reader of a stream has (HTML, server-sent events). */
+/** Id of the last event that the reader of a stream received (HTML, server-sent events). */
 export const lastEventName = 'last-event-id'
--- a/packages/forward/src/outgoing.ts
+++ b/packages/forward/src/outgoing.ts
@@ -1,17 +1,23 @@
-/** Makes the HTTP request to an upstream from that of the caller: which headers are passed on, removed and added. */
+/**
+ * Builds the HTTP request to an upstream from the caller's request. It defines which headers are forwarded, removed and
+ * added.
+ */
 import { type IncomingMessage } from 'node:http'
 import { listedName, type Upstream } from '@eiderwind/roster'
 import { hopHeaders, type Call } from '@eiderwind/wire'
 import { lastEventName, type HeaderNames } from './names.js'
 import { type CallerRequest } from './request.js'
 
-/** The least urgency that upstreams know; less urgent requests are sent with this one. A bound of their protocol. */
+/** The lowest urgency in the upstreams' protocol. Less urgent requests are sent with this value. */
 const leastUrgent = 9
 
-/** The call that carries a request to an upstream. @param lastEvent id of the last event that the caller has, if a stream is resumed */
+/**
+ * Builds the call that sends a request to an upstream. @param lastEvent id of the last event that the caller received,
+ * if a stream is resumed
+ */
 export function outgoingCall (request: CallerRequest, upstream: Upstream, names: HeaderNames, lastEvent?: number): Call {
   const { incoming, body, team } = request
-  const headers = passedHeaders(incoming)
+  const headers = forwardedHeaders(incoming)
   delete headers[names.key]
   delete headers[names.team]
   if (team !== undefined) headers[names.team] = team.name
@@ -28,8 +34,8 @@
   }
 }
 
-/** The caller's headers without those of its connection. `host` is passed on as the caller sent it. */
-function passedHeaders (incoming: IncomingMessage): Record<string, string> {
+/** The caller's headers without the headers of its connection. `host` is forwarded as the caller sent it. */
+function forwardedHeaders (incoming: IncomingMessage): Record<string, string> {
   const headers: Record<string, string> = {}
   const connection = connectionHeaders(incoming)
   for (const [name, value] of Object.entries(incoming.headers)) {
@@ -40,7 +46,7 @@
   return headers
 }
 
-/** Headers that the caller named as belonging to its connection (RFC 9110, section 7.6.1). */
+/** Headers that the caller's `connection` header lists (RFC 9110, section 7.6.1). */
 function connectionHeaders ({ headers }: IncomingMessage): ReadonlySet<string> {
   const value = headers.connection
   if (value === undefined) return new Set()
--- a/packages/forward/src/path.ts
+++ b/packages/forward/src/path.ts
@@ -1,7 +1,8 @@
 /**
- * The way of an admitted request to its answer: wait for an upstream with room, attempt, perhaps attempt again, conclude.
- * Owns the order of these steps; the rules are in `@eiderwind/dispatch`. Relies on `CallerRequest` to end the request
- * when its deadline passes or its caller leaves; after that a path does nothing more.
+ * The steps from an admitted request to its answer: wait for an upstream with free capacity, attempt, possibly retry,
+ * conclude. This module owns the order of the steps; the rules of each step are in `@eiderwind/dispatch`. It relies on
+ * `CallerRequest` to end the request when its deadline passes or its caller disconnects. A path does nothing more after
+ * that.
  */
 import { type Trial } from '@eiderwind/crashes'
 import { decideRetry, refusals, waitForRoom, type AttemptResult, type Closure, type Seeker, type WaitHandlers } from '@eiderwind/dispatch'
@@ -12,99 +13,102 @@
 import { type Upstream } from '@eiderwind/roster'
 import { sendAnswer } from './answers.js'
 import { type Context } from './context.js'
-import { Placing } from './placing.js'
+import { PlaceSearch } from './placesearch.js'
 import { type CallerRequest } from './request.js'
 
-/** Why a request that has crashed an upstream is not sent to another one. */
-const crashesUpstreams = 'each upstream that began to run this request has crashed'
+/** Why a request that has crashed its upstreams is not sent to another one. */
+const crashedUpstreamsReason = 'each upstream that began to run this request has crashed'
 
-/** A caller that spent less than this before it came back did not wait as it was told, in ms: no refusal gives a shorter time. */
-const earliestReturn = 200
+/**
+ * A caller that retries sooner than this did not wait for the time in its refusal, in ms. No refusal names a shorter
+ * time.
+ */
+const minRetryDelayMs = 200
 
-/** No upstream. */
-const none: ReadonlySet<string> = new Set()
+/** The empty set of upstreams. */
+const noUpstreams: ReadonlySet<string> = new Set()
 
-/** Serves one request. Subclasses differ in how an upstream is chosen and what is done with its answer. */
+/** Serves one request. Subclasses choose the upstreams and handle their answers. */
 export abstract class Path {
   protected readonly context: Context
   protected readonly request: CallerRequest
-  /** The trial of the attempt that comes next, where the request is suspected of crashing its upstreams. */
+  /** The trial that the next attempt belongs to, if the request is suspected of crashing its upstreams. */
   protected trial: Trial | undefined
-  /** What kept the request from the upstreams that may be tried when one was last looked for. */
+  /** Why the eligible upstreams took no request at the last search for one. */
   #closure: Closure | undefined
-  /** The search for room that is under way, or the last one, where places may be issued. */
-  #placing: Placing | undefined
-  /** Ends the place that is kept at the upstream of the attempt that comes next. */
-  #free: (() => void) | undefined
+  /** The current or last search for a place, where places may be issued. */
+  #placeSearch: PlaceSearch | undefined
+  /** Releases the reservation at the upstream of the next attempt. */
+  #releaseReservation: (() => void) | undefined
 
   constructor (context: Context, request: CallerRequest) {
     this.context = context
     this.request = request
   }
 
-  /** Serves the request. Resolves when it has ended. */
+  /** Serves the request. Resolves when the request has ended. */
   async serve (): Promise<void> {
     const { request } = this
     let result: AttemptResult | undefined
     let latest: AttemptResult
     do {
       const upstream = await this.#findUpstream()
-      if (request.ended) return this.#giveUp()
+      if (request.ended) return this.#abandon()
       if (upstream === 'blocked') return this.#concludeBlocked()
       if (upstream === undefined || upstream === 'closed') break
       const attempt = this.attempt(upstream)
-      this.#free?.()
+      this.#releaseReservation?.()
       latest = await attempt
       if (request.ended) return
       request.endAttempt(upstream.id, latest, this.lastEvent)
       result = this.prefer(result, latest)
-    } while (this.#sendsAgain(latest))
+    } while (this.#shouldRetry(latest))
     this.conclude(result)
   }
 
-  /** The request has ended before the attempt that was about to begin. */
-  #giveUp (): void {
-    this.#free?.()
+  /** Cleans up when the request has ended before the next attempt began. */
+  #abandon (): void {
+    this.#releaseReservation?.()
     this.trial?.end()
   }
 
   protected abstract readonly kind: 'plain' | 'stream'
 
-  /** Id of the last event that the caller has, on a stream. */
+  /** Id of the last stream event that was sent to the caller. */
   protected abstract readonly lastEvent: number | undefined
 
-  /** The upstreams that serve what is asked for, whether they have room or not. */
+  /** The upstreams that serve the request's target, with and without free capacity. */
   protected abstract get upstreams (): readonly Upstream[]
 
-  /** The room for which the request competes with others at all gateways. By default none. */
+  /** The room that the request competes for with requests of all gateways. By default there is none. */
   protected get room (): Room | undefined {
     return undefined
   }
 
-  /** The latest start at which its next event still comes in time, on `Clock.now`. */
-  protected get inTimeUntil (): number {
+  /** The latest start that still brings the next event in time, on `Clock.now`. */
+  protected get latestStart (): number {
     const { arrivedAt, spent, route: { objective } } = this.request
     return arrivedAt - spent + objective
   }
 
-  /** What the request takes of its upstream, in units of the mean request of its service. */
+  /** The cost of the request, in units of the mean request of its service. */
   protected get work (): number {
     return 1
   }
 
-  /** An upstream that has room now and is none of those to avoid. */
+  /** Chooses an upstream that has free capacity now and is not in `avoided`. */
   protected abstract choose (avoided: ReadonlySet<string>): Upstream | undefined
 
-  /** Sends the request to an upstream. Resolves when that attempt has ended. */
+  /** Sends the request to an upstream. Resolves when the attempt has ended. */
   protected abstract attempt (upstream: Upstream): Promise<AttemptResult>
 
-  /** The one of two results that the caller should get. */
+  /** Picks which of two results the caller gets. */
   protected abstract prefer (before: AttemptResult | undefined, latest: AttemptResult): AttemptResult
 
-  /** The refusal when the request certainly did not run. */
+  /** The refusal for a request that certainly did not run. */
   protected abstract refusal (result: AttemptResult | undefined): Fault
 
-  /** Ends the request with the result of its attempts; without one if no attempt was made. */
+  /** Ends the request with the result of its attempts. The result is undefined if no attempt was made. */
   protected conclude (result: AttemptResult | undefined): void {
     const { request } = this
     if (result?.kind === 'answered') return sendAnswer(request, result)
@@ -112,32 +116,35 @@
     request.refuse(this.#queuedRefusal() ?? this.#closedRefusal() ?? this.refusal(result))
   }
 
-  /** A suspect waits like a request that was offered before: it may have to wait until another one of its kind has been tried. */
+  /**
+   * Waits for an upstream. A suspected request has the same maximum wait as one that was already attempted, since it
+   * may have to wait until the trial of another suspect has ended.
+   */
   async #findUpstream (): Promise<Upstream | 'blocked' | 'closed' | undefined> {
     const { request, context: { clock, intake, queue } } = this
     this.trial = undefined
     this.#closure = undefined
-    const time = this.#wait
+    const time = this.#maxWait
     const until = clock.now() + time
     const claim = intake.claim(request.priority, until)
-    this.#placing = time > 0 ? this.#place(until) : undefined
-    const found = await queue.wait(this.#seeker(until), () => this.#find(claim) ?? this.#hopeless(until), this.#waitHandlers)
+    this.#placeSearch = time > 0 ? this.#beginPlaceSearch(until) : undefined
+    const found = await queue.wait(this.#seeker(until), () => this.#find(claim) ?? this.#closedPast(until), this.#waitHandlers)
     intake.release(claim)
-    this.#placing?.end()
+    this.#placeSearch?.end()
     return found
   }
 
-  /** The request as one that looks for room. @param until on `Clock.now`, in ms */
+  /** The request as an entry of the local queue. @param until the end of its wait on `Clock.now`, in ms */
   #seeker (until: number): Seeker {
     const { room, request: { service, offered } } = this
-    return { ...this.#waiting(until), room: room?.key ?? service, offered, orderedElsewhere: this.#placing !== undefined }
+    return { ...this.#orderingInputs(until), room: room?.key ?? service, offered, orderedElsewhere: this.#placeSearch !== undefined }
   }
 
-  /** What the order of the requests that wait depends on. @param until on `Clock.now`, in ms */
-  #waiting (until: number): Waiting {
+  /** The inputs that determine the order of waiting requests. @param until the end of the wait on `Clock.now`, in ms */
+  #orderingInputs (until: number): Waiting {
     const { work, request: { priority, team, arrivedAt, spent, offered } } = this
-    const early = spent > 0 && spent < earliestReturn
-    return { priority, team: team?.name ?? '', work, arrivedAt, inTimeUntil: offered ? until : this.inTimeUntil, until, again: spent > 0, early }
+    const early = spent > 0 && spent < minRetryDelayMs
+    return { priority, team: team?.name ?? '', work, arrivedAt, inTimeUntil: offered ? until : this.latestStart, until, again: spent > 0, early }
   }
 
   get #waitHandlers (): WaitHandlers {
@@ -145,126 +152,144 @@
     return { onWait: cancel => request.cancelWith(cancel), onShortage: shortage => { request.shortage = shortage } }
   }
 
-  /** Longest wait for an upstream with room, in ms. */
-  get #wait (): number {
+  /** Maximum wait for an upstream with free capacity, in ms. */
+  get #maxWait (): number {
     const { room, context: { places } } = this
-    return this.#waitFor(room !== undefined && places?.isContended(room) === true)
+    return this.#computeMaxWait(room !== undefined && places?.isContended(room) === true)
   }
 
-  /** @param shared whether it waits in a queue that is kept for all gateways */
-  #waitFor (shared: boolean): number {
+  /** Computes the maximum wait, in ms. @param shared whether the request waits in a queue that all gateways share */
+  #computeMaxWait (shared: boolean): number {
     const { request, kind, upstreams, context: { crashes } } = this
     const { timeLeft, route: { objective } } = request
     const offered = request.offered || crashes.standing(request) !== 'trusted'
-    return waitForRoom({ path: kind, offered, upstreams: upstreams.length, closed: this.#closedFor, objective, timeLeft, shared })
+    return waitForRoom({ path: kind, offered, upstreams: upstreams.length, closed: this.#timeUntilOpen, objective, timeLeft, shared })
   }
 
-  /** Begins a search in which places may be asked for; none for a suspect, whose upstream depends on the trials here. */
-  #place (until: number): Placing | undefined {
+  /**
+   * Begins a search that may request places. A suspected request has none: its upstream depends on this gateway's
+   * trials.
+   */
+  #beginPlaceSearch (until: number): PlaceSearch | undefined {
     const { request, room, context: { clock, places, intake, suspects, crashes } } = this
     if (room === undefined || places === undefined || crashes.standing(request) !== 'trusted') return undefined
     const { route: { objective }, tried } = request
-    return new Placing({
+    return new PlaceSearch({
       asker: places,
       intake,
       upstreams: () => this.upstreams,
-      choose: besides => besides.size === 0 ? this.#choose('trusted') : this.choose(new Set([...tried, ...besides])),
+      choose: excluded => excluded.size === 0 ? this.#chooseLocally('trusted') : this.choose(new Set([...tried, ...excluded])),
       mayUse: ({ id }) => !tried.has(id) && !crashes.underTrial.has(id) && intake.has(id) && suspects.mayTry(id)
-    }, { ...this.#waiting(until), room, aloneUntil: clock.now() + this.#waitFor(false), objective })
+    }, { ...this.#orderingInputs(until), room, aloneUntil: clock.now() + this.#computeMaxWait(false), objective })
   }
 
-  /** The refusal where the queue for all gateways is too long. */
+  /** The refusal if the queue shared by all gateways is too long. */
   #queuedRefusal (): Fault | undefined {
-    const refusal = this.#placing?.refusal
+    const refusal = this.#placeSearch?.refusal
     if (refusal === undefined) return undefined
     this.request.queuedAt = refusal.by
     return refusal.due === 0 ? undefined : refusals.queued(refusal.due, this.context.random())
   }
 
-  /** Says that waiting until a time, on `Clock.now`, is in vain, where none of those that may be tried takes a request before that. */
-  #hopeless (until: number): 'closed' | undefined {
+  /**
+   * Returns 'closed' if waiting until a time on `Clock.now` is pointless: no eligible upstream takes a request before
+   * then.
+   */
+  #closedPast (until: number): 'closed' | undefined {
     this.#closure = this.#firstClosure
     const end = this.#closure?.end ?? -Infinity
     return end > until && end > this.context.clock.now() ? 'closed' : undefined
   }
 
-  /** Time until the first upstream that may still be tried takes a request by its own word, in ms; 0 where one of them does, or it is not known. */
-  get #closedFor (): number {
+  /**
+   * Time until an upstream that was not tried yet takes requests again, in ms. 0 if one takes requests now, or if the
+   * time is not known.
+   */
+  get #timeUntilOpen (): number {
     const first = this.#firstClosure
     return first === undefined ? 0 : first.end - this.context.clock.now()
   }
 
-  /** Why, and until when, none of the upstreams that may still be tried takes a request by its own word. */
+  /** Why none of the untried upstreams takes a request now, and until when. Undefined if one does. */
   get #firstClosure (): Closure | undefined {
     const { tried, priority } = this.request
     return this.context.intake.first(this.upstreams, tried, priority)
   }
 
   /**
-   * The refusal where no upstream takes a request by its own word, now or when one was last looked for: a token may have come since. When one takes requests again that
-   * only refuses is not known.
+   * The refusal if no upstream takes a request now, or if none did at the last search, since a token may have arrived
+   * after it. If the upstreams only refused requests, it is not known when they take requests again.
    */
   #closedRefusal (): Fault | undefined {
     const { clock, intake, random } = this.context
-    const first = intake.first(this.upstreams, none, this.request.priority) ?? this.#closure
+    const first = intake.first(this.upstreams, noUpstreams, this.request.priority) ?? this.#closure
     if (first === undefined || first.cause === 'pause') return undefined
     const time = first.end - clock.now()
     return first.cause === 'rest' ? refusals.resting(Math.max(0, time), random()) : refusals.limited(time > 0 ? time : undefined, random())
   }
 
-  /** The upstream to send the request to now, by what is known of its crashes; undefined where it has to wait. What lacks nothing but a token is asked for one. */
+  /**
+   * Finds the upstream to send the request to now, given the crashes that the request was part of. Returns undefined if
+   * the request has to wait. Requests a token if only a token is missing.
+   */
   #find (claim: Claim | undefined): Upstream | 'blocked' | 'closed' | undefined {
     const { request, context: { crashes, intake } } = this
     const standing = crashes.standing(request)
     if (standing === 'blocked') return standing
     const mayBeSent = standing === 'trusted' || crashes.mayTry(request)
-    const upstream = mayBeSent ? this.#seek(standing) : undefined
+    const upstream = mayBeSent ? this.#selectUpstream(standing) : undefined
     if (upstream === 'closed') return upstream
-    if (upstream !== undefined) this.#take(upstream, claim)
+    if (upstream !== undefined) this.#reserve(upstream, claim)
     else if (mayBeSent) intake.pursue(claim, this.upstreams, request.tried)
-    return standing === 'suspected' ? this.#try(upstream) : upstream
+    return standing === 'suspected' ? this.#beginTrial(upstream) : upstream
   }
 
-  /** Has a place and a token of an upstream count as taken from now on. */
-  #take ({ id }: Upstream, claim: Claim | undefined): void {
+  /** Reserves capacity and a token at an upstream. */
+  #reserve ({ id }: Upstream, claim: Claim | undefined): void {
     const { inFlight, intake } = this.context
     intake.take(id, claim)
-    this.#free = inFlight.keep(id)
-    this.#placing?.taken()
+    this.#releaseReservation = inFlight.keep(id)
+    this.#placeSearch?.recordUse()
   }
 
-  #seek (standing: 'trusted' | 'suspected'): Upstream | 'closed' | undefined {
-    return standing === 'trusted' && this.#placing !== undefined ? this.#placing.find() : this.#choose(standing)
+  #selectUpstream (standing: 'trusted' | 'suspected'): Upstream | 'closed' | undefined {
+    return standing === 'trusted' && this.#placeSearch !== undefined ? this.#placeSearch.find() : this.#chooseLocally(standing)
   }
 
-  /** A suspect is sent to no upstream at which another one is tried; any other request only where there is no choice. */
-  #choose (standing: 'trusted' | 'suspected'): Upstream | undefined {
+  /**
+   * Avoids upstreams that run a trial. A suspected request is never sent to one; any other request is if there is no
+   * alternative.
+   */
+  #chooseLocally (standing: 'trusted' | 'suspected'): Upstream | undefined {
     const { request: { tried }, context: { crashes: { underTrial } } } = this
     const avoided = underTrial.size === 0 ? tried : new Set([...tried, ...underTrial])
-    const apart = this.choose(avoided)
-    return apart === undefined && avoided !== tried && standing === 'trusted' ? this.choose(tried) : apart
+    const withoutTrials = this.choose(avoided)
+    return withoutTrials === undefined && avoided !== tried && standing === 'trusted' ? this.choose(tried) : withoutTrials
   }
 
-  /** Begins the trial at once, so that no other suspect that waits is sent to the same upstream. */
-  #try (upstream: Upstream | undefined): Upstream | undefined {
+  /** Begins the trial at once, so that no other waiting suspect is sent to the same upstream. */
+  #beginTrial (upstream: Upstream | undefined): Upstream | undefined {
     if (upstream !== undefined) this.trial = this.context.crashes.sent(this.request, upstream.id)
     return upstream
   }
 
-  /** Ends a request that crashes its upstreams. One of which an attempt was lost in this very try may have run. */
+  /**
+   * Ends a request that crashes its upstreams. If the answer of one of its own attempts was lost, the request may have
+   * run.
+   */
   #concludeBlocked (): void {
     const { request, context: { crashes } } = this
     request.blocked = true
-    if (request.lost) return this.conclude({ kind: 'lost', why: crashesUpstreams })
+    if (request.lost) return this.conclude({ kind: 'lost', why: crashedUpstreamsReason })
     request.refuse(refusals.crashing(crashes.blockedFor(request)))
   }
 
-  #sendsAgain (result: AttemptResult): boolean {
+  #shouldRetry (result: AttemptResult): boolean {
     const { service, repeatable, hasAttemptsLeft } = this.request
     const decision = decideRetry({ result, repeatable, hasAttemptsLeft })
     if (decision === 'no') return false
-    // A retry that no upstream takes would be taken from the budget for nothing.
-    if (this.#closedFor > 0 && this.#wait === 0) return false
+    // A retry that no upstream takes would use up the retry budget for nothing.
+    if (this.#timeUntilOpen > 0 && this.#maxWait === 0) return false
     return decision === 'free' || this.context.retryBudget(service).take()
   }
 }
--- a/packages/forward/src/placesearch.ts
+++ b/packages/forward/src/placesearch.ts
@@ -1,55 +1,62 @@
 /**
- * How one request finds an upstream where room may be contended: by a place that is issued for it, or alone as long as nothing is contended or no issuer answers. Owns the
- * request's claim during one wait. Relies on `Asker` for places and on the path for a choice of its own.
+ * The search of one request for an upstream where room may be contended. The request gets a place from the issuer of
+ * the room. It chooses by itself while room is not contended, or if no issuer answers. This module owns the request's
+ * claim during one wait, and relies on `Asker` for places and on the path for the local choice.
  */
 import { type Asker, type Claim, type Wish } from '@eiderwind/places'
 import { type Intake } from '@eiderwind/dispatch'
 import { type Upstream } from '@eiderwind/roster'
 
-/** Dependencies of `Placing`. */
-export interface PlacingOptions {
+/** Dependencies of `PlaceSearch`. */
+export interface PlaceSearchOptions {
   readonly asker: Asker
   readonly intake: Intake
-  /** The heads that serve what is asked for. */
+  /** The heads that serve the request's target. */
   readonly upstreams: () => readonly Upstream[]
-  /** Chooses one of them by what this gateway knows, but none of these in any case. */
-  readonly choose: (besides: ReadonlySet<string>) => Upstream | undefined
+  /** Chooses one of them by the data of this gateway. Never chooses one of `excluded`. */
+  readonly choose: (excluded: ReadonlySet<string>) => Upstream | undefined
   /** Whether the request may be sent to an upstream now. */
   readonly mayUse: (upstream: Upstream) => boolean
 }
 
-/** Most upstreams that an ask names as unusable: a datagram should stay small, and a place that cannot be used is told back. */
-const mostNamed = 40
+/**
+ * Maximum number of unusable upstreams in a place request. The limit keeps the datagram small; a place that can't be
+ * used is given back.
+ */
+const maxUnusableListed = 40
 
-const none: ReadonlySet<string> = new Set()
+const noUpstreams: ReadonlySet<string> = new Set()
 
-/** The search of one request. */
-export class Placing {
-  readonly #options: PlacingOptions
+/** The search of one request for a place. */
+export class PlaceSearch {
+  readonly #options: PlaceSearchOptions
   readonly #claim: Claim
-  /** Where it was refused: when its caller should come back, in ms from then, and the gateway in whose queue it had no prospect. */
+  /**
+   * Set if the request was refused. `due`: time after which its caller should retry, in ms. `by`: the gateway whose
+   * queue was too long.
+   */
   refusal: { readonly due: number, readonly by: string } | undefined
 
-  constructor (options: PlacingOptions, wish: Omit<Wish, 'besides'>) {
+  constructor (options: PlaceSearchOptions, wish: Omit<Wish, 'besides'>) {
     this.#options = options
     this.#claim = options.asker.claim({ ...wish, besides: () => this.#unusable })
   }
 
-  /** An upstream for the request; undefined where it has to wait, 'closed' where it waits in vain. */
+  /** Finds an upstream. Returns undefined if the request has to wait, and 'closed' if waiting is pointless. */
   find (): Upstream | 'closed' | undefined {
     const finding = this.#options.asker.find(this.#claim)
     switch (finding.kind) {
-      case 'place': return this.#placed(finding.upstream)
-      case 'wait': return this.#limited()
-      case 'alone': return this.#alone()
+      case 'place': return this.#resolvePlace(finding.upstream)
+      case 'wait': return this.#chooseLimited()
+      case 'alone': return this.#chooseAlone()
       case 'refused':
         this.refusal = finding
         return 'closed'
     }
   }
 
-  /** Takes that the request is sent to the upstream that was found, and counts there. */
-  taken (): void {
+  /** Records that the request is sent to the upstream that was found, and counts in flight there. */
+  recordUse (): void {
     this.#options.asker.use(this.#claim)
   }
 
@@ -58,7 +65,7 @@
     this.#options.asker.release(this.#claim)
   }
 
-  #placed (id: string): Upstream | 'closed' | undefined {
+  #resolvePlace (id: string): Upstream | 'closed' | undefined {
     const { asker, upstreams, mayUse } = this.#options
     const upstream = upstreams().find(each => each.id === id)
     if (upstream !== undefined && mayUse(upstream)) return upstream
@@ -66,16 +73,19 @@
     return this.find()
   }
 
-  /** Heads that take requests only by tokens are outside of the queue: a request that has a token goes there. */
-  #limited (): Upstream | undefined {
+  /**
+   * Chooses a head that takes requests only with tokens. Such heads are outside the shared queue, so a request with a
+   * token can go there.
+   */
+  #chooseLimited (): Upstream | undefined {
     const { intake, upstreams, choose } = this.#options
-    const others = upstreams().filter(({ id }) => !intake.isLimited(id)).map(({ id }) => id)
-    return others.length === upstreams().length ? undefined : choose(new Set(others))
+    const withoutLimit = upstreams().filter(({ id }) => !intake.isLimited(id)).map(({ id }) => id)
+    return withoutLimit.length === upstreams().length ? undefined : choose(new Set(withoutLimit))
   }
 
-  #alone (): Upstream | 'closed' | undefined {
+  #chooseAlone (): Upstream | 'closed' | undefined {
     const { asker, choose } = this.#options
-    const upstream = choose(none)
+    const upstream = choose(noUpstreams)
     if (upstream !== undefined) return upstream
     if (asker.lacked(this.#claim)) return this.find()
     return asker.isOver(this.#claim) ? 'closed' : undefined
@@ -83,6 +93,6 @@
 
   get #unusable (): string[] {
     const { upstreams, mayUse, intake } = this.#options
-    return upstreams().filter(each => !mayUse(each) && !intake.isLimited(each.id)).map(({ id }) => id).slice(0, mostNamed)
+    return upstreams().filter(each => !mayUse(each) && !intake.isLimited(each.id)).map(({ id }) => id).slice(0, maxUnusableListed)
   }
 }
--- a/packages/forward/src/plainpath.ts
+++ b/packages/forward/src/plainpath.ts
@@ -1,6 +1,6 @@
 /**
- * Serves a request of a plain service: its answer is collected and then sent whole, so another upstream can still be
- * tried until the first byte goes out. The steps are those of `Path`.
+ * Serves a request to a plain service. The answer is collected and then sent as a whole, so another upstream can be
+ * tried until the first byte is sent. The steps are those of `Path`.
  */
 import { isSuccess, preferredResult, refusals, type AttemptResult } from '@eiderwind/dispatch'
 import { type Fault } from '@eiderwind/fault'
@@ -8,7 +8,7 @@
 import { CollectAttempt } from './attempt.js'
 import { Path } from './path.js'
 
-/** Serves a request whose answer is sent whole. */
+/** Serves a request whose answer is sent as a whole. */
 export class PlainPath extends Path {
   protected readonly kind = 'plain'
   protected readonly lastEvent = undefined
@@ -27,11 +27,13 @@
     const startedAt = clock.now()
     return new Promise(resolve => {
       const onEnd = (result: AttemptResult): void => {
-        // One that asked for rest has said itself when it takes requests again: as a failure it would be left out for long after that.
+        // An upstream that asked for rest has named the end of the rest. Counted as a failure, it would be avoided for
+        // long after that.
         if (!intake.rests(upstream.id)) choice.observe(upstream.id, clock.now() - startedAt, !isSuccess(result))
         resolve(result)
       }
-      // A kept connection may break just as a request is sent on it, which leaves open whether it ran.
+      // An idle connection may break just when a request is sent on it. It would then be unknown whether the request
+      // ran.
       const newConnection = !request.repeatable
       new CollectAttempt({ context, request, upstream, model: '', newConnection, trial, onEnd }).start()
     })
--- a/packages/forward/src/request.ts
+++ b/packages/forward/src/request.ts
@@ -1,7 +1,7 @@
 /**
- * The life of one caller's request: its deadline, its caller leaving, the attempts to have it served, and the one answer
- * that it gets. Owns the response and the timer of the deadline. Relies on the paths (`PlainPath`, `StreamPath`) to
- * register how the current work is stopped.
+ * One caller's request from admission to its answer: its deadline, a disconnect of its caller, its attempts, and its
+ * single answer. This module owns the response and the deadline timer. It relies on the paths (`PlainPath`,
+ * `StreamPath`) to register how to stop the current work.
  */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { type Clock, type Subscription } from '@eiderwind/clock'
@@ -13,7 +13,7 @@
 import { type Deliveries, type Delivery } from './delivery.js'
 import { Timing } from './timing.js'
 
-/** A request that was read and admitted. Times are in ms, on `Clock.now`. */
+/** An admitted request. Times are in ms, on `Clock.now`. */
 export interface CallerRequestOptions {
   readonly clock: Clock
   readonly id: string
@@ -26,17 +26,17 @@
   readonly arrivedAt: number
   /** The earlier of the caller's deadline and the end of the route's time limit. */
   readonly endsAt: number
-  /** How much of its time its caller had spent before, on earlier tries; 0 on the first one, or where that is not known. */
+  /** Time that the caller spent on earlier tries, in ms. 0 on the first try, or if it is not known. */
   readonly spent?: number
-  /** The header in which the request's id is returned on a refusal. */
+  /** The header that returns the request's id on a refusal. */
   readonly idHeader: string
-  /** What brings answers to callers as they read. */
+  /** Delivers answers at the speed at which callers read. */
   readonly deliveries: Deliveries
-  /** Called once, when the request has ended, with its outcome. */
+  /** Called once with the outcome, when the request has ended. */
   readonly onEnd: (request: CallerRequest, outcome: string) => void
 }
 
-/** One caller's request. It is answered once, and its work stops when its caller leaves or its deadline passes. */
+/** One caller's request. It is answered once. Its work stops when the caller disconnects or the deadline passes. */
 export class CallerRequest {
   readonly id: string
   readonly incoming: IncomingMessage
@@ -48,17 +48,17 @@
   readonly arrivedAt: number
   readonly endsAt: number
   readonly spent: number
-  /** One line for each attempt that has ended: upstream, kind of result, details. Written to the log. */
+  /** A line per ended attempt with upstream, kind of result and details, for the log. */
   readonly attempts: string[] = []
-  /** Where its time went. */
+  /** How its time was spent. */
   readonly timing: Timing
-  /** How its caller gets the answer. */
+  /** Sends the answer to the caller. */
   readonly delivery: Delivery
-  /** Whether it is sent to no upstream any more, since it crashes them. */
+  /** Whether it is no longer sent to any upstream because it crashes them. */
   blocked = false
-  /** Why it found no room, if it did not and the queue says so. */
+  /** Why it found no room. Undefined if it did, or if the queue gave no reason. */
   shortage: Shortage | undefined
-  /** The gateway in whose queue it had no prospect of a place in time. */
+  /** The gateway that refused it because the shared queue was too long. */
   queuedAt: string | undefined
   readonly #clock: Clock
   readonly #idHeader: string
@@ -67,7 +67,7 @@
   readonly #tried = new Set<string>()
   #fingerprint: string | undefined
   #lost = false
-  /** Attempts that count against the route's limit: those of which something may have reached the upstream. */
+  /** Number of attempts that count against the route's limit: those that may have reached the upstream. */
   #sends = 0
   #currentUpstream: string | undefined
   #cancel: (() => void) | undefined
@@ -93,44 +93,44 @@
     this.response.once('close', () => this.#close())
   }
 
-  /** Ids of the upstreams at which an attempt was started. */
+  /** Ids of the upstreams that an attempt was started at. */
   get tried (): ReadonlySet<string> {
     return this.#tried
   }
 
-  /** Id of the upstream of the attempt under way. */
+  /** Id of the upstream of the current attempt. */
   get currentUpstream (): string | undefined {
     return this.#currentUpstream
   }
 
-  /** Whether an attempt was started, so that an upstream may have begun to work on it. */
+  /** Whether an attempt was started. An upstream may then have begun to run the request. */
   get offered (): boolean {
     return this.#tried.size > 0
   }
 
-  /** By what it is known again when its caller sends it anew. Made when it is first asked for. */
+  /** Identifies the request when its caller sends it again. Computed on first use. */
   get fingerprint (): string {
     const { incoming: { method = '', url = '', headers: { host = '' } }, team, body } = this
     this.#fingerprint ??= fingerprint({ method, host, target: url, team: team?.name ?? '', body })
     return this.#fingerprint
   }
 
-  /** Whether the answer of an attempt was lost, so that the request may have run in vain. */
+  /** Whether the answer of an attempt was lost. The request may then have run. */
   get lost (): boolean {
     return this.#lost
   }
 
-  /** Whether it was answered, refused or cut, or its caller has left. */
+  /** Whether it was answered, refused or cut off, or its caller has disconnected. */
   get ended (): boolean {
     return this.#ended
   }
 
-  /** Time until its deadline, in ms. */
+  /** Time until the deadline, in ms. */
   get timeLeft (): number {
     return this.endsAt - this.#clock.now()
   }
 
-  /** 0 is the most urgent. A priority of the team goes before that of the route. */
+  /** 0 is the most urgent. The priority of the team takes precedence over that of the route. */
   get priority (): number {
     return this.team?.priority ?? this.route.priority
   }
@@ -153,12 +153,15 @@
     this.timing.sent(this.#clock.now())
   }
 
-  /** Records that the caller gets a part of its answer now. */
-  passOn (): void {
+  /** Records that a part of the answer is sent to the caller now. */
+  recordForwarded (): void {
     this.timing.passed(this.#clock.now())
   }
 
-  /** Records how an attempt ended. One that was never sent does not count. @param lastEvent id of the last event of a stream that was passed on */
+  /**
+   * Records how an attempt ended. An attempt that was never sent does not count. @param lastEvent id of the last stream
+   * event that was sent to the caller
+   */
   endAttempt (upstream: string, result: AttemptResult, lastEvent?: number): void {
     if (result.kind === 'not-run' && !result.sent) this.#sends--
     if (result.kind === 'lost') this.#lost = true
@@ -170,7 +173,10 @@
     this.attempts.push(`${upstream} ${how}${why}${after} at ${at} ms`)
   }
 
-  /** Sets the function that stops the current work, in place of the last one. It is called once the request has ended, at once if it has. */
+  /**
+   * Sets the function that stops the current work, replacing the previous one. It is called when the request ends, or
+   * at once if it has ended.
+   */
   cancelWith (cancel: () => void): void {
     this.#cancel = cancel
     if (this.#ended) cancel()
@@ -184,7 +190,7 @@
     this.finish(`${fault.code} ${fault.status}`)
   }
 
-  /** Ends the request: its answer is complete, or nothing more can be sent to its caller. */
+  /** Ends the request, because its answer is complete or nothing more can be sent to its caller. */
   finish (outcome: string): void {
     if (this.#ended) return
     this.#ended = true
--- a/packages/forward/src/streamattempt.ts
+++ b/packages/forward/src/streamattempt.ts
@@ -1,18 +1,18 @@
 /**
- * One attempt at a stream: passes its events on as they arrive, each once and in order, also when an earlier attempt has
- * passed on a part of them. Owns the event that is not complete yet; relies on ids of events that rise (a bound of the
- * upstreams' protocol).
+ * One attempt to serve a stream. It forwards the events as they arrive, each once and in order, also after an earlier
+ * attempt has forwarded some of them. It owns the bytes of the incomplete event and relies on increasing event ids,
+ * which the upstreams' protocol guarantees.
  */
 import { endToEnd, type AnswerHeaders } from '@eiderwind/wire'
 import { endWithConnection, isFramed } from './answers.js'
-import { Attempt, maxCollected, type AttemptOptions } from './attempt.js'
+import { Attempt, maxCollectedBytes, type AttemptOptions } from './attempt.js'
 import { EventSplitter, type StreamEvent } from './events.js'
 
-/** What the caller of a stream has got so far, over all attempts. */
+/** What was sent to the caller of a stream so far, over all attempts. */
 export class Progress {
-  /** Id of the last event that the caller has. */
+  /** Id of the last event that was sent. */
   lastEvent: number | undefined
-  /** Whether the status and headers of the answer were sent. */
+  /** Whether the status and headers were sent. */
   started = false
   /** Whether the answer to the caller marks its own end. */
   framed = true
@@ -22,17 +22,17 @@
   }
 }
 
-/** Options of an attempt at a stream. */
+/** Options of a stream attempt. */
 export interface StreamAttemptOptions extends AttemptOptions {
   readonly progress: Progress
-  /** Called when its first event has come. */
+  /** Called when the first event has arrived. */
   readonly onFirst?: (() => void) | undefined
 }
 
-/** The only status with which a stream is passed on while it arrives; any other answer is collected. */
-const ok = 200
+/** The only status with which a stream is forwarded as it arrives. Any other answer is collected. */
+const okStatus = 200
 
-/** An attempt that passes on the events of a stream as they arrive. */
+/** An attempt that forwards the events of a stream as they arrive. */
 export class StreamAttempt extends Attempt {
   readonly #progress: Progress
   readonly #splitter = new EventSplitter()
@@ -45,8 +45,8 @@
     this.#onFirst = options.onFirst
   }
 
-  protected passesOn (status: number): boolean {
-    return status === ok
+  protected isForwarded (status: number): boolean {
+    return status === okStatus
   }
 
   protected onHead (status: number, headers: AnswerHeaders): void {
@@ -56,27 +56,27 @@
     this.#progress.framed = this.#framed
     const { response } = this.request
     if (!this.#framed) endWithConnection(response)
-    const { 'content-length': _length, ...kept } = endToEnd(headers)
-    response.writeHead(status, kept)
+    const { 'content-length': _length, ...forwardedHeaders } = endToEnd(headers)
+    response.writeHead(status, forwardedHeaders)
     response.flushHeaders()
   }
 
   protected onChunk (chunk: Buffer): void {
     const events = this.#splitter.push(chunk).filter(({ id }) => this.#isNew(id))
-    if (this.#splitter.held > maxCollected) return this.abort('an event is too long')
+    if (this.#splitter.pendingBytes > maxCollectedBytes) return this.abort('an event is too long')
     if (events.length === 0) return
     for (const { id } of events) this.#progress.lastEvent = id ?? this.#progress.lastEvent
     const { request } = this
-    request.passOn()
+    request.recordForwarded()
     this.#onFirst?.()
     this.#onFirst = undefined
-    request.delivery.write(joined(events))
+    request.delivery.write(joinEventBytes(events))
     if (request.delivery.isFull(() => this.resume())) this.pause()
   }
 
   /**
-   * Whether the answer ended between two events, and marked its end if the caller's answer began with one that did: an
-   * answer without framing may have been cut short, and may complete only an answer that leaves this open too.
+   * Whether the answer ended between two events. If the caller's answer began with framing, this answer must mark its
+   * own end as well: an answer without framing may have been cut off, so it may only complete an unframed one.
    */
   protected isComplete (): boolean {
     return this.#splitter.atBoundary && (this.#framed || !this.#progress.framed)
@@ -87,8 +87,8 @@
   }
 }
 
-/** The bytes of events in order; without a copy where they came as one. */
-function joined (events: readonly StreamEvent[]): Buffer {
+/** The bytes of events in order. Returns a view without a copy if they are contiguous. */
+function joinEventBytes (events: readonly StreamEvent[]): Buffer {
   const { buffer, byteOffset } = events[0].bytes
   const length = events.reduce((sum, { bytes }) => sum + bytes.length, 0)
   const last = events[events.length - 1].bytes
--- a/packages/forward/src/streampath.ts
+++ b/packages/forward/src/streampath.ts
@@ -1,7 +1,7 @@
 /**
- * Serves a stream, or any request to a model service: the answer is passed on as it arrives. A stream that breaks off or
- * stalls is resumed at another upstream after the last event that the caller has, if its route allows that. Owns the
- * progress of the stream over all attempts; the steps are those of `Path`.
+ * Serves a stream or any request to a model service. The answer is forwarded as it arrives. A stream that breaks off or
+ * stalls is resumed at another upstream after the last event that the caller received, if its route permits that. This
+ * module owns the progress of the stream over all attempts; the steps are those of `Path`.
  */
 import { mayMove, refusals, type AttemptResult } from '@eiderwind/dispatch'
 import { type Fault } from '@eiderwind/fault'
@@ -15,19 +15,19 @@
 import { type CallerRequest } from './request.js'
 import { Progress, StreamAttempt } from './streamattempt.js'
 
-/** A head that has nothing to do, and the pace of a usual model: by these it is known how late a request may still start. */
-const idle = { inFlight: 0, unread: 0 }
-const usualPace = 1
+/** An idle head and the pace of a typical model. The latest start of a request is computed with these values. */
+const idleHead = { inFlight: 0, unread: 0 }
+const usualModelPace = 1
 
-/** What is asked for. */
+/** The requested model and its engine. */
 export interface Target {
-  /** Empty if the request names none. */
+  /** Empty if the request names no model. */
   readonly model: string
   /** Undefined if the service is plain. */
   readonly engine: Engine | undefined
 }
 
-/** Serves a request whose answer is passed on as it arrives. */
+/** Serves a request whose answer is forwarded as it arrives. */
 export class StreamPath extends Path {
   protected readonly kind = 'stream'
   readonly #target: Target
@@ -56,11 +56,11 @@
     return engine === undefined ? undefined : roomOf(this.request.service, model)
   }
 
-  protected override get inTimeUntil (): number {
+  protected override get latestStart (): number {
     const { context: { clock }, request: { route: { gap } } } = this
     if (this.#progress.started) return clock.now() + gap
     const { engine } = this.#target
-    return super.inTimeUntil - (engine === undefined ? 0 : expectedFirst(engine.prompt, idle, engine, usualPace))
+    return super.latestStart - (engine === undefined ? 0 : expectedFirst(engine.prompt, idleHead, engine, usualModelPace))
   }
 
   protected override get work (): number {
@@ -79,7 +79,7 @@
     const { context, request, lastEvent, trial } = this
     const { model } = this.#target
     const isFirst = !request.offered
-    const read = this.#expect(upstream)
+    const markPromptRead = this.#recordExpectation(upstream)
     return new Promise(resolve => {
       const attempt = new StreamAttempt({
         context,
@@ -91,16 +91,16 @@
         trial,
         progress: this.#progress,
         onFirst: () => {
-          read?.()
-          if (isFirst) this.#learn()
+          markPromptRead?.()
+          if (isFirst) this.#recordForecastError()
         },
         onMove: why => {
-          const moves = this.#moves()
-          if (moves) attempt.abort(why)
-          return moves
+          const isMoved = this.#shouldMove()
+          if (isMoved) attempt.abort(why)
+          return isMoved
         },
         onEnd: result => {
-          read?.()
+          markPromptRead?.()
           resolve(result)
         }
       })
@@ -109,10 +109,10 @@
   }
 
   /**
-   * Forecasts when the first event comes from a head, and counts the prompt as unread there until the returned function is called. The place of the request is counted
-   * already.
+   * Forecasts when the first event arrives from a head. Counts the prompt as unread there until the returned function
+   * is called. The request is already counted as in flight there.
    */
-  #expect ({ id, dataCentre }: Upstream): (() => void) | undefined {
+  #recordExpectation ({ id, dataCentre }: Upstream): (() => void) | undefined {
     const { request, context: { choice, forecast, intake, dataCentre: own } } = this
     const { model, engine } = this.#target
     if (forecast === undefined || engine === undefined) return undefined
@@ -122,8 +122,8 @@
     return forecast.unread.add(id, subject.prompt)
   }
 
-  /** Takes in when the first event came. */
-  #learn (): void {
+  /** Records the error of the forecast for the first event. */
+  #recordForecastError (): void {
     const { expectation, error } = this.request.timing
     if (expectation !== undefined && error !== undefined) this.context.forecast?.learn(expectation, error)
   }
@@ -133,7 +133,7 @@
     return requestTokens(header(request, names.tokens), header(request, names.length), engine)
   }
 
-  /** The state of a stream is that of its latest attempt. */
+  /** The latest attempt has the state of the stream. */
   protected prefer (_before: AttemptResult | undefined, latest: AttemptResult): AttemptResult {
     return latest
   }
@@ -146,7 +146,7 @@
       return request.finish('answered 200')
     }
     if (this.#progress.started) {
-      // The answer can't be completed: its connection is cut, so that it does not seem complete.
+      // The answer can't be completed. Its connection is closed so that the answer does not look complete.
       delivery.cut()
       return request.finish('cut')
     }
@@ -154,7 +154,10 @@
     super.conclude(result)
   }
 
-  /** Counts the request as offered to its model. One that the configuration does not have is not: callers could fill heartbeats with names. */
+  /**
+   * Counts the refused request as offered load of its model. Only configured models count; otherwise callers could fill
+   * heartbeats with arbitrary names.
+   */
   #countRefused (): void {
     const { model, engine } = this.#target
     if (engine?.models.some(({ name }) => name === model) === true) this.context.offered?.refused(model)
@@ -164,15 +167,18 @@
     return refusals.noRoom(this.upstreams.length)
   }
 
-  /** Whether a stream whose upstream is suspected of having stalled, or is to be emptied, is moved: it may be, and another upstream has room. */
-  #moves (): boolean {
+  /**
+   * Whether to move a stream whose upstream may have stalled or is being evacuated. The stream must be movable, and
+   * another upstream must have free capacity.
+   */
+  #shouldMove (): boolean {
     const { service, repeatable, hasAttemptsLeft, tried } = this.request
     const retriesLeft = this.context.retryBudget(service).left
     return mayMove({ repeatable, hasAttemptsLeft, retriesLeft }) && this.choose(tried) !== undefined
   }
 }
 
-/** A header of a caller's request that comes once. */
+/** The value of a request header that occurs once. */
 function header ({ incoming }: CallerRequest, name: string | undefined): string | undefined {
   const value = name === undefined ? undefined : incoming.headers[name]
   return typeof value === 'string' ? value : undefined
--- a/packages/forward/src/timing.ts
+++ b/packages/forward/src/timing.ts
@@ -1,13 +1,17 @@
 /**
- * Where the time of one request went: how long it waited here, when its caller got the first part of the answer, and the longest pause
- * after that. Pure bookkeeping; owns the rule when an answer is late, and what it lost most of its time to.
+ * How the time of one request was spent: its wait in the gateway, the time until the first part of its answer, and the
+ * longest pause after that. Pure bookkeeping. This module owns the rules for when an answer is late and what delayed it
+ * most.
  */
 import { type Route } from '@eiderwind/traffic'
 import { type Expectation } from '@eiderwind/work'
 
 /**
- * What made an answer late. `waiting`: no upstream had room for most of the time until its first part. `attempts`: an attempt had failed
- * before. `first`: its upstream took that long. `resume`: it paused while it went on at another upstream. `pause`: its upstream paused.
+ * What made an answer late.
+ *
+ * `waiting`: the request waited for free capacity for most of the time until the first part. `attempts`: an earlier
+ * attempt failed. `first`: the upstream took that long. `resume`: the answer paused while it was resumed at another
+ * upstream. `pause`: the upstream paused.
  */
 export type Lateness = 'waiting' | 'attempts' | 'first' | 'resume' | 'pause'
 
@@ -17,12 +21,12 @@
   #sentAt: number | undefined
   #expectation: Expectation | undefined
   #sends = 0
-  /** Sends until the first part of the answer came. */
-  #sendsBefore = 0
+  /** Number of sends before the first part of the answer. */
+  #sendsBeforeFirst = 0
   #firstAt: number | undefined
   #latestAt: number | undefined
-  #longestPause = 0
-  /** Sends until the end of the longest pause. */
+  #maxPause = 0
+  /** Number of sends before the end of the longest pause. */
   #sendsAtPause = 0
 
   constructor (arrivedAt: number) {
@@ -35,25 +39,25 @@
     this.#sends++
   }
 
-  /** Records when the first part of the answer to its first send is expected. */
+  /** Records the forecast for the first part of the answer to the first send. */
   expect (expectation: Expectation): void {
     this.#expectation = expectation
   }
 
-  /** Records that the caller gets a part of its answer. */
+  /** Records that a part of the answer is sent to the caller. */
   passed (now: number): void {
     if (this.#firstAt === undefined) {
       this.#firstAt = now
-      this.#sendsBefore = this.#sends
+      this.#sendsBeforeFirst = this.#sends
     }
     const pause = now - (this.#latestAt ?? now)
     this.#latestAt = now
-    if (pause <= this.#longestPause) return
-    this.#longestPause = pause
+    if (pause <= this.#maxPause) return
+    this.#maxPause = pause
     this.#sendsAtPause = this.#sends
   }
 
-  /** Time until the first attempt, in ms; undefined where there was none. */
+  /** Time until the first attempt, in ms; undefined if there was none. */
   get waited (): number | undefined {
     return this.#sentAt === undefined ? undefined : this.#sentAt - this.#arrivedAt
   }
@@ -63,12 +67,12 @@
     return this.#firstAt === undefined ? undefined : this.#firstAt - this.#arrivedAt
   }
 
-  /** What was expected of the first part; undefined where nothing was, or another attempt brought it. */
+  /** The forecast for the first part. Undefined if there was none, or if a later attempt delivered the first part. */
   get expectation (): Expectation | undefined {
-    return this.#sendsBefore === 1 ? this.#expectation : undefined
+    return this.#sendsBeforeFirst === 1 ? this.#expectation : undefined
   }
 
-  /** By how much later than expected the first part came, in ms; undefined where nothing was expected. */
+  /** Delay of the first part relative to the forecast, in ms; undefined without a forecast. */
   get error (): number | undefined {
     const { expectation, first, waited } = this
     return expectation === undefined || first === undefined || waited === undefined ? undefined : first - waited - expectation.time
@@ -76,15 +80,18 @@
 
   /** The longest pause between two parts of the answer, in ms. */
   get pause (): number {
-    return this.#longestPause
+    return this.#maxPause
   }
 
-  /** Why an answer is late by the objectives of its route; undefined where it is in time, or nothing of it was passed on. */
+  /**
+   * What made an answer late by the objectives of its route. Undefined if it was in time or no part of it was
+   * forwarded.
+   */
   lateness ({ objective, gap }: Pick<Route, 'objective' | 'gap'>): Lateness | undefined {
     const { first, waited = 0, pause } = this
     if (first === undefined) return undefined
-    if (first > objective) return waited > first / 2 ? 'waiting' : this.#sendsBefore > 1 ? 'attempts' : 'first'
-    if (pause > gap) return this.#sendsAtPause > this.#sendsBefore ? 'resume' : 'pause'
+    if (first > objective) return waited > first / 2 ? 'waiting' : this.#sendsBeforeFirst > 1 ? 'attempts' : 'first'
+    if (pause > gap) return this.#sendsAtPause > this.#sendsBeforeFirst ? 'resume' : 'pause'
     return undefined
   }
 }
--- a/packages/forward/test/attempt.test.ts
+++ b/packages/forward/test/attempt.test.ts
@@ -1,11 +1,14 @@
-/** An attempt whose upstream asks for rest, or gives an answer of another request: what is sent, and what is taken from the answer. */
+/**
+ * Attempts whose upstream asks for rest, answers for another request, or sends an endless event: what is sent, and
+ * which parts of the answer count.
+ */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight, Suspects } from '@eiderwind/detect'
 import { type AttemptResult } from '@eiderwind/dispatch'
 import { Roster, type Upstream } from '@eiderwind/roster'
 import { type AnswerHeaders, type Receiver } from '@eiderwind/wire'
-import { CollectAttempt, maxCollected } from '../src/attempt.js'
+import { CollectAttempt, maxCollectedBytes } from '../src/attempt.js'
 import { type AnswerHead, type Context } from '../src/index.js'
 import { Progress, StreamAttempt } from '../src/streamattempt.js'
 import { callerRequest } from './requests.js'
@@ -14,14 +17,14 @@
 const upstream: Upstream = { id: 'u', service: 's', address: 'u:1', dataCentre: 'dc', leaving: false, loaded: [], staged: [] }
 const flow = { pause: () => {}, resume: () => {}, abort: () => {} }
 
-/** An attempt over a connection that the test plays. */
-class PlayedAttempt {
+/** An attempt over a connection whose events the test triggers. */
+class ScriptedAttempt {
   readonly results: AttemptResult[] = []
   readonly answers: number[] = []
   readonly inFlight: InFlight
   receiver: Receiver | undefined
 
-  /** @param stream whether its answer is passed on while it arrives */
+  /** @param stream whether the answer is forwarded as it arrives */
   constructor (stream = false) {
     const clock = new ManualClock()
     const roster = new Roster(clock)
@@ -52,20 +55,20 @@
     this.receiver?.head(status, headers, flow)
   }
 
-  /** Has what is not sent yet withdrawn, as when the upstream asks for rest in another answer. */
+  /** Withdraws the request if it is not being sent yet, as when another answer of the upstream asks for rest. */
   withdraw (): void {
     this.inFlight.withdraw('u', 'the upstream asked for rest')
   }
 }
 
-test('a request that waits for its connection is withdrawn when its upstream asks for rest, and counts as not sent', t => {
-  const attempt = new PlayedAttempt()
+test('a request that waits for its connection when its upstream asks for rest is withdrawn and counts as not sent', t => {
+  const attempt = new ScriptedAttempt()
   attempt.withdraw()
   t.deepEqual(attempt.results, [{ kind: 'not-run', why: 'the upstream asked for rest', sent: false }])
 })
 
-test('a request that is being written when its upstream asks for rest runs to its end', t => {
-  const attempt = new PlayedAttempt()
+test('a request that is being written when its upstream asks for rest completes', t => {
+  const attempt = new ScriptedAttempt()
   attempt.receiver?.begun()
   attempt.withdraw()
   t.deepEqual(attempt.results, [])
@@ -74,21 +77,21 @@
   t.is(attempt.results[0].kind, 'answered')
 })
 
-test('each answer of a request says something of its upstream, and one of another request does not', t => {
-  const own = new PlayedAttempt()
+test('an answer with the id of its request is reported for the upstream, one with another id is not', t => {
+  const own = new ScriptedAttempt()
   own.answer(503, { id: 'r1', 'not-run': '1' })
   t.deepEqual(own.answers, [503])
-  const foreign = new PlayedAttempt()
+  const foreign = new ScriptedAttempt()
   foreign.answer(503, { id: 'r2', 'not-run': '1' })
   t.deepEqual(foreign.answers, [])
 })
 
-test('an event that never ends is given up at the bound of what is collected', t => {
-  const attempt = new PlayedAttempt(true)
+test('an event that grows beyond the maximum size ends its attempt as lost', t => {
+  const attempt = new ScriptedAttempt(true)
   attempt.receiver?.begun()
   attempt.answer(200, { id: 'r1', 'transfer-encoding': 'chunked' })
   const part = Buffer.alloc(2 ** 20, 'x')
-  for (let size = 0; size < maxCollected; size += part.length) attempt.receiver?.data(part)
+  for (let size = 0; size < maxCollectedBytes; size += part.length) attempt.receiver?.data(part)
   t.deepEqual(attempt.results, [])
   attempt.receiver?.data(part)
   t.deepEqual(attempt.results, [{ kind: 'lost', why: 'an event is too long', broken: undefined }])
--- a/packages/forward/test/delivery.test.ts
+++ b/packages/forward/test/delivery.test.ts
@@ -1,4 +1,4 @@
-/** The delivery of answers over a connection that the test opens and closes the tap of. */
+/** The delivery of answers over a connection whose reading the test controls. */
 import { EventEmitter } from 'node:events'
 import { type ServerResponse } from 'node:http'
 import test from 'ava'
@@ -9,18 +9,18 @@
 const kibibyte = 1024
 const bounds = { perCaller: 64 * kibibyte, total: 256 * kibibyte, patience: 10_000 }
 
-/** A response whose caller reads only when it is told to. */
+/** A response whose caller reads only when the test calls `read`. */
 class SlowResponse extends EventEmitter {
   readonly writableHighWaterMark = 16 * kibibyte
   readonly socket = { resetAndDestroy: () => { this.destroy() } }
-  got = 0
+  bytesRead = 0
   pending = 0
   ended = false
   destroyed = false
   writableNeedDrain = false
   writableFinished = false
-  /** Whether the caller reads all at once. */
-  fast = false
+  /** Whether the caller reads everything immediately. */
+  readsAtOnce = false
 
   get writableLength (): number {
     return this.pending
@@ -28,7 +28,7 @@
 
   write (bytes: Buffer): boolean {
     this.pending += bytes.length
-    if (this.fast) this.read()
+    if (this.readsAtOnce) this.read()
     this.writableNeedDrain = this.pending >= this.writableHighWaterMark
     return !this.writableNeedDrain
   }
@@ -44,9 +44,9 @@
     this.emit('close')
   }
 
-  /** Has the caller read what the connection holds. */
+  /** Lets the caller read the bytes in the connection. */
   read (): void {
-    this.got += this.pending
+    this.bytesRead += this.pending
     this.pending = 0
     const drains = this.writableNeedDrain && !this.ended
     this.writableNeedDrain = false
@@ -57,7 +57,7 @@
   }
 }
 
-class Setting {
+class Fixture {
   readonly clock = new ManualClock()
   readonly lines: string[] = []
   readonly closed: string[] = []
@@ -69,41 +69,41 @@
   }
 }
 
-test('nothing is kept for a caller that reads', t => {
-  const { deliveries, open, clock } = bound(new Setting())
+test('nothing is buffered for a caller that reads at once', t => {
+  const { deliveries, open, clock } = boundMethods(new Fixture())
   const { response, delivery } = open('a')
-  response.fast = true
+  response.readsAtOnce = true
   for (let each = 0; each < 10; each++) delivery.write(Buffer.alloc(200))
   delivery.end(Buffer.alloc(1_000_000))
-  t.is(response.got, 1_002_000)
+  t.is(response.bytesRead, 1_002_000)
   t.deepEqual([deliveries.waiting, deliveries.bytes], [0, 0])
   t.true(response.writableFinished)
   clock.advance(60_000)
   t.is(deliveries.closed, 0)
 })
 
-test('what a caller has not read is kept in order, its upstream is paused at the bound, and read on when half of it is read', t => {
-  const { deliveries, open } = bound(new Setting())
+test('unread bytes are buffered in order; the upstream is paused at the bound and resumed when half of them are read', t => {
+  const { deliveries, open } = boundMethods(new Fixture())
   const { response, delivery } = open('a')
-  let relieved = 0
-  const isFull = (): boolean => delivery.isFull(() => { relieved++ })
+  let resumptions = 0
+  const isFull = (): boolean => delivery.isFull(() => { resumptions++ })
   delivery.write(Buffer.alloc(32 * kibibyte))
   t.false(isFull())
   delivery.write(Buffer.alloc(32 * kibibyte))
   t.true(isFull())
   t.is(deliveries.bytes, 64 * kibibyte)
   response.read()
-  t.is(relieved, 0, '48 KiB are kept')
+  t.is(resumptions, 0, '48 KiB are unread')
   response.read()
-  t.is(relieved, 1)
+  t.is(resumptions, 1)
   response.read()
   response.read()
-  t.is(response.got, 64 * kibibyte)
-  t.deepEqual([deliveries.waiting, deliveries.bytes, relieved], [0, 0, 1])
+  t.is(response.bytesRead, 64 * kibibyte)
+  t.deepEqual([deliveries.waiting, deliveries.bytes, resumptions], [0, 0, 1])
 })
 
-test('an answer that is here is delivered late as well, and ends after its last byte', t => {
-  const { deliveries, open, clock } = bound(new Setting())
+test('a complete answer is delivered to a slow caller and ends after its last byte', t => {
+  const { deliveries, open, clock } = boundMethods(new Fixture())
   const { response, delivery } = open('a')
   delivery.write(Buffer.alloc(100 * kibibyte))
   delivery.end()
@@ -112,26 +112,26 @@
     clock.advance(9000)
     response.read()
   }
-  t.is(response.got, 100 * kibibyte)
+  t.is(response.bytesRead, 100 * kibibyte)
   t.true(response.writableFinished)
   t.deepEqual([deliveries.waiting, deliveries.closed], [0, 0])
 })
 
-test('an answer that breaks off is delivered as far as it came, and cut', t => {
-  const { open } = bound(new Setting())
+test('the received part of an answer that breaks off is delivered, then the connection is cut', t => {
+  const { open } = boundMethods(new Fixture())
   const { response, delivery } = open('a')
   delivery.write(Buffer.alloc(40 * kibibyte))
   delivery.cut()
   t.false(response.destroyed)
   for (let each = 0; each < 3; each++) response.read()
-  t.is(response.got, 40 * kibibyte)
+  t.is(response.bytesRead, 40 * kibibyte)
   t.true(response.destroyed)
   t.false(response.ended)
 })
 
-test('a caller that reads nothing loses its connection after the patience, also when its answer has ended', t => {
-  const setting = new Setting()
-  const { deliveries, open, clock } = bound(setting)
+test('the connection of a caller that reads nothing is closed after the patience, also after its answer has ended', t => {
+  const fixture = new Fixture()
+  const { deliveries, open, clock } = boundMethods(fixture)
   const streaming = open('streaming')
   const ended = open('ended')
   const small = open('small')
@@ -139,30 +139,30 @@
   ended.delivery.end(Buffer.alloc(100 * kibibyte))
   small.delivery.end(Buffer.alloc(100))
   clock.advance(10_000)
-  t.deepEqual(setting.closed, [])
+  t.deepEqual(fixture.closed, [])
   clock.advance(500)
-  t.deepEqual(setting.closed, ['streaming', 'ended', 'small'])
+  t.deepEqual(fixture.closed, ['streaming', 'ended', 'small'])
   t.true(streaming.response.destroyed && ended.response.destroyed && small.response.destroyed)
   t.deepEqual([deliveries.waiting, deliveries.bytes, deliveries.closed], [0, 0, 3])
-  t.like(JSON.parse(setting.lines[0]), { name: 'caller-stalled', request: 'streaming', bytes: 40 * kibibyte, answered: false })
-  t.like(JSON.parse(setting.lines[1]), { request: 'ended', answered: true })
+  t.like(JSON.parse(fixture.lines[0]), { name: 'caller-stalled', request: 'streaming', bytes: 40 * kibibyte, answered: false })
+  t.like(JSON.parse(fixture.lines[1]), { request: 'ended', answered: true })
 })
 
-test('after this process stood still, callers have their time anew: what they read meanwhile is not seen yet', t => {
-  const setting = new Setting()
-  const { open, clock } = bound(setting)
+test('after a pause of this process the idle time of callers restarts, since what they read meanwhile was not seen', t => {
+  const fixture = new Fixture()
+  const { open, clock } = boundMethods(fixture)
   const { delivery } = open('a')
   delivery.write(Buffer.alloc(40 * kibibyte))
   clock.advance(500)
   clock.freeze(20_000)
   clock.advance(9000)
-  t.deepEqual(setting.closed, [])
+  t.deepEqual(fixture.closed, [])
   clock.advance(1500)
-  t.deepEqual(setting.closed, ['a'])
+  t.deepEqual(fixture.closed, ['a'])
 })
 
-test('a caller that leaves frees what was kept for it', t => {
-  const { deliveries, open } = bound(new Setting())
+test('the buffered bytes of a caller that disconnects are freed', t => {
+  const { deliveries, open } = boundMethods(new Fixture())
   const { response, delivery } = open('a')
   delivery.write(Buffer.alloc(100 * kibibyte))
   response.destroy()
@@ -171,6 +171,6 @@
   t.is(deliveries.bytes, 0)
 })
 
-function bound (setting: Setting): Pick<Setting, 'clock' | 'deliveries' | 'open'> {
-  return { clock: setting.clock, deliveries: setting.deliveries, open: id => setting.open(id) }
+function boundMethods (fixture: Fixture): Pick<Fixture, 'clock' | 'deliveries' | 'open'> {
+  return { clock: fixture.clock, deliveries: fixture.deliveries, open: id => fixture.open(id) }
 }
--- a/packages/forward/test/events.test.ts
+++ b/packages/forward/test/events.test.ts
@@ -1,20 +1,20 @@
-/** The events of a stream are cut out whole, whatever pieces it comes in. */
+/** A stream is split into complete events regardless of its chunks. */
 import test from 'ava'
 import { EventSplitter } from '../src/index.js'
 
-test('a stream is cut into whole events, whatever pieces it comes in', t => {
+test('a stream is split into complete events for each chunk size', t => {
   const text = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: comment\n\nid: 31\ndata: c\n\n'
   for (let size = 1; size <= text.length; size++) {
     const splitter = new EventSplitter()
     const events = []
     for (let at = 0; at < text.length; at += size) events.push(...splitter.push(Buffer.from(text.slice(at, at + size))))
-    t.deepEqual(events.map(each => each.id), [1, 2, undefined, 31], `pieces of ${size}`)
+    t.deepEqual(events.map(each => each.id), [1, 2, undefined, 31], `chunks of ${size}`)
     t.is(Buffer.concat(events.map(each => each.bytes)).toString(), text)
     t.true(splitter.atBoundary)
   }
 })
 
-test('an event without its end is not passed on', t => {
+test('an incomplete event is not returned', t => {
   const splitter = new EventSplitter()
   t.is(splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata:')).length, 1)
   t.false(splitter.atBoundary)
--- a/packages/forward/test/limited.test.ts
+++ b/packages/forward/test/limited.test.ts
@@ -1,6 +1,7 @@
 /**
- * A plain request that found its only upstream limited was answered as if the upstream were gone, with 503, where the gateway that issues the tokens had not answered in
- * time, its word on the next token had just passed, or the token came as the wait was over.
+ * A plain request whose only upstream is limited must get a 429, not the 503 of a missing upstream. It got the 503 in
+ * three cases: the gateway that issues the tokens did not answer in time, the announced time of the next token had just
+ * passed, or the token came when the wait ended.
  */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
@@ -10,17 +11,17 @@
 import { PlainPath, type Context } from '../src/index.js'
 import { callerRequest } from './requests.js'
 
-interface Limited {
-  /** How another gateway, which issues the tokens, answers an ask. Absent: this gateway issues them. */
-  readonly answer?: (tokens: Tokens, asked: TokenMessage) => void
-  /** Requests a second that the upstream takes. */
+interface LimitedOptions {
+  /** Plays the gateway that issues the tokens and receives each token request. Absent: this gateway issues them. */
+  readonly answer?: (tokens: Tokens, request: TokenMessage) => void
+  /** Limit of the upstream, in requests per second. */
   readonly limit?: number
-  /** For how long the process stands still while the request waits, in ms. */
-  readonly standing?: number
+  /** Time for which the process is frozen while the request waits, in ms. */
+  readonly frozenMs?: number
 }
 
-/** What a plain request gets at a gateway whose only upstream names a limit. */
-async function refused ({ answer, limit = 2, standing = 0 }: Limited): Promise<{ status: number, retryAfter: unknown, asked: number }> {
+/** The answer to a plain request at a gateway whose only upstream has a limit. */
+async function refusalOf ({ answer, limit = 2, frozenMs = 0 }: LimitedOptions): Promise<{ status: number, retryAfter: unknown, tokenRequests: number }> {
   const clock = new ManualClock()
   const limits = new Limits(clock)
   const sent: TokenMessage[] = []
@@ -45,29 +46,29 @@
   for (const message of sent.filter(each => each.token === 'ask')) answer?.(tokens, message)
   queue.wake()
   await new Promise(resolve => setImmediate(resolve))
-  clock.freeze(standing)
+  clock.freeze(frozenMs)
   clock.advance(200)
   await served
-  return { status: request.response.statusCode, retryAfter: request.response.getHeader('retry-after'), asked: sent.filter(each => each.token === 'ask').length }
+  return { status: request.response.statusCode, retryAfter: request.response.getHeader('retry-after'), tokenRequests: sent.filter(each => each.token === 'ask').length }
 }
 
-test('where the gateway that issues the tokens does not answer, the caller is told to come back later', async t => {
-  t.deepEqual(await refused({ answer: () => {} }), { status: 429, retryAfter: 0.9, asked: 1 })
+test('a request is refused with 429 and a Retry-After if the gateway that issues the tokens does not answer', async t => {
+  t.deepEqual(await refusalOf({ answer: () => {} }), { status: 429, retryAfter: 0.9, tokenRequests: 1 })
 })
 
-test('where it promised a token that did not come, likewise', async t => {
-  const promise = (tokens: Tokens, asked: TokenMessage): void => { if ('number' in asked) tokens.answered({ token: 'later', number: asked.number, due: 20 }) }
-  t.deepEqual(await refused({ answer: promise }), { status: 429, retryAfter: 0.9, asked: 1 })
+test('a request is refused with 429 and a Retry-After if an announced token does not arrive', async t => {
+  const promise = (tokens: Tokens, request: TokenMessage): void => { if ('number' in request) tokens.answered({ token: 'later', number: request.number, due: 20 }) }
+  t.deepEqual(await refusalOf({ answer: promise }), { status: 429, retryAfter: 0.9, tokenRequests: 1 })
 })
 
-test('where the next token comes after the wait, the caller is told when, at once', async t => {
-  const refuse = (tokens: Tokens, asked: TokenMessage): void => { if ('number' in asked) tokens.answered({ token: 'later', number: asked.number, due: 700 }) }
-  const { status, retryAfter, asked } = await refused({ answer: refuse })
+test('a request is refused at once, with the time of the next token as Retry-After, if that token comes after the maximum wait', async t => {
+  const refuse = (tokens: Tokens, request: TokenMessage): void => { if ('number' in request) tokens.answered({ token: 'later', number: request.number, due: 700 }) }
+  const { status, retryAfter, tokenRequests } = await refusalOf({ answer: refuse })
   t.is(status, 429)
-  t.is(asked, 1)
+  t.is(tokenRequests, 1)
   t.is(retryAfter, 0.7)
 })
 
-test('where the process stands still until the token is there and the wait is over, the caller is told to come back later', async t => {
-  t.deepEqual(await refused({ limit: 25, standing: 100 }), { status: 429, retryAfter: 0.9, asked: 0 })
+test('a request is refused with 429 and a Retry-After if the process is frozen until the token is due and the wait has ended', async t => {
+  t.deepEqual(await refusalOf({ limit: 25, frozenMs: 100 }), { status: 429, retryAfter: 0.9, tokenRequests: 0 })
 })
--- a/packages/forward/test/offered.test.ts
+++ b/packages/forward/test/offered.test.ts
@@ -1,4 +1,7 @@
-/** Which refused requests count as asked for: heartbeats name their models, and callers may name what they like. */
+/**
+ * Which refused requests count as offered load. Heartbeats carry the names of the counted models, and callers may send
+ * arbitrary names.
+ */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight, Rests } from '@eiderwind/detect'
@@ -9,8 +12,8 @@
 
 const engine = { slots: 4, models: [{ name: 'known', size: 2, share: 1, pace: 1, load: 1, warm: 1 }], step: 5, stepPerRequest: 0.1, readRate: 1000, prompt: 10, answer: 10, loadRate: 1, loadsAtOnce: 1, formTime: 1 } satisfies Engine
 
-/** What models are asked for once a request for one was refused, since no head serves it. */
-async function askedFor (model: string): Promise<Record<string, number>> {
+/** The offered load by model, after a request for `model` was refused because no head serves it. */
+async function offeredModels (model: string): Promise<Record<string, number>> {
   const clock = new ManualClock()
   const offered = new OfferedLoad(clock, { models: () => ({}), rate: () => 0 })
   const context = {
@@ -29,10 +32,10 @@
   return offered.models
 }
 
-test('a model of the configuration counts', async t => {
-  t.deepEqual(await askedFor('known'), { known: 1 })
+test('a refused request for a configured model is counted', async t => {
+  t.deepEqual(await offeredModels('known'), { known: 1 })
 })
 
-test('a model that the configuration does not have does not count', async t => {
-  t.deepEqual(await askedFor('invented'), {})
+test('a refused request for a model that is not configured is not counted', async t => {
+  t.deepEqual(await offeredModels('invented'), {})
 })
--- a/packages/forward/test/requests.ts
+++ b/packages/forward/test/requests.ts
@@ -1,4 +1,4 @@
-/** A caller's request as tests make it, without a caller. */
+/** Creates requests for tests, without a connection to a caller. */
 import { IncomingMessage, ServerResponse } from 'node:http'
 import { Socket } from 'node:net'
 import { type ManualClock } from '@eiderwind/clock'
@@ -6,7 +6,7 @@
 import { Log } from '@eiderwind/log'
 import { CallerRequest, Deliveries } from '../src/index.js'
 
-/** A request `r1` of a route that allows `attempts` upstreams. */
+/** Creates a request `r1` for a route that permits `attempts` attempts. */
 export function callerRequest (clock: ManualClock, { attempts = 3, ...route }: Pick<Route, 'kind' | 'resumable'> & { readonly attempts?: number }): CallerRequest {
   const message = new IncomingMessage(new Socket())
   return new CallerRequest({
--- a/packages/forward/test/retry.test.ts
+++ b/packages/forward/test/retry.test.ts
@@ -1,4 +1,7 @@
-/** Whether a request is sent again, case by case, with the outcomes that the plain and the stream path had before they shared one rule. */
+/**
+ * Which requests are retried, case by case. The expected outcomes are those of the plain and the stream path before
+ * they shared one rule.
+ */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight, Rests } from '@eiderwind/detect'
@@ -35,7 +38,10 @@
   'not sent': { kind: 'not-run', why: '', sent: false }
 } as const satisfies Record<string, AttemptResult>
 
-/** By result, for each of `routes` in its order while attempts are left: `-` ends, `b` takes from the budget, `f` is sent again without it. */
+/**
+ * The expected decision by result, for each of `routes` in order, while attempts are left. `-`: the request ends. `b`:
+ * it is retried from the budget. `f`: it is retried without using the budget.
+ */
 const expected: Record<keyof typeof results, string> = {
   passed: '------',
   200: '------',
@@ -54,13 +60,13 @@
   return request
 }
 
-/** A context of a queue and a retry budget that counts how often it was asked. */
-function counted (left: number): { context: Context, asked: () => number } {
-  let asked = 0
+/** A context with a queue and a retry budget that counts its calls. */
+function contextWithBudget (left: number): { context: Context, takes: () => number } {
+  let count = 0
   const budget = {
     left,
     take: () => {
-      asked++
+      count++
       return left > 0
     }
   }
@@ -69,10 +75,10 @@
   const rests = new Rests({ clock, begun: () => {}, ended: () => {} })
   const intake = new Intake({ clock, rests })
   const context = { clock, crashes, inFlight: new InFlight(clock, () => {}), intake, queue: new Queue(clock), retryBudget: () => budget as unknown as RetryBudget } as unknown as Context
-  return { context, asked: () => asked }
+  return { context, takes: () => count }
 }
 
-/** A path whose first attempt ends with `first`, and whose second one is passed on. */
+/** A path whose first attempt has the result `first`, and whose second attempt succeeds. */
 class ScriptedPath extends Path {
   protected readonly lastEvent = undefined
   readonly kind: 'plain' | 'stream'
@@ -93,7 +99,7 @@
 
   protected async attempt (): Promise<AttemptResult> {
     if (this.attempts++ === 0) {
-      // As a real attempt counts itself; `endAttempt` takes that back for one that was never sent.
+      // A real attempt counts itself. `endAttempt` reverts that if the attempt was never sent.
       this.request.beginAttempt('first')
       return this.#first
     }
@@ -112,18 +118,18 @@
 }
 
 for (const kind of ['plain', 'stream'] as const) {
-  test(`whether a ${kind} request is sent again, and what that takes from the budget`, async t => {
+  test(`a ${kind} request is retried, or not, as the table says for its route, result, attempts left and budget`, async t => {
     for (const [name, result] of Object.entries(results) as Array<[keyof typeof results, AttemptResult]>) {
       for (const [index, [routeKind, route]] of Object.entries(routes).entries()) {
         for (const attemptsLeft of [true, false]) {
           for (const budget of [1, 0]) {
-            const { context, asked } = counted(budget)
+            const { context, takes } = contextWithBudget(budget)
             const code = attemptsLeft ? expected[name][index] : '-'
             const label = `${name}, ${routeKind}, ${attemptsLeft ? 'attempts' : 'no attempts'} left, budget ${budget}`
             const path = new ScriptedPath(context, requestAfter(sendsBefore(result, attemptsLeft), route), kind, result)
             await path.serve()
             t.is(path.attempts === 2, code === 'f' || (code === 'b' && budget > 0), label)
-            t.is(asked(), code === 'b' ? 1 : 0, label)
+            t.is(takes(), code === 'b' ? 1 : 0, label)
           }
         }
       }
@@ -131,7 +137,9 @@
   })
 }
 
-/** Attempts that count before the first one here, of three, so that some or none are left after it. */
+/**
+ * The number of counted attempts before the first one here, so that of three attempts some or none are left after it.
+ */
 function sendsBefore (result: AttemptResult, attemptsLeft: boolean): number {
   const counts = !(result.kind === 'not-run' && !result.sent)
   return (attemptsLeft ? 2 : 3) - Number(counts)
