--- a/packages/crashes/src/history.ts
+++ b/packages/crashes/src/history.ts
@@ -50,9 +50,9 @@
  * Number of crashes after which a request is blocked even if each had another suspect. The limit is needed because
  * several harmful requests may meet at one upstream, and because gateways learn of each other's trials too late.
  *
- * In a model of 3, 13 and 35 gateways with ten harmful requests at once (crashes/test/harm.test.ts), 4 costs 22, 35 and
- * 35 engines. With 5 it is 29, 41 and 42 engines, and the same 2 in 10,000 to 1 in 1,000 other requests are refused.
- * With 3 it is 13, 21 and 27 engines, and up to 1 in 10 other requests are refused.
+ * The value comes from a model of 3, 13 and 35 gateways with ten harmful requests at once (crashes/test/harm.test.ts).
+ * With 4, 22, 35 and 35 engines crash, and 2 in 10,000 to 1 in 1,000 other requests are refused. With 5 it is 29, 41
+ * and 42 engines, and as many other requests. With 3 it is 13, 21 and 27 engines, and up to 1 in 10 other requests.
  */
 const blockThreshold = 4
 
--- a/packages/forward/src/path.ts
+++ b/packages/forward/src/path.ts
@@ -218,7 +218,8 @@
 
   /**
    * The refusal if no upstream takes a request now, or if none did at the last search, since a token may have arrived
-   * after it. If the upstreams only refused requests, it is not known when they take requests again.
+   * after it. Undefined if the closure is a pause: it is not known when an upstream that only refused requests takes
+   * them again.
    */
   #closedRefusal (): Fault | undefined {
     const { clock, intake, random } = this.context
