--- a/packages/detect/src/agreement.ts
+++ b/packages/detect/src/agreement.ts
@@ -1,29 +1,33 @@
 /**
- * Which suspicions of a head the gateways agree on. Each gateway judges by its own streams, and in a large fleet it has one or two at a
- * head, so that a single slow first event looks like a stall. The gateways together have all of the head's streams: if most of those
- * that have some there suspect it, it has stalled. Pure; relies on heartbeats for what other gateways see.
+ * Decides which heads a majority of the gateways suspects. In a large fleet each gateway has only one or two streams at
+ * a head, so a single slow first event looks like a stall. Together the gateways have all streams of the head: if most
+ * gateways with streams there suspect it, it has stalled. Pure; the views of other gateways come from their heartbeats.
  *
- * The load that showed it: 35 gateways before 50 heads of 20 requests each. Within 22 s they raised 1,970 suspicions of 69 heads, some 20 of
- * which had died; 1,393 of 5,713 logged requests were moved, and the gateway that plans probed and closed replicas that were sound.
+ * The load that showed it: 35 gateways in front of 50 heads of 20 requests each. Within 22 s the gateways raised 1,970
+ * suspicions of 69 heads, of which some 20 had died. 1,393 of 5,713 logged requests were moved, and the planning
+ * gateway probed and closed working replicas.
  */
 
-/** What one gateway sees of upstreams: a heartbeat, as far as it matters here. */
-export interface Witness {
+/** One gateway's view of the upstreams: the part of its heartbeat that stall detection reads. */
+export interface GatewayView {
   /** Requests in flight, by upstream id. */
   readonly inFlight: Readonly<Record<string, number>>
   /** Ids of the upstreams that it suspects. */
   readonly suspects: readonly string[]
 }
 
-/** Whether most of the gateways that have requests at an upstream, or suspect it, suspect it. One that nobody suspects is not. */
-export function isAgreed (id: string, witnesses: readonly Witness[]): boolean {
-  const suspecting = witnesses.filter(each => each.suspects.includes(id)).length
-  const trusting = witnesses.filter(each => (each.inFlight[id] ?? 0) > 0 && !each.suspects.includes(id)).length
+/**
+ * Whether a majority of the concerned gateways suspects an upstream. A gateway is concerned if it suspects the upstream
+ * or has requests in flight there. False if no gateway suspects it.
+ */
+export function isMajoritySuspect (id: string, views: readonly GatewayView[]): boolean {
+  const suspecting = views.filter(each => each.suspects.includes(id)).length
+  const trusting = views.filter(each => (each.inFlight[id] ?? 0) > 0 && !each.suspects.includes(id)).length
   return suspecting > trusting
 }
 
-/** Ids of the upstreams that most of the gateways concerned suspect. */
-export function agreedSuspects (witnesses: readonly Witness[]): Set<string> {
-  const suspected = new Set(witnesses.flatMap(each => each.suspects))
-  return new Set([...suspected].filter(id => isAgreed(id, witnesses)))
+/** Ids of the upstreams that a majority of the concerned gateways suspects. */
+export function agreedSuspects (views: readonly GatewayView[]): Set<string> {
+  const suspected = new Set(views.flatMap(each => each.suspects))
+  return new Set([...suspected].filter(id => isMajoritySuspect(id, views)))
 }
--- a/packages/detect/src/index.ts
+++ b/packages/detect/src/index.ts
@@ -1,5 +1,5 @@
-/** Failure detection: silence of upstreams, suspects, unreachable engines and dead heads, pauses of this process. */
-export { agreedSuspects, isAgreed, type Witness } from './agreement.js'
+/** Failure detection: silent upstreams, suspects, unreachable engines, dead heads, and pauses of this process. */
+export { agreedSuspects, isMajoritySuspect, type GatewayView } from './agreement.js'
 export { InFlight, InFlightRequest, type InFlightHandlers } from './inflight.js'
 export { RecentEvents } from './recent.js'
 export { Suspects } from './suspects.js'
--- a/packages/detect/src/inflight.ts
+++ b/packages/detect/src/inflight.ts
@@ -1,20 +1,26 @@
 /**
- * This gateway's requests in flight, by upstream and by model, and when each upstream last sent anything.
- * Owns the counts that the choice of an upstream, the heartbeats to other gateways and the stall detector read.
- * Relies on forwarding to report the start, every received byte and the end of each attempt.
+ * Tracks this gateway's requests in flight, by upstream and by model, and when each upstream last sent anything. Owns
+ * the counts that upstream selection, the heartbeats to other gateways and the stall detector read. Relies on
+ * forwarding to report the start, every received byte and the end of each attempt.
  */
 import { type Clock } from '@eiderwind/clock'
 import { RecentEvents } from './recent.js'
 
-/** What is done about a request in flight. */
+/** Callbacks of a request in flight. */
 export interface InFlightHandlers {
-  /** Called when the upstream is suspected of having stalled, or this request alone has. */
+  /** Called when the upstream is suspected of having stalled, or when this request alone has stalled. */
   readonly stalled?: (() => void) | undefined
-  /** Called when the request should go on elsewhere, with the reason, although its upstream works. Returns whether it does. */
+  /**
+   * Called with the reason when the request should move to another upstream although its own works. Returns whether it
+   * moves.
+   */
   readonly moved?: ((why: string) => boolean) | undefined
   /** Called when the upstream has certainly ended. */
   readonly lost?: () => void
-  /** Called when nothing more may be sent to the upstream, with the reason: a request that has not left yet must not. */
+  /**
+   * Called with the reason when nothing more may be sent to the upstream. A request that has not been sent yet must not
+   * be sent.
+   */
   readonly withdrawn?: (why: string) => void
 }
 
@@ -24,9 +30,9 @@
   readonly model: string
   /** When it was sent, on `Clock.now`. */
   readonly sentAt: number
-  /** When anything was last received for it, or when it was sent, on `Clock.now`. */
+  /** When anything was last received for it, or else when it was sent, on `Clock.now`. */
   receivedAt: number
-  /** Whether its upstream is not read, since its caller does not read. */
+  /** Whether reading from its upstream is paused because the caller does not read. */
   paused = false
   readonly handlers: InFlightHandlers
 
@@ -40,95 +46,95 @@
 }
 
 /** The requests in flight at one upstream. */
-interface Load {
+interface UpstreamRequests {
   readonly requests: Set<InFlightRequest>
-  /** When anything was last received from it, on `Clock.now`. */
+  /** When anything was last received from the upstream, on `Clock.now`. */
   receivedAt: number
 }
 
 /** Counts requests in flight by upstream and model. */
 export class InFlight {
   readonly #clock: Clock
-  readonly #loads = new Map<string, Load>()
+  readonly #upstreams = new Map<string, UpstreamRequests>()
   readonly #models = new Map<string, number>()
-  /** Places at upstreams that are kept for requests about to be sent there. */
-  readonly #kept = new Map<string, number>()
-  /** Requests that were sent, by model. */
-  readonly #begun: RecentEvents
+  /** Requests that are about to be sent, by upstream. Each has a reservation there. */
+  readonly #reserved = new Map<string, number>()
+  /** Requests sent lately, by model. */
+  readonly #sent: RecentEvents
   readonly #ended: (request: InFlightRequest) => void
 
-  /** @param ended called after each request has ended, when its place is free again */
+  /** @param ended called after each request has ended and no longer counts at its upstream */
   constructor (clock: Clock, ended: (request: InFlightRequest) => void) {
     this.#clock = clock
-    this.#begun = new RecentEvents(clock)
+    this.#sent = new RecentEvents(clock)
     this.#ended = ended
   }
 
-  /** Requests in flight at an upstream, and those about to be sent there. */
+  /** Requests in flight at an upstream, plus reservations. */
   count (upstream: string): number {
-    return (this.#loads.get(upstream)?.requests.size ?? 0) + (this.#kept.get(upstream) ?? 0)
+    return (this.#upstreams.get(upstream)?.requests.size ?? 0) + (this.#reserved.get(upstream) ?? 0)
   }
 
   /**
-   * Keeps a place at an upstream for a request that was chosen for it, until it begins: of several that wait for room, the next one then sees that it is taken.
-   * Returns what ends that.
+   * Reserves capacity at an upstream for a request until the request begins. If several requests wait for room, the
+   * next one then sees that this room is taken. Returns a function that ends the reservation.
    */
   keep (upstream: string): () => void {
-    this.#kept.set(upstream, (this.#kept.get(upstream) ?? 0) + 1)
-    let isKept = true
+    this.#reserved.set(upstream, (this.#reserved.get(upstream) ?? 0) + 1)
+    let isReserved = true
     return () => {
-      if (!isKept) return
-      isKept = false
-      const left = (this.#kept.get(upstream) ?? 1) - 1
-      if (left === 0) this.#kept.delete(upstream)
-      else this.#kept.set(upstream, left)
+      if (!isReserved) return
+      isReserved = false
+      const left = (this.#reserved.get(upstream) ?? 1) - 1
+      if (left === 0) this.#reserved.delete(upstream)
+      else this.#reserved.set(upstream, left)
     }
   }
 
-  /** All requests in flight. */
+  /** The number of all requests in flight. */
   get total (): number {
-    return [...this.#loads.values()].reduce((sum, { requests }) => sum + requests.size, 0)
+    return [...this.#upstreams.values()].reduce((sum, { requests }) => sum + requests.size, 0)
   }
 
-  /** Requests in flight by upstream; upstreams without any are left out. */
+  /** Requests in flight by upstream. Upstreams without any are omitted. */
   get counts (): Record<string, number> {
-    return Object.fromEntries([...this.#loads].map(([id, { requests }]) => [id, requests.size]))
+    return Object.fromEntries([...this.#upstreams].map(([id, { requests }]) => [id, requests.size]))
   }
 
-  /** Requests in flight by model; '' stands for requests that name none. */
+  /** Requests in flight by model. The key '' stands for requests that name no model. */
   get models (): Record<string, number> {
     return Object.fromEntries(this.#models)
   }
 
-  /** Adds a request that is sent now. */
+  /** Adds a request that is being sent now. */
   begin (upstream: string, model: string, handlers: InFlightHandlers = {}): InFlightRequest {
     const request = new InFlightRequest(upstream, model, this.#clock.now(), handlers)
-    const load = this.#loads.get(upstream) ?? { requests: new Set<InFlightRequest>(), receivedAt: -Infinity }
-    load.requests.add(request)
-    this.#loads.set(upstream, load)
+    const entry = this.#upstreams.get(upstream) ?? { requests: new Set<InFlightRequest>(), receivedAt: -Infinity }
+    entry.requests.add(request)
+    this.#upstreams.set(upstream, entry)
     this.#models.set(model, (this.#models.get(model) ?? 0) + 1)
-    this.#begun.add(model)
+    this.#sent.add(model)
     return request
   }
 
   /** Requests of a model that were sent in the last second. */
   rate (model: string): number {
-    return this.#begun.count(model)
+    return this.#sent.count(model)
   }
 
   /** Records that something was received for a request, and so from its upstream. */
   received (request: InFlightRequest): void {
     request.receivedAt = this.#clock.now()
-    const load = this.#loads.get(request.upstream)
-    if (load !== undefined) load.receivedAt = request.receivedAt
+    const entry = this.#upstreams.get(request.upstream)
+    if (entry !== undefined) entry.receivedAt = request.receivedAt
   }
 
-  /** Records that nothing is read for a request, so that silence says nothing of its upstream. */
+  /** Records that reading for a request is paused. Its silence then says nothing about its upstream. */
   pause (request: InFlightRequest): void {
     request.paused = true
   }
 
-  /** Records that a request is read again; its silence counts from now on. */
+  /** Records that a request is read again. Its silence counts from now on. */
   resume (request: InFlightRequest): void {
     request.paused = false
     this.received(request)
@@ -136,41 +142,44 @@
 
   /** Removes a request that has ended. A second call does nothing. */
   end (request: InFlightRequest): void {
-    const load = this.#loads.get(request.upstream)
-    if (load?.requests.delete(request) !== true) return
-    if (load.requests.size === 0) this.#loads.delete(request.upstream)
+    const entry = this.#upstreams.get(request.upstream)
+    if (entry?.requests.delete(request) !== true) return
+    if (entry.requests.size === 0) this.#upstreams.delete(request.upstream)
     this.#models.set(request.model, (this.#models.get(request.model) ?? 1) - 1)
     this.#ended(request)
   }
 
-  /** Whether anything was received for a request that is in flight at an upstream. */
-  hasBegun (upstream: string): boolean {
-    return [...this.#loads.get(upstream)?.requests ?? []].some(each => each.receivedAt > each.sentAt)
+  /** Whether anything was received for one of the requests in flight at an upstream. */
+  hasReceivedFrom (upstream: string): boolean {
+    return [...this.#upstreams.get(upstream)?.requests ?? []].some(each => each.receivedAt > each.sentAt)
   }
 
-  /** Requests in flight for which nothing was received for longer than `limit` ms, whatever else their upstream sends. */
+  /**
+   * Requests in flight for which nothing was received for longer than `limit` ms, whatever else their upstream sends.
+   */
   silentRequests (limit: number): InFlightRequest[] {
     const before = this.#clock.now() - limit
-    return [...this.#loads.values()].flatMap(({ requests }) => [...requests].filter(each => !each.paused && each.receivedAt < before))
+    return [...this.#upstreams.values()].flatMap(({ requests }) => [...requests].filter(each => !each.paused && each.receivedAt < before))
   }
 
-  /** Withdraws the requests for an upstream that have not left yet. */
+  /** Withdraws the requests for an upstream that have not been sent yet. */
   withdraw (upstream: string, why: string): void {
     for (const each of this.at(upstream)) each.handlers.withdrawn?.(why)
   }
 
   /** The requests in flight at an upstream. */
   at (upstream: string): InFlightRequest[] {
-    return [...this.#loads.get(upstream)?.requests ?? []]
+    return [...this.#upstreams.get(upstream)?.requests ?? []]
   }
 
   /**
-   * Upstreams from which nothing was received for longer than `limit(upstream)` ms. The silence counts from the last byte
-   * received or, where that is later, from the oldest request in flight that is read: an idle upstream owes no bytes.
+   * Upstreams from which nothing was received for longer than `limit(upstream)` ms. The silence counts from the last
+   * received byte, or from the sending of the oldest request in flight that is read if that is later: an idle upstream
+   * has nothing to send.
    */
-  silent (limit: (upstream: string) => number): string[] {
+  silentUpstreams (limit: (upstream: string) => number): string[] {
     const now = this.#clock.now()
-    return [...this.#loads].filter(([upstream, { requests, receivedAt }]) => {
+    return [...this.#upstreams].filter(([upstream, { requests, receivedAt }]) => {
       const read = [...requests].filter(each => !each.paused)
       const oldest = Math.min(...read.map(each => each.sentAt))
       return now - Math.max(receivedAt, oldest) > limit(upstream)
--- a/packages/detect/src/liveness.ts
+++ b/packages/detect/src/liveness.ts
@@ -1,20 +1,21 @@
 /**
- * Decides which engines are unreachable and which heads are dead. The difference matters: an unreachable engine is only
- * not used; the members of a dead head are free for other replicas, so a head must not be called dead while it may
- * still serve. The README draws the states and what moves an engine between them.
- * Owns what is known of each engine in doubt; all of it is found out again after a restart. Relies on `Probes`, on the
- * suspicions of all gateways, and on the reconciler to report the answers to its orders to close.
+ * Decides which engines are unreachable and which heads are dead. An unreachable engine is only not used. The members
+ * of a dead head are free for other replicas, so a head must not be declared dead while it may still serve. The README
+ * draws the states of an engine and the transitions between them.
+ *
+ * Owns what is known of each engine in doubt, in memory only: all of it is found out again after a restart. Relies on
+ * `Probes`, on the suspicions of all gateways, and on the reconciler to report the answers to its orders to close.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Roster } from '@eiderwind/roster'
 import { type NodeAddress, type Probes } from './probes.js'
 
-/** The nodes of a replica that was decided on, the head first. */
+/** The nodes of a planned replica, the head first. */
 export interface ReplicaNodes {
   readonly members: readonly NodeAddress[]
 }
 
-/** Dependencies of `Liveness`. Spans are in ms. */
+/** Dependencies of `Liveness`. Times are in ms. */
 export interface LivenessOptions {
   readonly clock: Clock
   readonly roster: Roster
@@ -23,11 +24,11 @@
   readonly suspects: () => ReadonlySet<string>
   /** Time between two heartbeats of an upstream. */
   readonly heartbeatInterval: number
-  /** Whether an engine that is not listed is kept all the same, and probed for that. */
+  /** Whether an engine is kept although it is not listed. `Unlisted` probes such an engine. */
   readonly isKept: (id: string) => boolean
-  /** When this process last ran on after a pause of its own, on `Clock.now`. */
+  /** When this process last resumed after a pause of its own, on `Clock.now`. */
   readonly resumedAt: () => number
-  /** Called when an answer may have changed what is known of an engine. */
+  /** Called when a probe or a reading has ended and may have changed what is known of an engine. */
   readonly changed: () => void
   /** Called with an error that nothing else handles. */
   readonly failed: (error: unknown) => void
@@ -37,37 +38,37 @@
 const probeInterval = 600
 
 /**
- * Orders to close in a row without an answer after which an unlisted head that answers no probe either is dead, in orders. Orders
- * alone do not show it: an engine may leave a third of them unanswered for a while and serve on.
+ * Consecutive unanswered orders to close after which an unlisted head is dead if it answers no probe either. Unanswered
+ * orders alone do not show it: an engine may leave a third of them unanswered for a while and still serve.
  */
 const unansweredLimit = 2
 
 /**
- * Probes in a row that an engine may leave unanswered before it counts as unreachable, unless the gateways agree that its replica has
- * stalled. A single lost packet delays a new connection by a second, far beyond the time-out of a probe.
+ * Consecutive missed probes after which an engine counts as unreachable. One is enough if the gateways agree that its
+ * replica has stalled. A single lost packet delays a new connection by a second, far beyond the time-out of a probe.
  */
-const missedProbes = 2
+const missedProbesLimit = 2
 
 /**
- * Heartbeat intervals after which a heartbeat count that has not risen has stopped: one interval, and 0.4 of one for the
- * store's delay and our own reading.
+ * Heartbeat intervals after which an unchanged heartbeat count has stopped: one interval, plus 0.4 of one for the delay
+ * of the store and of the reading here.
  */
-const missedIntervals = 1.4
+const stoppedIntervals = 1.4
 
 /**
- * Readings of a heartbeat count within the time after which it has stopped, beside the first: each is a call of the store, which is paid
- * for. A head that dies has written its last heartbeat before its silence is noticed, so the first and the last reading decide; one
- * between them costs less time where a heartbeat came late.
+ * Readings of a heartbeat count within the time after which it has stopped, not counting the first one. Each is a paid
+ * call to the store. A head that dies has written its last heartbeat before its silence is noticed, so the first and
+ * the last reading decide. A reading between them saves time if a heartbeat came late.
  */
-const readings = 2
+const readingsPerTimeout = 2
 
-/** Readings of one heartbeat count. */
+/** The newest reading of a heartbeat count. */
 interface HeartbeatReading {
   readonly count: number | undefined
-  /** When it was first read with this count, on `Clock.now`; Infinity before the first answer. */
+  /** When the count was first read with this value, on `Clock.now`. Infinity before the first answer. */
   readonly since: number
-  /** When it was last asked for. */
-  readonly askedAt: number
+  /** When the count was last requested. */
+  readonly requestedAt: number
 }
 
 /** Probes engines in doubt and declares heads dead. */
@@ -75,20 +76,23 @@
   readonly #options: LivenessOptions
   readonly #unreachable = new Set<string>()
   readonly #dead = new Set<string>()
-  /** Heads that were found dead while they were not listed. One that is listed again has only left the replica that it led then. */
+  /**
+   * Heads that were declared dead while they were not listed. A head that is listed again has only left the replica
+   * that it led then.
+   */
   readonly #deadUnlisted = new Set<string>()
-  /** Orders to close in a row that a head left unanswered, by its id. */
+  /** Consecutive orders to close that a head left unanswered, by head id. */
   readonly #unanswered = new Map<string, number>()
   readonly #heartbeats = new Map<string, HeartbeatReading>()
   readonly #probedAt = new Map<string, number>()
-  /** Probes in a row that an engine has left unanswered. */
+  /** Consecutive probes that an engine left unanswered, by engine id. */
   readonly #missed = new Map<string, number>()
 
   constructor (options: LivenessOptions) {
     this.#options = options
   }
 
-  /** Ids of engines that did not answer their last probe. */
+  /** Ids of the engines that left their last probes unanswered. */
   get unreachable (): ReadonlySet<string> {
     return this.#unreachable
   }
@@ -103,7 +107,7 @@
     const suspects = this.#options.suspects()
     for (const id of this.#deadUnlisted) if (this.#options.roster.find(id) !== undefined) this.#deadUnlisted.delete(id)
     this.#probeDoubtful(replicas, suspects)
-    for (const { members: [{ id }] } of replicas) this.#judge(id, suspects)
+    for (const { members: [{ id }] } of replicas) this.#checkHead(id, suspects)
   }
 
   /** Records whether a head answered an order to close. */
@@ -111,15 +115,18 @@
     this.#unanswered.set(head, answered ? 0 : (this.#unanswered.get(head) ?? 0) + 1)
   }
 
-  /** Records that a head has left its replica, or that nothing listens there any more. One that is not listed either is dead. */
+  /**
+   * Records that a head has left its replica, or that nothing listens at its address any more. If it is not listed
+   * either, it is dead.
+   */
   left (head: string): void {
     if (this.#options.roster.find(head) === undefined) this.#deadUnlisted.add(head)
   }
 
-  /** Records that an engine which is not listed left probes unanswered, so many in a row. */
+  /** Records that an unlisted engine left `missed` consecutive probes unanswered. */
   foundSilent (id: string, missed: number): void {
     if (missed > 0) this.#missed.set(id, missed)
-    if (missed >= missedProbes) this.#unreachable.add(id)
+    if (missed >= missedProbesLimit) this.#unreachable.add(id)
   }
 
   /** Forgets engines that are in none of the given replicas and that the roster no longer remembers. */
@@ -133,7 +140,10 @@
     }
   }
 
-  /** All members of a replica with a suspected head or an unreachable member, and engines unreachable or lapsed themselves. */
+  /**
+   * Probes all members of a replica whose head is suspected or that has a member in doubt. Also probes single engines
+   * that are unreachable or whose entries have lapsed.
+   */
   #probeDoubtful (replicas: readonly ReplicaNodes[], suspects: ReadonlySet<string>): void {
     const { roster, isKept } = this.#options
     const isAbsent = (id: string): boolean => roster.find(id) === undefined && !isKept(id)
@@ -155,13 +165,13 @@
     if (probedAt - (this.#probedAt.get(id) ?? -Infinity) < probeInterval) return
     this.#probedAt.set(id, probedAt)
     probes.isReachable(address).then(reachable => {
-      // A time-out that ran out during a pause of this process says nothing about the engine.
-      if (reachable || resumedAt() < probedAt) this.#probed(id, reachable, stalled)
+      // A time-out that elapsed during a pause of this process says nothing about the engine.
+      if (reachable || resumedAt() < probedAt) this.#recordProbe(id, reachable, stalled)
       changed()
     }).catch(failed)
   }
 
-  #probed (id: string, reachable: boolean, stalled: boolean): void {
+  #recordProbe (id: string, reachable: boolean, stalled: boolean): void {
     if (reachable) {
       this.#unreachable.delete(id)
       this.#missed.delete(id)
@@ -169,12 +179,12 @@
     }
     const missed = (this.#missed.get(id) ?? 0) + 1
     this.#missed.set(id, missed)
-    if (stalled || missed >= missedProbes) this.#unreachable.add(id)
-    // It is asked again at the next check.
+    if (stalled || missed >= missedProbesLimit) this.#unreachable.add(id)
+    // The next check probes it again.
     else this.#probedAt.delete(id)
   }
 
-  #judge (head: string, suspects: ReadonlySet<string>): void {
+  #checkHead (head: string, suspects: ReadonlySet<string>): void {
     const unanswered = this.#unanswered.get(head) ?? 0
     const unreachable = this.#unreachable.has(head)
     if (this.#options.roster.hasEnded(head)) this.#dead.add(head)
@@ -183,26 +193,30 @@
     else if (unanswered >= unansweredLimit && unreachable) this.#deadUnlisted.add(head)
   }
 
-  /** Reads the heartbeat count of a listed head, from the first suspicion on, and declares it dead where that has stopped too. */
+  /**
+   * Reads the heartbeat count of a listed head in doubt, from the first suspicion on. Declares the head dead if the
+   * count has stopped and the head answers neither probes nor orders.
+   */
   #readHeartbeat (head: string): void {
     const { clock, probes, changed, failed } = this.#options
     const known = this.#heartbeats.get(head)
-    const askedAt = clock.now()
-    if (known !== undefined && askedAt - known.askedAt < missedIntervals * this.#options.heartbeatInterval / readings) return
-    // One that answers its probes and orders is read once, since it may fall silent; the replica it leads is closed meanwhile.
+    const requestedAt = clock.now()
+    if (known !== undefined && requestedAt - known.requestedAt < stoppedIntervals * this.#options.heartbeatInterval / readingsPerTimeout) return
+    // A head that answers probes and orders is read only once, in case it falls silent later. Its replica is closed
+    // meanwhile.
     if (known !== undefined && !this.#unreachable.has(head) && (this.#unanswered.get(head) ?? 0) === 0) return
-    this.#heartbeats.set(head, { count: known?.count, since: known?.since ?? Infinity, askedAt })
+    this.#heartbeats.set(head, { count: known?.count, since: known?.since ?? Infinity, requestedAt })
     probes.heartbeatOf(head).then(count => {
-      const since = count !== undefined && count === known?.count ? Math.min(known.since, askedAt) : clock.now()
-      this.#heartbeats.set(head, { count, since, askedAt })
-      if (count !== undefined && this.#stopped(since) && this.#isSilent(head)) this.#dead.add(head)
+      const since = count !== undefined && count === known?.count ? Math.min(known.since, requestedAt) : clock.now()
+      this.#heartbeats.set(head, { count, since, requestedAt })
+      if (count !== undefined && this.#hasStopped(since) && this.#isSilent(head)) this.#dead.add(head)
       changed()
     }).catch(failed)
   }
 
-  #stopped (since: number): boolean {
+  #hasStopped (since: number): boolean {
     const { clock, heartbeatInterval } = this.#options
-    return clock.now() - since >= missedIntervals * heartbeatInterval
+    return clock.now() - since >= stoppedIntervals * heartbeatInterval
   }
 
   /** Whether a head answers neither probes nor orders. */
--- a/packages/detect/src/pauses.ts
+++ b/packages/detect/src/pauses.ts
@@ -1,16 +1,16 @@
 /**
- * Notices when this process itself was paused: frozen, without a processor, or on a suspended machine. What it timed meanwhile says nothing about
- * others, so code that measures silence compares with `resumedAt` first.
- * Owns a timer and the time of its last tick; relies on `Clock.bootNow`, which runs on during all of these.
+ * Detects pauses of this process itself: frozen, without a processor, or on a suspended machine. Times measured across
+ * a pause say nothing about other processes, so code that measures silence first compares with `resumedAt`. Owns a
+ * timer and the time of its last tick. Relies on `Clock.bootNow`, which keeps running during all of these pauses.
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 
-/** Time between two ticks, in ms: an eighth of the shortest silence that is judged (400 ms). */
+/** Time between two ticks, in ms: an eighth of the shortest silence that is measured (400 ms). */
 const tickInterval = 50
 
 /**
- * Gap between two ticks that counts as a pause, in ms: below the 400 ms of silence that make a suspect, and above the delays of a busy
- * process on half a core.
+ * Gap between two ticks that counts as a pause, in ms. It is below the 400 ms of silence that make an upstream suspect,
+ * and above the delays of a busy process on half a core.
  */
 const pauseGap = 300
 
@@ -29,9 +29,9 @@
     this.#tickedAt = clock.bootNow()
   }
 
-  /** When the process last ran on after a pause, on `Clock.now`; -Infinity where it was never paused. */
+  /** When the process last resumed after a pause, on `Clock.now`; -Infinity if it was never paused. */
   get resumedAt (): number {
-    // A pause must show at once, also to a caller that runs before the late tick does.
+    // A pause must be visible at once, also to a caller that runs before the delayed tick.
     this.#tick()
     return this.#resumedAt
   }
@@ -45,9 +45,9 @@
   }
 
   #tick (): void {
-    const ticked = this.#clock.bootNow()
-    const pause = ticked - this.#tickedAt
-    this.#tickedAt = ticked
+    const tickedAt = this.#clock.bootNow()
+    const pause = tickedAt - this.#tickedAt
+    this.#tickedAt = tickedAt
     if (pause <= pauseGap) return
     this.#resumedAt = this.#clock.now()
     if (this.#timer !== undefined) this.#paused(pause)
--- a/packages/detect/src/probes.ts
+++ b/packages/detect/src/probes.ts
@@ -1,29 +1,35 @@
-/** What a platform must offer to check one engine directly, and what an engine says of itself when it is asked. */
+/** The interface through which a platform checks a single engine directly, and the state that an engine reports. */
 import { type Upstream } from '@eiderwind/roster'
 
-/** A node of a replica, and where it answers. */
+/** The id of a node of a replica, and the address at which it answers. */
 export interface NodeAddress {
   readonly id: string
   readonly address: string
 }
 
-/** What an engine says of itself when it is asked, some hundred ms old. */
+/** State that an engine reports on request, some hundred ms old. */
 export interface EngineReport extends Pick<Upstream, 'loaded' | 'staged' | 'membership'> {
-  /** Whether its answer hints that it is about to stop; one that stays may give the same hint now and then. */
+  /**
+   * Whether the answer hints that the engine is about to stop. An engine that stays may give the same hint
+   * occasionally.
+   */
   readonly leaving: boolean
 }
 
 /**
- * How a platform lets one node be checked directly, beside the list that may lag by seconds. Implemented by the
- * platform's adapter; used by `Liveness` alone.
+ * Checks single nodes directly, since the platform's list may lag by seconds. Implemented by the platform's adapter;
+ * used by `Liveness` and `Unlisted`.
  */
 export abstract class Probes {
-  /** Whether the process at an address answers a call, whatever it says, within the adapter's time-out. */
+  /** Whether the process at an address answers a call within the adapter's time-out, whatever the answer is. */
   abstract isReachable (address: string): Promise<boolean>
 
-  /** What a node says of itself; undefined where it does not answer within the adapter's time-out, or another one does at its address. */
+  /**
+   * The state that a node reports. Undefined if the node does not answer within the adapter's time-out, or if another
+   * node answers at its address.
+   */
   abstract report (node: NodeAddress): Promise<EngineReport | undefined>
 
-  /** A node's heartbeat count at the platform; undefined where the platform has none or cannot be asked. */
+  /** A node's heartbeat count at the platform. Undefined if the platform has none or cannot be reached. */
   abstract heartbeatOf (node: string): Promise<number | undefined>
 }
--- a/packages/detect/src/recent.ts
+++ b/packages/detect/src/recent.ts
@@ -1,20 +1,20 @@
-/** What happened within the last second, by name. Owns the times of these events. */
+/** Counts events of the last second, by name. Owns the times of these events. */
 import { type Clock } from '@eiderwind/clock'
 
 /** Span over which events are counted, in ms. */
-const span = 1000
+const windowTime = 1000
 
 /** Counts events of the last second. */
 export class RecentEvents {
   readonly #clock: Clock
-  /** When they happened, on `Clock.now`, by name. */
+  /** Times of the events, on `Clock.now`, by name. */
   readonly #times = new Map<string, number[]>()
 
   constructor (clock: Clock) {
     this.#clock = clock
   }
 
-  /** Names of which events were counted; perhaps not within the last second. */
+  /** Names of all events that were ever counted, perhaps not within the last second. */
   get names (): Iterable<string> {
     return this.#times.keys()
   }
@@ -30,7 +30,7 @@
   }
 
   #recent (name: string): number[] {
-    const since = this.#clock.now() - span
+    const since = this.#clock.now() - windowTime
     return (this.#times.get(name) ?? []).filter(each => each > since)
   }
 }
--- a/packages/detect/src/rests.ts
+++ b/packages/detect/src/rests.ts
@@ -1,21 +1,25 @@
 /**
- * Upstreams to which this gateway sends nothing for a while: they turned a request away and asked for that, or it leaves them out by itself
- * (`backoff.ts`). Owns these rests, in memory only: another gateway is asked for itself. Relies on `Intake` to ask `has` before each send, and on identities that differ between two lives of an upstream, so that a rest ends with
- * the life that asked for it.
+ * Owns the rests of upstreams. A rest is a time in which this gateway sends an upstream no requests: either the
+ * upstream refused a request and asked for it, or the gateway decided it by itself (`backoff.ts`). Rests are stored in
+ * memory only, and each gateway has its own.
  *
- * An upstream that refuses at once always has the fewest requests in flight, so without this it is chosen before all others.
+ * Relies on `Intake` to check `has` before each send. Relies also on ids that differ between two incarnations of an
+ * upstream, so that a rest ends with the incarnation that asked for it.
+ *
+ * An upstream that refuses at once always has the fewest requests in flight. Without rests it would be chosen before
+ * all others.
  */
 import { type Clock } from '@eiderwind/clock'
 
 /**
- * Longest rest that is kept to, in ms. One that asks for more is asked again after this: a number without sense must not take an upstream out of use for
- * ever. Far above the seconds that an overload lasts.
+ * Longest rest, in ms. An upstream that asked for more is tried again after this time: an absurd value must not take it
+ * out of use for ever. Far above the seconds that an overload lasts.
  */
-const longestRest = 3_600_000
+const maxRest = 3_600_000
 
 /** A rest of one upstream. */
 export interface Rest {
-  /** On `Clock.now`, in ms. */
+  /** When it ends, on `Clock.now`. */
   readonly end: number
   /** Whether the upstream asked for it. */
   readonly asked: boolean
@@ -24,15 +28,16 @@
 /** Dependencies of `Rests`. */
 export interface RestsOptions {
   readonly clock: Clock
-  /** Called when a rest begins, not when one is made longer: what has not been sent yet must not be. */
+  /** Called when a rest begins, not when one is extended. Requests that have not been sent yet must not be sent. */
   readonly begun: (id: string) => void
-  /** Called when a rest has ended: the upstream takes requests again. */
+  /** Called when a rest has ended and the upstream takes requests again. */
   readonly ended: () => void
 }
 
 /**
- * The rests of upstreams, by their identity. They are timed by the steady clock: it stands still while the machine is suspended and no step of the time of
- * day moves it, so a rest can last longer here than was asked for, never shorter.
+ * The rests of upstreams, by upstream id. They are timed by the monotonic clock, which stands still while the machine
+ * is suspended and is unaffected by steps of the time of day. A rest can therefore last longer here than requested, but
+ * never shorter.
  */
 export class Rests {
   readonly #options: RestsOptions
@@ -43,8 +48,9 @@
   }
 
   /**
-   * Takes that an upstream asks for rest, for `time` ms from now. Of several askings the one that ends last holds, whatever order they come in. Returns whether it
-   * begins a rest that was asked for: further askings within one, as of requests that were on their way, say little new.
+   * Records that an upstream asks for a rest of `time` ms from now. Of several rests the one that ends last holds, in
+   * whatever order they arrive. Returns whether a requested rest begins: another request within a requested rest, as
+   * from requests that were on their way, gives little new information.
    */
   ask (id: string, time: number): boolean {
     const isNew = time > 0 && this.of(id)?.asked !== true
@@ -62,18 +68,18 @@
     return this.left(id) > 0
   }
 
-  /** Time until an upstream has rested, in ms; 0 where it does not rest. */
+  /** Remaining time of an upstream's rest, in ms; 0 if it does not rest. */
   left (id: string): number {
     const rest = this.of(id)
     return rest === undefined ? 0 : rest.end - this.#options.clock.now()
   }
 
-  /** How many upstreams rest. */
+  /** The number of upstreams that rest. */
   get count (): number {
     return this.#rests.size
   }
 
-  /** The rest of an upstream, unless it has ended and the timer has yet to say so. */
+  /** The rest of an upstream. Undefined if it has ended, also while its timer has not fired yet. */
   of (id: string): Rest | undefined {
     const rest = this.#rests.get(id)
     return rest !== undefined && rest.end > this.#options.clock.now() ? rest : undefined
@@ -84,14 +90,17 @@
     const { clock, begun } = this.#options
     const now = clock.now()
     const before = this.of(id)
-    const end = Math.max(before?.end ?? 0, now + Math.min(time, longestRest))
+    const end = Math.max(before?.end ?? 0, now + Math.min(time, maxRest))
     this.#rests.set(id, { end, asked: asked || before?.asked === true })
     if (before !== undefined) return
     clock.after(end - now, () => this.#expire(id))
     begun(id)
   }
 
-  /** Ends a rest that is over. One that was made longer meanwhile, or whose timer ran out a little early as those of Node.js do, has its timer set anew. */
+  /**
+   * Ends a rest that is over. Sets the timer again if the rest was extended meanwhile, or if the timer fired slightly
+   * early, as those of Node.js do.
+   */
   #expire (id: string): void {
     const left = this.left(id)
     if (left > 0) this.#options.clock.after(left, () => this.#expire(id))
--- a/packages/detect/src/stalls.ts
+++ b/packages/detect/src/stalls.ts
@@ -1,15 +1,17 @@
 /**
- * The stall detector: a replica that lost a member keeps its connections open and sends nothing. A head all of whose
- * streams are silent for `silence` ms is suspected, and other gateways hear of it at once; where most of those that have streams there
- * suspect it too, each request in flight there is given the chance to move. So is a single
- * stream that is silent for longer while its head serves others: its connection may have gone silent for good.
- * Owns only its timer. Relies on `InFlight` for silence, `Suspects` to remember, `Pauses` to distrust its own clock, and on the heartbeats
- * of other gateways for what they see (`agreement.ts`).
+ * Detects stalled replicas: a replica that lost a member keeps its connections open and sends nothing. A head whose
+ * streams have all been silent for `silence` ms is suspected, and other gateways are notified at once. If most gateways
+ * with streams there suspect it too, each request in flight there may move. A single stream that is silent for longer
+ * may also move while its head serves others, since its connection may have failed unnoticed.
+ *
+ * Owns only its timer. Relies on `InFlight` for silence, `Suspects` to store suspicions, `Pauses` to discard silence
+ * that was measured while this process was paused, and on the heartbeats of other gateways for their views
+ * (`agreement.ts`).
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type Log } from '@eiderwind/log'
 import { type Roster } from '@eiderwind/roster'
-import { isAgreed, type Witness } from './agreement.js'
+import { isMajoritySuspect, type GatewayView } from './agreement.js'
 import { type InFlight } from './inflight.js'
 import { type Pauses } from './pauses.js'
 import { type Suspects } from './suspects.js'
@@ -24,26 +26,28 @@
   readonly pauses: Pauses
   /** How long all streams of a head may be silent before it is suspected, in ms. */
   readonly silence: number
-  /** What the other gateways that are live see. */
-  readonly witnesses: () => readonly Witness[]
-  /** Called after a head that was trusted has become suspected. */
+  /** The views of the other gateways that are live. */
+  readonly witnesses: () => readonly GatewayView[]
+  /** Called after a head has become suspected. */
   readonly suspected: () => void
 }
 
-/** Time between two checks, in ms: an eighth of the silence that is looked for. */
+/** Time between two checks, in ms: an eighth of the silence that is detected. */
 const checkInterval = 50
 
 /**
- * How long a single stream may be silent before it may move, in ms: well above what a first event takes at a full replica, and early
- * enough that the stream goes on elsewhere before its caller leaves, after 2,000 ms or more.
+ * How long a single stream may be silent before it may move, in ms. This is well above the time of a first event at a
+ * full replica. It is early enough that the stream continues elsewhere before its caller leaves, after 2,000 ms or
+ * more.
  */
 const streamSilence = 1200
 
 /**
- * How long all streams of a head may be silent before that counts without the word of other gateways, in ms: a first event takes 0.1 s, and
- * 0.3 s where the head reads long prompts for others; at a full head it may take longer than `silence`.
+ * How long all streams of a head may be silent before that counts without confirmation by other gateways, in ms. A
+ * first event takes 0.1 s, and 0.3 s while the head reads long prompts of other requests. At a full head it may take
+ * longer than `silence`.
  */
-const loneSilence = 1000
+const unconfirmedSilence = 1000
 
 /** Suspects heads whose streams have all stalled, and lets those streams move. */
 export class Stalls {
@@ -64,25 +68,25 @@
 
   check (): void {
     const { clock, inFlight, silence, pauses, witnesses } = this.#options
-    // What arrived while this process was paused still waits unread in its own sockets.
+    // Data that arrived while this process was paused is still unread in its sockets.
     if (clock.now() - pauses.resumedAt < silence) return
-    const silent = inFlight.silent(upstream => this.#isHead(upstream) ? silence : Infinity)
-    if (silent.length > 0) this.#judge(silent, witnesses())
+    const silent = inFlight.silentUpstreams(upstream => this.#isHead(upstream) ? silence : Infinity)
+    if (silent.length > 0) this.#checkHeads(silent, witnesses())
     for (const { upstream, handlers } of inFlight.silentRequests(streamSilence)) if (this.#isHead(upstream)) handlers.stalled?.()
   }
 
-  /** Suspects silent heads, and has their streams move where that is no view of this gateway alone. */
-  #judge (silent: readonly string[], others: readonly Witness[]): void {
+  /** Suspects silent heads. Lets their streams move if other gateways or a longer silence confirm the suspicion. */
+  #checkHeads (silent: readonly string[], others: readonly GatewayView[]): void {
     const { inFlight } = this.#options
-    const long = new Set(inFlight.silent(() => loneSilence))
+    const longSilent = new Set(inFlight.silentUpstreams(() => unconfirmedSilence))
     for (const id of silent) {
-      const own = { inFlight: {}, suspects: [id] }
-      const agreed = long.has(id) || isAgreed(id, [own, ...others])
-      // A head that has sent this gateway nothing yet, and serves others, may only be slow to begin.
-      if (!agreed && !inFlight.hasBegun(id)) continue
+      const ownView = { inFlight: {}, suspects: [id] }
+      const isConfirmed = longSilent.has(id) || isMajoritySuspect(id, [ownView, ...others])
+      // A head that has sent this gateway nothing yet, but serves others, may only be slow to begin.
+      if (!isConfirmed && !inFlight.hasReceivedFrom(id)) continue
       this.#suspect(id)
-      if (!agreed) continue
-      // Also when it was suspected before: a stream that could not move then may find room now.
+      if (!isConfirmed) continue
+      // Also if it was suspected before: a stream that could not move then may find room now.
       for (const request of inFlight.at(id)) request.handlers.stalled?.()
     }
   }
@@ -94,7 +98,10 @@
     suspected()
   }
 
-  /** Only heads owe events at a steady pace. A head that has left the list is still one for its streams. */
+  /**
+   * Whether an upstream is a head: only heads send events at a steady pace. A head that has left the list still counts
+   * as one for its open streams.
+   */
   #isHead (id: string): boolean {
     const { roster } = this.#options
     return (roster.find(id) ?? roster.departure(id)?.upstream)?.membership !== undefined
--- a/packages/detect/src/strain.ts
+++ b/packages/detect/src/strain.ts
@@ -1,40 +1,47 @@
 /**
- * Whether a gateway that runs short of processor, memory or descriptors has new callers sent to others for a while. Pure: told the time and what is used. The load that it answers:
- * gateways of different sizes to which callers are sent by chance, one of which gets more than it can serve while others have room. It acts before events are passed on late.
+ * Decides whether a gateway that runs short of processor, memory or descriptors is "away": the balancer sends new
+ * callers to other gateways for a while. Pure; the caller passes the time and the usage.
+ *
+ * The load behind it: gateways of different sizes get callers at random, and one gets more than it can serve while
+ * others have room. The gateway acts before events are forwarded late.
  */
 
-/** What a gateway uses. */
+/** What a gateway uses of each resource. */
 export interface Usage {
-  /** How late the event loop was on average in the last second, in ms. */
+  /** Average delay of the event loop in the last second, in ms. */
   readonly processor: number
-  /** Part of the memory that the process may have. */
+  /** Share of the memory that the process may use. */
   readonly memory: number
-  /** Part of the descriptors that it may have. */
+  /** Share of the descriptors that the process may use. */
   readonly descriptors: number
 }
 
-/** What runs short. */
+/** A resource that can run short. */
 export type Scarce = keyof Usage
 
-/** Usage from which on something is short, and up to which there is enough again: far enough apart that callers who are sent elsewhere make the difference. */
+/**
+ * Usage from which on a resource is short, and up to which there is enough again. The bounds are so far apart that only
+ * fewer callers make the difference.
+ */
 export interface StrainBounds {
   readonly short: number
   readonly enough: number
 }
 
-/** Samples in a row that have to show a shortage: one burst is over before the balancer notices. */
-const samples = 3
+/** Consecutive samples that must show a shortage: a single burst is over before the balancer notices. */
+const shortSamplesNeeded = 3
 
-/** Longest time for which callers are sent to others, in ms: the balancer needs 2 s to notice. */
-const longestAway = 5000
+/** Longest time away, in ms. The balancer needs 2 s to notice. */
+const maxAway = 5000
 
 /**
- * Time after which that may be repeated, in multiples of the time away: gateways have to take callers for more than seven eighths of the time.
+ * Minimum time present after a time away, in multiples of the time away: a gateway has to take callers for more than
+ * seven eighths of the time.
  */
-const leastPresence = 9
+const minPresence = 9
 
-/** Part of all gateways that may be away at a time: the others have to bear their callers. */
-const mostAway = 1 / 3
+/** Largest share of all gateways that may be away at a time: the others have to serve their callers. */
+const maxAwayShare = 1 / 3
 
 /** Decides when a gateway sends new callers to others. */
 export class Strain {
@@ -47,26 +54,30 @@
     this.#bounds = bounds
   }
 
-  /** Why new callers are sent to others; undefined where they are not. */
+  /** The resource for which new callers are sent to others; undefined while the gateway takes callers. */
   get cause (): Scarce | undefined {
     return this.#away?.cause
   }
 
-  /** Takes a sample of each second. @param others of the other gateways: all that are live, and those that are away @param now in ms */
+  /**
+   * Takes a sample, one each second.
+   * @param others the other gateways: how many are live, and how many of them are away
+   * @param now in ms
+   */
   sample (usage: Usage, others: { readonly live: number, readonly away: number }, now: number): void {
-    for (const each of scarce) this.#shortSamples[each] = usage[each] >= this.#bounds[each].short ? this.#shortSamples[each] + 1 : 0
-    if (this.#away !== undefined) return this.#stayAway(this.#away, usage, now)
-    const cause = scarce.find(each => this.#shortSamples[each] >= samples)
-    const fits = others.away + 1 <= (others.live + 1) * mostAway
-    if (cause !== undefined && fits && now >= this.#presentUntil) this.#away = { cause, since: now }
+    for (const each of resources) this.#shortSamples[each] = usage[each] >= this.#bounds[each].short ? this.#shortSamples[each] + 1 : 0
+    if (this.#away !== undefined) return this.#checkReturn(this.#away, usage, now)
+    const cause = resources.find(each => this.#shortSamples[each] >= shortSamplesNeeded)
+    const mayBeAway = others.away + 1 <= (others.live + 1) * maxAwayShare
+    if (cause !== undefined && mayBeAway && now >= this.#presentUntil) this.#away = { cause, since: now }
   }
 
-  #stayAway ({ cause, since }: { readonly cause: Scarce, readonly since: number }, usage: Usage, now: number): void {
+  #checkReturn ({ cause, since }: { readonly cause: Scarce, readonly since: number }, usage: Usage, now: number): void {
     const time = now - since
-    if (time < longestAway && usage[cause] > this.#bounds[cause].enough) return
+    if (time < maxAway && usage[cause] > this.#bounds[cause].enough) return
     this.#away = undefined
-    this.#presentUntil = now + time * leastPresence
+    this.#presentUntil = now + time * minPresence
   }
 }
 
-const scarce: readonly Scarce[] = ['processor', 'memory', 'descriptors']
+const resources: readonly Scarce[] = ['processor', 'memory', 'descriptors']
--- a/packages/detect/src/unlisted.ts
+++ b/packages/detect/src/unlisted.ts
@@ -1,201 +1,212 @@
 /**
- * Engines that the list no longer names and that live all the same: their entries lapsed, since they could not write to the store, or went before
- * an end that they did not announce. Owns what such an engine last said of itself, and the rule how long it is kept. Relies on `Roster` for
- * departures, on `Probes` to ask the engines, and on the reconciler to call `check` at each look.
+ * Unlisted engines: engines that the list no longer names although they still run. Their entries lapsed because they
+ * could not write to the store, or were removed before an end that they did not announce. Owns the last report of each
+ * such engine and the rule for how long the engine is kept. Relies on `Roster` for departures, on `Probes` for reports,
+ * and on the reconciler to call `check` at each of its passes.
  *
- * Answers the load in which many engines lose the store at once and go on working: to dissolve their replicas would leave callers with a part of the room.
+ * The load behind it: many engines lose the store at once and continue to work. Dissolving their replicas would leave
+ * callers only part of the capacity.
  */
 import { isDeepStrictEqual } from 'node:util'
 import { type Clock } from '@eiderwind/clock'
 import { withWeightsInUse, type Departure, type Roster, type Upstream } from '@eiderwind/roster'
 import { type EngineReport, type Probes } from './probes.js'
 
-/** Dependencies of `Unlisted`. Spans are in ms. */
+/** Dependencies of `Unlisted`. Times are in ms. */
 export interface UnlistedOptions {
   readonly clock: Clock
   readonly roster: Roster
   readonly probes: Probes
-  /** How long an engine that answers is kept after its entry went; 0: not at all. */
+  /** How long an engine that answers is kept after its entry was removed. With 0 none is kept. */
   readonly keep: number
-  /** When this process last ran on after a pause of its own, on `Clock.now`. */
+  /** When this process last resumed after a pause of its own, on `Clock.now`. */
   readonly resumedAt: () => number
   /** Whether an engine was found unreachable. */
   readonly isUnreachable: (id: string) => boolean
-  /** Called with an engine that is no longer kept since it left its probes unanswered, so many in a row. */
+  /** Called with an engine that is no longer kept because it left `missed` consecutive probes unanswered. */
   readonly silent: (id: string, missed: number) => void
-  /** Called when an answer has come. */
+  /** Called after a report or a missed probe has changed what is known of an engine. */
   readonly changed: () => void
-  /** Called when an engine is kept from now on, and when it is no longer, with what ended that. */
+  /** Called when an engine begins to be kept, and when it is no longer kept, with the cause. */
   readonly kept: (upstream: Upstream) => void
   readonly ended: (upstream: Upstream, how: UnlistedEnd) => void
   /** Called with an error that nothing else handles. */
   readonly failed: (error: unknown) => void
 }
 
-/** What ends the time in which an engine is kept. */
+/** Why an engine is no longer kept. */
 export type UnlistedEnd = 'listed' | 'silent' | 'leaving' | 'expired'
 
-/** Time between two probes of one engine, in ms: the time-out of a probe (280 ms), rounded up. What the engine says moves the planner on. */
+/**
+ * Time between two probes of one engine, in ms: the time-out of a probe (280 ms), rounded up. The planner acts on the
+ * reports.
+ */
 const probeInterval = 300
 
 /**
- * Probes in a row after which an engine counts as silent: a single lost packet delays a new connection far beyond the time-out. One that has not
- * answered since its entry went has most likely died before, and its replica stands still.
+ * Consecutive missed probes after which an engine is silent. A single lost packet delays a new connection far beyond
+ * the time-out. For an engine that has not answered since its entry was removed, one missed probe is enough: most
+ * likely it has died before, and its replica does not serve.
  */
-const missedProbes = 2
-const missedUnheard = 1
+const missedProbesLimit = 2
+const missedFirstProbesLimit = 1
 
-/** Answers in a row that hint at an end after which an engine counts as leaving: single ones come from engines that stay. */
-const leavingHints = 2
+/**
+ * Consecutive answers that hint at an end after which an engine counts as leaving. Single hints also come from engines
+ * that stay.
+ */
+const leavingHintsLimit = 2
 
 /**
- * Age of what an engine says of itself at the most, in ms. Up to that time after it has left a replica it may still name that one; later it
- * has joined it again, by an order that came late.
+ * Maximum age of a report, in ms. For this long after an engine has left a replica, its report may still name that
+ * replica. A later report that names it means that the engine has joined again, by an order that arrived late.
  */
-const reportAge = 1000
+const maxReportAge = 1000
 
-/** An engine that is not listed. */
-interface Absentee {
-  /** Its last record, with what it said since. */
+/** An engine that is not listed, and is kept or expired. */
+interface UnlistedEngine {
+  /** Its last record, updated from its reports. */
   upstream: Upstream
-  /** When its entry went, on `Clock.now`. */
+  /** When its entry was removed, on `Clock.now`. */
   readonly at: number
   probedAt: number
-  expired: boolean
-  /** Whether it has answered since, and how many probes in a row it has not answered. */
-  heard: boolean
+  isExpired: boolean
+  /** Whether it has answered since then, and how many consecutive probes it has missed. */
+  hasAnswered: boolean
   missed: number
-  /** Answers in a row that hinted at its end. */
+  /** Consecutive answers that hinted at its end. */
   hints: number
-  /** The replica that it left last by an order, and when, on `Clock.now`. */
+  /** The replica that it last left by an order, and when, on `Clock.now`. */
   left: { readonly replica: string, readonly at: number } | undefined
 }
 
 /** The engines that are kept although they are not listed. */
 export class Unlisted {
   readonly #options: UnlistedOptions
-  readonly #absentees = new Map<string, Absentee>()
-  /** When the entries of engines went that are not kept any more, on `Clock.now`. */
-  readonly #over = new Map<string, number>()
+  readonly #engines = new Map<string, UnlistedEngine>()
+  /** When the entries of the engines that are no longer kept were removed, on `Clock.now`, by engine id. */
+  readonly #endedDepartures = new Map<string, number>()
 
   constructor (options: UnlistedOptions) {
     this.#options = options
   }
 
-  /** The engines that are kept or expired, as they last described themselves, in the order in which their entries went. */
+  /** The engines that are kept or expired, as last reported, in the order in which their entries were removed. */
   get engines (): Upstream[] {
-    return [...this.#absentees.values()].map(each => each.upstream)
+    return [...this.#engines.values()].map(each => each.upstream)
   }
 
   /** Ids of the engines that are kept or expired. */
   get ids (): ReadonlySet<string> {
-    return new Set(this.#absentees.keys())
+    return new Set(this.#engines.keys())
   }
 
   /**
-   * Ids of the engines that are no longer kept and still answer: they can't be counted on, but one that leads an open replica must be seen to, since its
-   * members are not free.
+   * Ids of the engines that are no longer kept and still answer. They do not count as capacity. One that leads an open
+   * replica must still be dealt with, since its members are not free.
    */
   get expired (): string[] {
-    return [...this.#absentees.values()].filter(each => each.expired).map(each => each.upstream.id)
+    return [...this.#engines.values()].filter(each => each.isExpired).map(each => each.upstream.id)
   }
 
-  /** Ids of the engines that are kept and have not answered since their entries went. */
+  /** Ids of the engines that are kept and have not answered since their entries were removed. */
   get unheard (): string[] {
-    return [...this.#absentees.values()].filter(each => !each.heard).map(each => each.upstream.id)
+    return [...this.#engines.values()].filter(each => !each.hasAnswered).map(each => each.upstream.id)
   }
 
   has (id: string): boolean {
-    return this.#absentees.has(id)
+    return this.#engines.has(id)
   }
 
-  /** Takes up engines whose entries went, asks those that are kept how they are, and drops those that are kept no longer. */
+  /**
+   * Adds engines whose entries were removed, probes the engines that are kept, and drops those that are no longer kept.
+   */
   check (): void {
     if (this.#options.keep === 0) return
     this.#drop()
-    for (const departure of this.#options.roster.gone) this.#take(departure)
-    for (const each of this.#absentees.values()) this.#probe(each)
+    for (const departure of this.#options.roster.gone) this.#retain(departure)
+    for (const each of this.#engines.values()) this.#probe(each)
   }
 
   /** Records that an engine has left a replica. */
   left (id: string, replica: string): void {
-    const absentee = this.#absentees.get(id)
-    if (absentee === undefined) return
-    absentee.left = { replica, at: this.#options.clock.now() }
-    absentee.upstream = this.#withoutLeft(absentee, absentee.upstream)
+    const engine = this.#engines.get(id)
+    if (engine === undefined) return
+    engine.left = { replica, at: this.#options.clock.now() }
+    engine.upstream = this.#withoutLeftReplica(engine, engine.upstream)
   }
 
-  #take ({ upstream, at }: Departure): void {
+  #retain ({ upstream, at }: Departure): void {
     const { clock, keep, roster, isUnreachable, kept } = this.#options
     const { id } = upstream
-    if (this.#absentees.has(id) || this.#over.get(id) === at) return
+    if (this.#engines.has(id) || this.#endedDepartures.get(id) === at) return
     if (upstream.domain === undefined || upstream.leaving || clock.now() - at >= keep || isUnreachable(id) || roster.hasEnded(id)) return
-    this.#absentees.set(id, { upstream, at, probedAt: -Infinity, expired: false, heard: false, missed: 0, hints: 0, left: undefined })
+    this.#engines.set(id, { upstream, at, probedAt: -Infinity, isExpired: false, hasAnswered: false, missed: 0, hints: 0, left: undefined })
     kept(upstream)
   }
 
   #drop (): void {
     const { clock, keep, roster, isUnreachable } = this.#options
-    const listed = this.#absentees.size === 0 ? new Set() : new Set(roster.upstreams.map(each => each.address))
-    for (const absentee of [...this.#absentees.values()]) {
-      const { id, address } = absentee.upstream
-      if (roster.find(id) !== undefined) this.#end(absentee, 'listed')
-      // Its address has been given to another one, whose answers would count for it.
-      else if (isUnreachable(id) || listed.has(address)) this.#end(absentee, 'silent')
-      else if (roster.hasEnded(id) || !roster.remembers(id)) this.#end(absentee, 'expired')
-      else if (!absentee.expired && clock.now() - absentee.at >= keep) this.#expire(absentee)
+    const listed = this.#engines.size === 0 ? new Set() : new Set(roster.upstreams.map(each => each.address))
+    for (const engine of [...this.#engines.values()]) {
+      const { id, address } = engine.upstream
+      if (roster.find(id) !== undefined) this.#end(engine, 'listed')
+      // Its address has been given to another upstream, whose answers would be taken for its own.
+      else if (isUnreachable(id) || listed.has(address)) this.#end(engine, 'silent')
+      else if (roster.hasEnded(id) || !roster.remembers(id)) this.#end(engine, 'expired')
+      else if (!engine.isExpired && clock.now() - engine.at >= keep) this.#expire(engine)
     }
-    for (const id of [...this.#over.keys()]) if (!roster.remembers(id)) this.#over.delete(id)
+    for (const id of [...this.#endedDepartures.keys()]) if (!roster.remembers(id)) this.#endedDepartures.delete(id)
   }
 
-  #expire (absentee: Absentee): void {
-    absentee.expired = true
-    this.#options.ended(absentee.upstream, 'expired')
+  #expire (engine: UnlistedEngine): void {
+    engine.isExpired = true
+    this.#options.ended(engine.upstream, 'expired')
   }
 
-  #end (absentee: Absentee, how: UnlistedEnd): void {
-    const { id } = absentee.upstream
-    this.#absentees.delete(id)
-    if (how !== 'listed') this.#over.set(id, absentee.at)
-    if (!absentee.expired) this.#options.ended(absentee.upstream, how)
-    if (how === 'silent') this.#options.silent(id, absentee.missed)
+  #end (engine: UnlistedEngine, how: UnlistedEnd): void {
+    const { id } = engine.upstream
+    this.#engines.delete(id)
+    if (how !== 'listed') this.#endedDepartures.set(id, engine.at)
+    if (!engine.isExpired) this.#options.ended(engine.upstream, how)
+    if (how === 'silent') this.#options.silent(id, engine.missed)
   }
 
-  #probe (absentee: Absentee): void {
+  #probe (engine: UnlistedEngine): void {
     const { clock, probes, resumedAt, changed, failed } = this.#options
     const probedAt = clock.now()
-    if (probedAt - absentee.probedAt < probeInterval) return
-    absentee.probedAt = probedAt
-    const { id, address } = absentee.upstream
+    if (probedAt - engine.probedAt < probeInterval) return
+    engine.probedAt = probedAt
+    const { id, address } = engine.upstream
     probes.report({ id, address }).then(report => {
-      if (this.#absentees.get(id) !== absentee) return
-      const { upstream, heard } = absentee
-      if (report !== undefined) this.#answered(absentee, report)
-      // A time-out that ran out during a pause of this process says nothing about the engine.
-      else if (resumedAt() < probedAt) this.#missed(absentee)
-      if (!heard || !this.#absentees.has(id) || !isDeepStrictEqual(upstream, absentee.upstream)) changed()
+      if (this.#engines.get(id) !== engine) return
+      const { upstream, hasAnswered } = engine
+      if (report !== undefined) this.#answered(engine, report)
+      // A time-out that elapsed during a pause of this process says nothing about the engine.
+      else if (resumedAt() < probedAt) this.#missed(engine)
+      if (!hasAnswered || !this.#engines.has(id) || !isDeepStrictEqual(upstream, engine.upstream)) changed()
     }).catch(failed)
   }
 
-  #answered (absentee: Absentee, { loaded, staged, membership, leaving }: EngineReport): void {
-    absentee.heard = true
-    absentee.missed = 0
-    absentee.upstream = this.#withoutLeft(absentee, { ...absentee.upstream, loaded, staged, membership })
-    absentee.hints = leaving ? absentee.hints + 1 : 0
-    if (absentee.hints >= leavingHints) this.#end(absentee, 'leaving')
+  #answered (engine: UnlistedEngine, { loaded, staged, membership, leaving }: EngineReport): void {
+    engine.hasAnswered = true
+    engine.missed = 0
+    engine.upstream = this.#withoutLeftReplica(engine, { ...engine.upstream, loaded, staged, membership })
+    engine.hints = leaving ? engine.hints + 1 : 0
+    if (engine.hints >= leavingHintsLimit) this.#end(engine, 'leaving')
   }
 
-  #withoutLeft ({ left, upstream: before }: Absentee, upstream: Upstream): Upstream {
+  #withoutLeftReplica ({ left, upstream: before }: UnlistedEngine, upstream: Upstream): Upstream {
     if (left === undefined) return upstream
     if (upstream.membership === undefined) return withWeightsInUse(upstream, before)
-    if (left.replica !== upstream.membership?.replica || this.#options.clock.now() - left.at >= reportAge) return upstream
+    if (left.replica !== upstream.membership?.replica || this.#options.clock.now() - left.at >= maxReportAge) return upstream
     return { ...upstream, membership: undefined }
   }
 
-  #missed (absentee: Absentee): void {
-    absentee.missed++
-    if (absentee.missed >= (absentee.heard ? missedProbes : missedUnheard)) this.#end(absentee, 'silent')
-    // It is asked again at the next check.
-    else absentee.probedAt = -Infinity
+  #missed (engine: UnlistedEngine): void {
+    engine.missed++
+    if (engine.missed >= (engine.hasAnswered ? missedProbesLimit : missedFirstProbesLimit)) this.#end(engine, 'silent')
+    // The next check probes it again.
+    else engine.probedAt = -Infinity
   }
 }
--- a/packages/detect/test/backoff.test.ts
+++ b/packages/detect/test/backoff.test.ts
@@ -1,8 +1,8 @@
-/** For how long an upstream that refuses is left out, refusal by refusal. */
+/** How long an upstream that refuses requests is left out, refusal by refusal. */
 import test from 'ava'
 import { Backoff } from '../src/index.js'
 
-test('a second refusal in a row has an upstream left out, and the pause doubles with each further one, up to 0.8 s', t => {
+test('the second consecutive refusal starts a pause, which doubles with each further refusal up to 0.8 s', t => {
   const backoff = new Backoff()
   const pauses: number[] = []
   for (let now = 0; pauses.length < 8; now += 2 + (pauses.at(-1) ?? 0)) pauses.push(backoff.refused('a', now, now + 1))
@@ -10,7 +10,7 @@
   t.is(backoff.refused('b', 0, 1), 0)
 })
 
-test('an answer that is no refusal begins anew', t => {
+test('an accepted request resets the count of refusals', t => {
   const backoff = new Backoff()
   t.is(backoff.refused('a', 0, 1), 0)
   t.is(backoff.refused('a', 2, 3), 100)
@@ -28,7 +28,7 @@
   t.is(backoff.refused('a', 201, 202), 200)
 })
 
-test('a refusal long after the last one is a first one', t => {
+test('a refusal long after the last one counts as a first one', t => {
   const backoff = new Backoff()
   t.is(backoff.refused('a', 0, 1), 0)
   t.is(backoff.refused('a', 200, 201), 100)
--- a/packages/detect/test/detect.test.ts
+++ b/packages/detect/test/detect.test.ts
@@ -5,25 +5,25 @@
 import { Roster, type Upstream } from '@eiderwind/roster'
 import { InFlight, Pauses, Stalls, Suspects } from '../src/index.js'
 
-test('an upstream is quiet when nothing came from it since its oldest request was sent', t => {
+test('the silence of an upstream counts from its last byte or, if later, from its oldest request in flight', t => {
   const clock = new ManualClock()
   const flights = new InFlight(clock, () => {})
   const flight = flights.begin('a', 'm')
   clock.advance(300)
-  t.deepEqual(flights.silent(() => 400), [])
+  t.deepEqual(flights.silentUpstreams(() => 400), [])
   flights.received(flight)
   clock.advance(390)
-  t.deepEqual(flights.silent(() => 400), [])
+  t.deepEqual(flights.silentUpstreams(() => 400), [])
   clock.advance(20)
-  t.deepEqual(flights.silent(() => 400), ['a'])
+  t.deepEqual(flights.silentUpstreams(() => 400), ['a'])
   flights.end(flight)
-  t.deepEqual(flights.silent(() => 400), [])
+  t.deepEqual(flights.silentUpstreams(() => 400), [])
   clock.advance(5000)
   flights.begin('a', 'm')
-  t.deepEqual(flights.silent(() => 400), [])
+  t.deepEqual(flights.silentUpstreams(() => 400), [])
 })
 
-test('a suspected head is tried with one request now and then, and trusted again once it is heard or forms another replica', t => {
+test('a suspected head may be tried with one request per interval, and is trusted again once it sends anything or forms another replica', t => {
   const clock = new ManualClock()
   const roster = new Roster(clock)
   const head = (replica: string): Upstream => ({
@@ -45,7 +45,7 @@
   t.false(suspects.has('a'))
 })
 
-test('a process that stood still itself suspects nobody until it has read what came meanwhile', t => {
+test('after a pause of this process no head is suspected until data that arrived meanwhile has been read', t => {
   const clock = new ManualClock()
   const roster = new Roster(clock)
   roster.replace([{
@@ -104,7 +104,7 @@
   stalls.stop()
 })
 
-test('a stream that is not read, since its caller does not read, says nothing of its head, and its silence counts from when it is read again', t => {
+test('a stream that is not read because its caller does not read raises no suspicion, and its silence counts from when it is read again', t => {
   const { clock, suspects, flights, stalls } = watchedHead()
   let stalled = 0
   const slow = flights.begin('a', 'm', { stalled: () => { stalled++ } })
@@ -122,14 +122,14 @@
   stalls.stop()
 })
 
-test('a head is suspected by its other streams while one of them is not read', t => {
+test('while one stream is not read, the silence of its upstream counts from the other streams', t => {
   const clock = new ManualClock()
   const flights = new InFlight(clock, () => {})
   flights.pause(flights.begin('a', 'm'))
   clock.advance(1000)
   flights.begin('a', 'm')
   clock.advance(400)
-  t.deepEqual(flights.silent(() => 500), [])
+  t.deepEqual(flights.silentUpstreams(() => 500), [])
   clock.advance(200)
-  t.deepEqual(flights.silent(() => 500), ['a'])
+  t.deepEqual(flights.silentUpstreams(() => 500), ['a'])
 })
--- a/packages/detect/test/rests.test.ts
+++ b/packages/detect/test/rests.test.ts
@@ -4,16 +4,16 @@
 import { ManualClock, type Subscription, type Task } from '@eiderwind/clock'
 import { Rests } from '../src/index.js'
 
-/** Rests that note what they tell. */
-function noted (clock: ManualClock): { rests: Rests, told: string[] } {
-  const told: string[] = []
-  const rests = new Rests({ clock, begun: id => told.push(`${id} begun`), ended: () => told.push(`ended at ${clock.now()}`) })
-  return { rests, told }
+/** Rests that record their callbacks as events. */
+function recordedRests (clock: ManualClock): { rests: Rests, events: string[] } {
+  const events: string[] = []
+  const rests = new Rests({ clock, begun: id => events.push(`${id} begun`), ended: () => events.push(`ended at ${clock.now()}`) })
+  return { rests, events }
 }
 
-test('an upstream rests for as long as it asked, and its end is told once', t => {
+test('an upstream rests for as long as it asked, and the end is reported once', t => {
   const clock = new ManualClock()
-  const { rests, told } = noted(clock)
+  const { rests, events } = recordedRests(clock)
   rests.ask('a', 3000)
   t.true(rests.has('a'))
   t.false(rests.has('b'))
@@ -22,31 +22,31 @@
   clock.advance(1)
   t.false(rests.has('a'))
   t.is(rests.count, 0)
-  t.deepEqual(told, ['a begun', 'ended at 3000'])
+  t.deepEqual(events, ['a begun', 'ended at 3000'])
 })
 
-/** A clock whose timers drop fractions of a ms, as those of Node.js do, and so run out before their time. */
-class HastyClock extends ManualClock {
+/** A clock whose timers drop fractions of a ms, as those of Node.js do, and so fire early. */
+class EarlyClock extends ManualClock {
   override after (delay: number, task: Task): Subscription {
     return super.after(Math.max(1, Math.trunc(delay)), task)
   }
 }
 
-test('a rest whose timer runs out a little early ends when it is over, and that is told', t => {
-  const clock = new HastyClock()
-  const { rests, told } = noted(clock)
+test('a rest whose timer fires slightly early ends when it is over, and the end is reported', t => {
+  const clock = new EarlyClock()
+  const { rests, events } = recordedRests(clock)
   rests.ask('a', 1000.7)
   clock.advance(1000)
   t.true(rests.has('a'))
   clock.advance(1)
   t.false(rests.has('a'))
   t.is(rests.count, 0)
-  t.deepEqual(told, ['a begun', 'ended at 1001'])
+  t.deepEqual(events, ['a begun', 'ended at 1001'])
 })
 
-test('of several askings the one that ends last holds, in any order', t => {
+test('of several requested rests the one that ends last holds, in any order', t => {
   const clock = new ManualClock()
-  const { rests, told } = noted(clock)
+  const { rests, events } = recordedRests(clock)
   rests.ask('a', 2000)
   rests.ask('a', 500)
   clock.advance(1000)
@@ -55,12 +55,12 @@
   t.is(rests.left('a'), 1000)
   clock.advance(1000)
   t.false(rests.has('a'))
-  t.deepEqual(told, ['a begun', 'ended at 3000'])
+  t.deepEqual(events, ['a begun', 'ended at 3000'])
 })
 
-test('an asking within a rest that was asked for is not a new one, and one within a pause is', t => {
+test('a request for rest within a requested rest begins no new rest, and one within a pause does', t => {
   const clock = new ManualClock()
-  const { rests, told } = noted(clock)
+  const { rests, events } = recordedRests(clock)
   t.true(rests.ask('a', 1000))
   t.false(rests.ask('a', 1001))
   rests.pause('a', 5000)
@@ -76,23 +76,23 @@
   t.true(rests.ask('d', 100))
   t.false(rests.ask('d', 100))
   t.is(rests.left('d'), 500)
-  t.deepEqual(told, ['a begun', 'ended at 5000', 'a begun', 'b begun', 'd begun'])
+  t.deepEqual(events, ['a begun', 'ended at 5000', 'a begun', 'b begun', 'd begun'])
 })
 
-test('no rest is none, and one without sense ends after an hour', t => {
+test('a rest of 0 ms is ignored, and a rest of absurd length ends after an hour', t => {
   const clock = new ManualClock()
-  const { rests, told } = noted(clock)
+  const { rests, events } = recordedRests(clock)
   rests.ask('a', 0)
-  t.deepEqual(told, [])
+  t.deepEqual(events, [])
   rests.ask('a', Infinity)
   t.is(rests.left('a'), 3_600_000)
   rests.ask('b', 10 ** 15)
   t.is(rests.left('b'), 3_600_000)
 })
 
-test('time in which the machine is suspended, or the time of day steps, ends no rest early', t => {
+test('neither a suspension of the machine nor a step of the time of day ends a rest early', t => {
   const clock = new ManualClock()
-  const { rests } = noted(clock)
+  const { rests } = recordedRests(clock)
   rests.ask('a', 3000)
   clock.suspend(2000)
   clock.skew(5000)
@@ -101,11 +101,11 @@
   t.is(rests.left('a'), 2000)
 })
 
-test('in any series of askings an upstream rests until the last of their ends, and each end is told', t => {
+test('in any series of requested rests an upstream rests until the latest end, and each end is reported', t => {
   const steps = fc.array(fc.record({ id: fc.constantFrom('a', 'b'), rest: fc.integer({ min: -10, max: 5000 }), pause: fc.integer({ min: 0, max: 3000 }) }), { maxLength: 40 })
   fc.assert(fc.property(steps, series => {
     const clock = new ManualClock()
-    const { rests, told } = noted(clock)
+    const { rests, events } = recordedRests(clock)
     const ends = new Map<string, number>()
     for (const { id, rest, pause } of series) {
       rests.ask(id, rest)
@@ -114,7 +114,7 @@
       for (const [each, end] of ends) if (rests.has(each) !== (end > clock.now())) return false
     }
     clock.advance(10_000)
-    return rests.count === 0 && (told.length === 0 || told.at(-1)?.startsWith('ended') === true)
+    return rests.count === 0 && (events.length === 0 || events.at(-1)?.startsWith('ended') === true)
   }), { seed: 7, numRuns: 500 })
   t.pass()
 })
--- a/packages/detect/test/strain.test.ts
+++ b/packages/detect/test/strain.test.ts
@@ -1,4 +1,4 @@
-/** When a gateway that runs short has new callers sent to others: series of samples, one a second. */
+/** When a gateway that runs short of a resource sends new callers to others: series of samples, one each second. */
 import test from 'ava'
 import { Strain, type Usage } from '../src/index.js'
 
@@ -6,11 +6,11 @@
 const idle: Usage = { processor: 1, memory: 0.3, descriptors: 0.1 }
 const others = { live: 12, away: 0 }
 
-/** What is short after each second of a series. */
-function causes (series: readonly Usage[], around = others): Array<string | undefined> {
+/** The resource that is short after each second of a series. */
+function causes (series: readonly Usage[], otherGateways = others): Array<string | undefined> {
   const strain = new Strain(bounds)
   return series.map((usage, second) => {
-    strain.sample(usage, around, second * 1000)
+    strain.sample(usage, otherGateways, second * 1000)
     return strain.cause
   })
 }
@@ -25,23 +25,23 @@
   })
 }
 
-test('a burst of two seconds changes nothing', t => {
+test('a burst of two seconds sends no callers away', t => {
   const busy = { ...idle, processor: 400 }
   t.deepEqual(causes([busy, busy, idle, busy, busy, idle]), repeat(6, undefined))
 })
 
-test('between the two bounds it stays as it is', t => {
+test('usage between the two bounds changes nothing', t => {
   const between = { ...idle, processor: 20 }
   t.deepEqual(causes(repeat(20, between)), repeat(20, undefined))
   t.deepEqual(causes([...repeat(3, { ...idle, processor: 50 }), between, between]).slice(2), repeat(3, 'processor'))
 })
 
-test('however short it is, it takes callers for more than seven eighths of any long time', t => {
+test('under a lasting shortage a gateway still takes callers for more than seven eighths of the time', t => {
   const away = causes(repeat(1000, { processor: 500, memory: 1, descriptors: 1 })).filter(each => each !== undefined).length
   t.true(away > 0 && away < 1000 / 8, `${away} of 1,000 s away`)
 })
 
-test('a third of all gateways at most are away at a time, and one that is alone never is', t => {
+test('at most a third of all gateways are away at a time, and a single gateway never is', t => {
   const busy = repeat(5, { ...idle, processor: 50 })
   t.is(causes(busy, { live: 5, away: 1 })[4], 'processor')
   t.is(causes(busy, { live: 5, away: 2 })[4], undefined)
@@ -49,7 +49,7 @@
   t.is(causes(busy, { live: 0, away: 0 })[4], undefined)
 })
 
-test('one that came back because there was enough may go again only after nine times as long', t => {
+test('a gateway that returned because there was enough may go away again only after nine times as long', t => {
   const busy = { ...idle, processor: 50 }
   const series = causes([...repeat(5, busy), idle, ...repeat(30, busy)])
   t.deepEqual(series.slice(0, 6), [undefined, undefined, 'processor', 'processor', 'processor', undefined])
--- a/packages/detect/test/unlisted.test.ts
+++ b/packages/detect/test/unlisted.test.ts
@@ -1,4 +1,7 @@
-/** How long engines are kept whose entries went: what they answer, what they do not, and what they say of their end. */
+/**
+ * How long engines are kept after their entries were removed, depending on their answers, missed probes and hints at an
+ * end.
+ */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Roster, type Upstream } from '@eiderwind/roster'
@@ -9,17 +12,17 @@
 }
 const plain: Upstream = { id: 'p', service: 's', address: 'p:1', dataCentre: 'dc', leaving: false, loaded: [], staged: [] }
 
-class Answers extends Probes {
-  asked = 0
-  said: EngineReport | undefined = { loaded: ['m'], staged: ['m'], membership: engine.membership, leaving: false }
+class StubProbes extends Probes {
+  requestCount = 0
+  response: EngineReport | undefined = { loaded: ['m'], staged: ['m'], membership: engine.membership, leaving: false }
 
   async isReachable (): Promise<boolean> {
-    return this.said !== undefined
+    return this.response !== undefined
   }
 
   async report (): Promise<EngineReport | undefined> {
-    this.asked++
-    return this.said
+    this.requestCount++
+    return this.response
   }
 
   async heartbeatOf (): Promise<undefined> {
@@ -27,10 +30,10 @@
   }
 }
 
-class Case {
+class Fixture {
   readonly clock = new ManualClock()
   readonly roster = new Roster(this.clock)
-  readonly probes = new Answers()
+  readonly probes = new StubProbes()
   readonly ends: UnlistedEnd[] = []
   readonly silent: string[] = []
   readonly unreachable = new Set<string>()
@@ -55,7 +58,7 @@
     roster.replace([engine, plain])
   }
 
-  /** Lets time pass with a look at every 100 ms. */
+  /** Lets time pass with a check every 100 ms. */
   async pass (time: number): Promise<void> {
     for (let gone = 0; gone < time; gone += 100) {
       this.unlisted.check()
@@ -69,134 +72,134 @@
   }
 }
 
-test('an engine whose entry went is asked at once and kept as it describes itself; one that is no engine is not', async t => {
-  const made = new Case()
-  made.lapse()
-  made.unlisted.check()
-  t.is(made.probes.asked, 1)
-  t.deepEqual(made.unlisted.unheard, ['a'])
-  made.probes.said = { loaded: [], staged: ['n'], membership: undefined, leaving: false }
-  await made.pass(700)
-  t.deepEqual(made.unlisted.engines, [{ ...engine, loaded: [], staged: ['n'], membership: undefined }])
-  t.deepEqual(made.unlisted.unheard, [])
+test('an engine whose entry was removed is probed at once and kept as it reports itself; a plain upstream is not', async t => {
+  const fixture = new Fixture()
+  fixture.lapse()
+  fixture.unlisted.check()
+  t.is(fixture.probes.requestCount, 1)
+  t.deepEqual(fixture.unlisted.unheard, ['a'])
+  fixture.probes.response = { loaded: [], staged: ['n'], membership: undefined, leaving: false }
+  await fixture.pass(700)
+  t.deepEqual(fixture.unlisted.engines, [{ ...engine, loaded: [], staged: ['n'], membership: undefined }])
+  t.deepEqual(fixture.unlisted.unheard, [])
 })
 
-test('without time to keep them none is kept', async t => {
-  const made = new Case(0)
-  made.lapse()
-  await made.pass(1000)
-  t.is(made.probes.asked, 0)
-  t.deepEqual(made.unlisted.engines, [])
+test('with a keep time of 0 no engine is probed or kept', async t => {
+  const fixture = new Fixture(0)
+  fixture.lapse()
+  await fixture.pass(1000)
+  t.is(fixture.probes.requestCount, 0)
+  t.deepEqual(fixture.unlisted.engines, [])
 })
 
-test('one that leaves two probes unanswered is silent, and not kept again before it is listed', async t => {
-  const made = new Case()
-  made.lapse()
-  await made.pass(100)
-  made.probes.said = undefined
-  await made.pass(500)
-  t.is(made.probes.asked, 3)
-  t.deepEqual([made.ends, made.silent], [['silent'], ['a 2']])
-  made.probes.said = { loaded: [], staged: [], membership: undefined, leaving: false }
-  await made.pass(2000)
-  t.deepEqual(made.unlisted.engines, [])
-  made.roster.apply([{ upstream: engine }])
-  await made.pass(100)
-  made.lapse()
-  await made.pass(100)
-  t.true(made.unlisted.has('a'))
+test('an engine that leaves two probes unanswered is silent, and is not kept again before it is listed', async t => {
+  const fixture = new Fixture()
+  fixture.lapse()
+  await fixture.pass(100)
+  fixture.probes.response = undefined
+  await fixture.pass(500)
+  t.is(fixture.probes.requestCount, 3)
+  t.deepEqual([fixture.ends, fixture.silent], [['silent'], ['a 2']])
+  fixture.probes.response = { loaded: [], staged: [], membership: undefined, leaving: false }
+  await fixture.pass(2000)
+  t.deepEqual(fixture.unlisted.engines, [])
+  fixture.roster.apply([{ upstream: engine }])
+  await fixture.pass(100)
+  fixture.lapse()
+  await fixture.pass(100)
+  t.true(fixture.unlisted.has('a'))
 })
 
-test('one that leaves the first probe unanswered is silent at once', async t => {
-  const made = new Case()
-  made.probes.said = undefined
-  made.lapse()
-  await made.pass(100)
-  t.deepEqual([made.probes.asked, made.ends, made.silent], [1, ['silent'], ['a 1']])
+test('an engine that leaves the first probe unanswered is silent at once', async t => {
+  const fixture = new Fixture()
+  fixture.probes.response = undefined
+  fixture.lapse()
+  await fixture.pass(100)
+  t.deepEqual([fixture.probes.requestCount, fixture.ends, fixture.silent], [1, ['silent'], ['a 1']])
 })
 
-test('a probe that ran while this process stood still says nothing', async t => {
-  const made = new Case()
-  made.lapse()
-  made.probes.said = undefined
-  made.resumedAt = Infinity
-  await made.pass(2000)
-  t.true(made.unlisted.has('a'))
+test('a probe that is unanswered during a pause of this process does not count as missed', async t => {
+  const fixture = new Fixture()
+  fixture.lapse()
+  fixture.probes.response = undefined
+  fixture.resumedAt = Infinity
+  await fixture.pass(2000)
+  t.true(fixture.unlisted.has('a'))
 })
 
-test('one that is found unreachable, was leaving or began a later life is not kept', async t => {
-  const unreachable = new Case()
+test('an engine that is unreachable, was leaving or has begun a later incarnation is not kept', async t => {
+  const unreachable = new Fixture()
   unreachable.unreachable.add('a')
   unreachable.lapse()
   await unreachable.pass(100)
   t.false(unreachable.unlisted.has('a'))
-  const leaving = new Case()
+  const leaving = new Fixture()
   leaving.roster.apply([{ upstream: { ...engine, leaving: true } }])
   leaving.lapse()
   await leaving.pass(100)
   t.false(leaving.unlisted.has('a'))
-  const later = new Case()
+  const later = new Fixture()
   later.roster.apply([{ upstream: { ...engine, id: 'a@2', name: 'a', born: 2 } }])
   await later.pass(100)
   t.deepEqual(later.unlisted.engines, [])
 })
 
-test('one that hints twice in a row at its end counts as leaving; a single hint does not', async t => {
-  const made = new Case()
-  const stays = made.probes.said as EngineReport
-  made.lapse()
+test('an engine that hints twice in a row at its end counts as leaving; a single hint does not count', async t => {
+  const fixture = new Fixture()
+  const stays = fixture.probes.response as EngineReport
+  fixture.lapse()
   for (let times = 0; times < 3; times++) {
-    made.probes.said = { ...stays, leaving: true }
-    await made.pass(300)
-    made.probes.said = stays
-    await made.pass(300)
+    fixture.probes.response = { ...stays, leaving: true }
+    await fixture.pass(300)
+    fixture.probes.response = stays
+    await fixture.pass(300)
   }
-  t.deepEqual(made.ends, [])
-  made.probes.said = { ...stays, leaving: true }
-  await made.pass(600)
-  t.deepEqual(made.ends, ['leaving'])
+  t.deepEqual(fixture.ends, [])
+  fixture.probes.response = { ...stays, leaving: true }
+  await fixture.pass(600)
+  t.deepEqual(fixture.ends, ['leaving'])
 })
 
-test('one that answers for longer than it is kept stays in view and cannot be counted on, until it is listed again', async t => {
-  const made = new Case()
-  made.lapse()
-  await made.pass(8100)
-  t.deepEqual([made.ends, made.unlisted.expired], [['expired'], ['a']])
-  t.is(made.unlisted.engines.length, 1)
-  made.roster.apply([{ upstream: engine }])
-  await made.pass(100)
-  t.deepEqual([made.ends, made.unlisted.engines], [['expired'], []])
+test('an engine that answers for longer than it is kept is reported as expired until it is listed again', async t => {
+  const fixture = new Fixture()
+  fixture.lapse()
+  await fixture.pass(8100)
+  t.deepEqual([fixture.ends, fixture.unlisted.expired], [['expired'], ['a']])
+  t.is(fixture.unlisted.engines.length, 1)
+  fixture.roster.apply([{ upstream: engine }])
+  await fixture.pass(100)
+  t.deepEqual([fixture.ends, fixture.unlisted.engines], [['expired'], []])
 })
 
-test('one that has left its replica by an order and names no weights keeps those that it had in use', async t => {
-  const made = new Case()
-  made.lapse()
-  await made.pass(100)
-  made.unlisted.left('a', 's.d.1')
-  made.probes.said = { loaded: [], staged: ['n'], membership: undefined, leaving: false }
-  await made.pass(1000)
-  t.deepEqual(made.unlisted.engines.map(({ loaded, staged, membership }) => ({ loaded, staged, membership })), [{ loaded: ['m'], staged: ['n'], membership: undefined }])
+test('an engine that left its replica by an order and reports no weights keeps those that it had in use', async t => {
+  const fixture = new Fixture()
+  fixture.lapse()
+  await fixture.pass(100)
+  fixture.unlisted.left('a', 's.d.1')
+  fixture.probes.response = { loaded: [], staged: ['n'], membership: undefined, leaving: false }
+  await fixture.pass(1000)
+  t.deepEqual(fixture.unlisted.engines.map(({ loaded, staged, membership }) => ({ loaded, staged, membership })), [{ loaded: ['m'], staged: ['n'], membership: undefined }])
 })
 
-test('what names a replica that an engine has just left is older; a second later it has joined that one again', async t => {
-  const made = new Case()
-  made.lapse()
-  await made.pass(100)
-  made.unlisted.left('a', 's.d.1')
-  t.is(made.unlisted.engines[0].membership, undefined)
-  await made.pass(700)
-  t.is(made.unlisted.engines[0].membership, undefined)
-  await made.pass(900)
-  t.is(made.unlisted.engines[0].membership?.replica, 's.d.1')
+test('a report that names a replica which the engine has just left is outdated; a second later it means that the engine has joined again', async t => {
+  const fixture = new Fixture()
+  fixture.lapse()
+  await fixture.pass(100)
+  fixture.unlisted.left('a', 's.d.1')
+  t.is(fixture.unlisted.engines[0].membership, undefined)
+  await fixture.pass(700)
+  t.is(fixture.unlisted.engines[0].membership, undefined)
+  await fixture.pass(900)
+  t.is(fixture.unlisted.engines[0].membership?.replica, 's.d.1')
 })
 
-test('an engine whose address is listed for another one is kept no longer, whatever answers there', async t => {
-  const made = new Case()
-  made.lapse()
-  await made.pass(500)
-  t.deepEqual([...made.unlisted.ids], ['a'])
-  made.roster.apply([{ upstream: { ...engine, id: 'b' } }])
-  await made.pass(200)
-  t.deepEqual([...made.unlisted.ids], [])
-  t.deepEqual(made.ends, ['silent'])
+test('an engine whose address is listed for another one is no longer kept, whatever answers there', async t => {
+  const fixture = new Fixture()
+  fixture.lapse()
+  await fixture.pass(500)
+  t.deepEqual([...fixture.unlisted.ids], ['a'])
+  fixture.roster.apply([{ upstream: { ...engine, id: 'b' } }])
+  await fixture.pass(200)
+  t.deepEqual([...fixture.unlisted.ids], [])
+  t.deepEqual(fixture.ends, ['silent'])
 })
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -750,7 +750,7 @@
     point: 3,
     rule: 'requests that wait together are not all sent to the place that one of them has taken',
     file: 'packages/detect/dist/src/inflight.js',
-    find: 'requests.size ?? 0) + (this.#kept.get(upstream) ?? 0)',
+    find: 'requests.size ?? 0) + (this.#reserved.get(upstream) ?? 0)',
     replace: 'requests.size ?? 0)',
     test: 'packages/gateway/dist/test/overload.test.js',
     title: 'of 1 gateways none sends*'
