--- a/packages/peers/src/datagrams.ts
+++ b/packages/peers/src/datagrams.ts
@@ -1,11 +1,11 @@
 /**
- * How datagrams reach other gateways, so that membership can be tested without a network: the abstract class, and UDP. Owns the socket.
- * Nothing is repeated: a lost datagram is followed by the next one.
+ * Transport of datagrams between gateways: an abstract class, so that membership can be tested without a network, and
+ * its implementation over UDP. Owns the socket. Nothing is sent again: a lost datagram is followed by the next one.
  */
 import { createSocket, type Socket } from 'node:dgram'
 import { splitAddress } from '@eiderwind/wire'
 
-/** Called with each datagram and the `host:port` that it came from. */
+/** Called with each datagram and the `host:port` of its sender. */
 export type Receiver = (message: Buffer, from: string) => void
 
 /** Sends and receives datagrams at one address. */
@@ -35,7 +35,7 @@
       socket.once('error', reject)
       socket.bind(port, host, resolve)
     })
-    // A lost datagram needs no handling: the next one follows soon, and silence decides who is alive.
+    // A lost datagram needs no handling: the next one follows soon, and liveness is decided by silence.
     socket.on('error', () => {})
     socket.on('message', (message, { address, port }) => receive(message, `${address}:${port}`))
     this.#socket = socket
@@ -43,7 +43,7 @@
 
   send (message: string, address: string): void {
     const { host, port } = splitAddress(address)
-    // Failures are ignored for the same reason as the socket's errors in `start`.
+    // Failures are ignored for the same reason as errors of the socket in `start`.
     this.#socket?.send(message, port, host, () => {})
   }
 
--- a/packages/peers/src/peers.ts
+++ b/packages/peers/src/peers.ts
@@ -1,70 +1,79 @@
 /**
- * Membership of the gateways by heartbeats over UDP, without a reply or a retry. `Peers` owns the newest
- * heartbeat of each peer and the list of addresses; it relies on the caller for that list (the store's) and for what
- * to say. What peers say only steers choices: no decision that must be safe depends on it.
- * Each sends to all others, so that all have the same view but for a moment: who watches the store is ranked over it. In large fleets each
- * sends less often, so that what one sends and receives in a second stays bounded, and says how often: the silence after which it counts
- * as gone grows alike. The few whose loss has to be known soon send at the full rate in fleets of any size.
- * Nobody waits for regular heartbeats to learn who is there: one that finds others in the list asks them, and they answer at once.
- * A gateway that restarts while the store is away has no list, but hears its peers within one interval, since they go on
- * sending to its address; it answers those that it hears. So one that joins needs to read the list only once.
+ * Membership of the gateways by heartbeats over UDP, without acknowledgements or retries. `Peers` owns the newest
+ * heartbeat of each peer and the list of addresses. It relies on the caller for that list, which comes from the store,
+ * and for the fields of the heartbeat. Heartbeats only steer choices: no decision that must be safe depends on them.
+ *
+ * Each gateway sends to all others, so that all have the same view except for short differences. The gateway that
+ * watches the store is ranked over this view. In large fleets each gateway sends less often, so that the number of
+ * heartbeats sent and received per second stays bounded. It also sends its interval, and the silence after which it
+ * counts as gone grows by the same factor. The few gateways whose loss must be detected soon send at the full rate in
+ * fleets of any size.
+ *
+ * A gateway need not wait for regular heartbeats to learn which peers are live. When it finds unknown peers in the
+ * list, it requests a reply from them, and they answer at once. A gateway that restarts while the store is unreachable
+ * has no list. It receives heartbeats from its peers within one interval, since they still send to its address, and it
+ * sends its own to them. A gateway that joins therefore needs to read the list only once.
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { UdpDatagrams, type Datagrams } from './datagrams.js'
 import { decode, encode, type Heartbeat } from './heartbeat.js'
 
-/** Where a gateway listens for other gateways, under the id that it has in the store. */
+/** The address at which a gateway receives from other gateways, and its id in the store. */
 export interface PeerAddress {
   readonly id: string
   /** `host:port`, for heartbeats over UDP and for calls over TCP. */
   readonly address: string
 }
 
-/** Dependencies and settings of `Peers`. Spans are in ms. */
+/** Dependencies and settings of `Peers`. Times are in ms. */
 export interface PeersOptions {
   readonly clock: Clock
   /** This gateway's id. Heartbeats that carry it are ignored. */
   readonly id: string
   /** `host:port` on which heartbeats are received. */
   readonly address: string
-  /** Default: UDP at that address. */
+  /** Default: UDP at `address`. */
   readonly datagrams?: Datagrams
-  /** Gives the heartbeat to send now. */
+  /** Returns the heartbeat to send now. */
   readonly heartbeat: () => Heartbeat
-  /** Time between two heartbeats, in a fleet in which `sendRate` allows it. */
+  /** Time between two heartbeats, in a fleet small enough for `maxSendRate`. */
   readonly interval: number
-  /** Silence after which a peer no longer counts as alive, where heartbeats come each `interval`. */
+  /** Silence after which a peer that sends each `interval` no longer counts as live. */
   readonly timeout: number
-  /** Called with each heartbeat that comes. Default: nothing. */
+  /** Called with each received heartbeat. Default: nothing. */
   readonly heard?: (heartbeat: Heartbeat, from: PeerAddress) => void
-  /** Called with each datagram that is no heartbeat, and the `host:port` that it came from. Default: it is dropped. */
+  /** Called with each datagram that is not a heartbeat, and the `host:port` of its sender. Default: it is dropped. */
   readonly other?: (message: Buffer, from: string) => void
-  /** Whether the others have to know soon that this gateway is gone: it then sends each `interval` in a fleet of any size. Default: never. */
+  /**
+   * Whether the loss of this gateway must be detected soon: it then sends each `interval` in a fleet of any size.
+   * Default: never.
+   */
   readonly urgent?: () => boolean
 }
 
 /**
- * Heartbeats that one gateway sends in a second at most, and so receives: what bounds processor time and bytes in fleets of any size.
- * Fleets of up to 41 gateways send at the full rate with an interval of 250 ms.
+ * Maximum number of heartbeats that one gateway sends per second, and so receives. It bounds processor time and bytes
+ * in fleets of any size. Fleets of up to 41 gateways send at the full rate with an interval of 250 ms.
  */
-const sendRate = 160
+const maxSendRate = 160
 
 /**
- * Peers that were heard but are not listed are sent to for this many time-outs of silence: the list may be read before they enter it.
- * A gateway that never got a list goes on for ever: one that restarts just now has nobody else to hear of it.
+ * How long heartbeats are sent to a peer that is not listed after its last heartbeat, in time-outs: the list may have
+ * been read before the peer was entered. A gateway that never got a list sends without this limit, since a peer that is
+ * just restarting may receive from no other gateway.
  */
-const unlistedTimeouts = 20
+const unlistedRetention = 20
 
 interface Receipt {
   readonly heartbeat: Heartbeat
-  /** When it arrived, and until when its sender counts as alive without another one, on `Clock.now`. */
+  /** When it arrived, and until when its sender counts as live without another one, on `Clock.now`. */
   readonly at: number
-  readonly aliveUntil: number
-  /** `host:port` that it came from, which is also where its sender listens. */
+  readonly liveUntil: number
+  /** `host:port` from which it came. Its sender also receives there. */
   readonly address: string
 }
 
-/** Sends this gateway's heartbeat to its peers and keeps the newest one of each peer. */
+/** Sends this gateway's heartbeat to its peers and stores the newest one of each peer. */
 export class Peers {
   readonly #options: PeersOptions
   readonly #datagrams: Datagrams
@@ -72,9 +81,12 @@
   #addresses: readonly PeerAddress[] = []
   #hasList = false
   /** Intervals since the last regular heartbeat. */
-  #skipped = 0
+  #intervalsSinceSend = 0
   #timer: Subscription | undefined
-  /** The live peers as they were found last, and until when they all are without another heartbeat: they are asked for many times meanwhile. */
+  /**
+   * The live peers as last computed, and until when all of them stay live without another heartbeat. Cached because
+   * they are read many times meanwhile.
+   */
   #live: { readonly heartbeats: Heartbeat[], readonly until: number } | undefined
 
   constructor (options: PeersOptions) {
@@ -82,48 +94,51 @@
     this.#datagrams = options.datagrams ?? new UdpDatagrams(options.address)
   }
 
-  /** The peers that are alive, each as its newest heartbeat. */
+  /** The newest heartbeat of each live peer. */
   get live (): Heartbeat[] {
     const now = this.#options.clock.now()
-    if (this.#live === undefined || now > this.#live.until) this.#live = this.#alive(now)
+    if (this.#live === undefined || now > this.#live.until) this.#live = this.#findLive(now)
     return this.#live.heartbeats
   }
 
-  #alive (now: number): { readonly heartbeats: Heartbeat[], readonly until: number } {
-    const alive = [...this.#received.values()].filter(each => now <= each.aliveUntil)
-    return { heartbeats: alive.map(each => each.heartbeat), until: Math.min(...alive.map(each => each.aliveUntil)) }
+  #findLive (now: number): { readonly heartbeats: Heartbeat[], readonly until: number } {
+    const live = [...this.#received.values()].filter(each => now <= each.liveUntil)
+    return { heartbeats: live.map(each => each.heartbeat), until: Math.min(...live.map(each => each.liveUntil)) }
   }
 
-  /** Silence after which the sender of a heartbeat no longer counts as alive, in ms: as many of its own intervals as `timeout` has. */
-  #silence ({ interval = this.interval }: Heartbeat): number {
+  /**
+   * Silence after which the sender of a heartbeat no longer counts as live, in ms: as many of its own intervals as
+   * `timeout` has of `interval`.
+   */
+  #timeoutOf ({ interval = this.interval }: Heartbeat): number {
     return interval * this.#options.timeout / this.#options.interval
   }
 
-  /** Time between two regular heartbeats of most gateways of a fleet of this size, in ms. */
+  /** Time between two regular heartbeats of most gateways in a fleet of this size, in ms. */
   get interval (): number {
-    return this.#options.interval * this.#slowness
+    return this.#options.interval * this.#intervalFactor
   }
 
   /**
-   * Time after which a gateway that has begun to listen has heard every other one, in ms: those that it asks answer at once, and those that
-   * must not be missed send at the full rate.
+   * Time in which a gateway that has begun to receive gets a heartbeat of every other one, in ms. Peers that it
+   * requests a reply from answer at once, and peers that must not be missed send at the full rate.
    */
   get settleTime (): number {
     return this.#options.timeout
   }
 
-  /** The newest heartbeat of each peer that was heard within a time, alive or not. @param time in ms */
+  /** The newest heartbeat of each peer from which one arrived within a time, live or not. @param time in ms */
   heardWithin (time: number): Heartbeat[] {
     const since = this.#options.clock.now() - time
     return [...this.#received.values()].filter(each => each.at >= since).map(each => each.heartbeat)
   }
 
-  /** The other gateways that the store lists, alive or not. */
+  /** The other gateways that the store lists, live or not. */
   get addresses (): readonly PeerAddress[] {
     return this.#addresses
   }
 
-  /** Addresses of the gateways that are live: listed ones in the order of the list, then those that were only heard. */
+  /** Addresses of the live gateways: listed ones in the order of the list, then unlisted ones. */
   get liveAddresses (): PeerAddress[] {
     const live = new Set(this.live.map(each => each.id))
     const listed = new Set(this.addresses.map(each => each.id))
@@ -136,7 +151,7 @@
     return this.live.filter(each => each.canPlan).map(each => each.id)
   }
 
-  /** How old a peer's newest heartbeat is on average, in ms. */
+  /** Average age of a peer's newest heartbeat, in ms. */
   get staleness (): number {
     return this.interval / 2
   }
@@ -146,7 +161,10 @@
     return this.live.filter(each => each.canPlan || each.canWatch === true).map(each => each.id)
   }
 
-  /** Takes the store's list of all gateways, this one included or not, and asks those that were not heard yet for their heartbeats. */
+  /**
+   * Sets the store's list of all gateways, which may include this one. Requests a reply from those that are not live
+   * here.
+   */
   setAddresses (gateways: readonly PeerAddress[]): void {
     this.#hasList = true
     this.#addresses = gateways.filter(each => each.id !== this.#options.id)
@@ -154,47 +172,47 @@
     this.#sendTo(this.#addresses.filter(each => !live.has(each.id)), true)
   }
 
-  /** Binds the address and begins to send. Rejects where the address cannot be bound. */
+  /** Binds the address and starts to send. Rejects if the address cannot be bound. */
   async start (): Promise<void> {
     const { clock, interval } = this.#options
     await this.#datagrams.start((message, from) => this.#receive(message, from))
     this.#timer = clock.every(interval, () => this.#sendRegularly())
   }
 
-  /** How many times more slowly than at each interval a fleet of this size sends. */
-  get #slowness (): number {
+  /** Factor by which a fleet of this size stretches the interval between heartbeats. */
+  get #intervalFactor (): number {
     const sent = this.#recipients.length * 1000 / this.#options.interval
-    return Math.max(1, Math.ceil(sent / sendRate))
+    return Math.max(1, Math.ceil(sent / maxSendRate))
   }
 
-  /** Listed peers, alive or not, and those that were only heard. */
+  /** Listed peers, live or not, and unlisted peers from which heartbeats were received. */
   get #recipients (): PeerAddress[] {
-    const since = this.#hasList ? this.#options.clock.now() - unlistedTimeouts * this.#options.timeout : -Infinity
+    const since = this.#hasList ? this.#options.clock.now() - unlistedRetention * this.#options.timeout : -Infinity
     const listed = new Set(this.#addresses.map(each => each.id))
-    const heard = [...this.#received].filter(([id, { at }]) => !listed.has(id) && at >= since)
-    return [...this.#addresses, ...heard.map(([id, { address }]) => ({ id, address }))]
+    const unlisted = [...this.#received].filter(([id, { at }]) => !listed.has(id) && at >= since)
+    return [...this.#addresses, ...unlisted.map(([id, { address }]) => ({ id, address }))]
   }
 
   #sendRegularly (): void {
-    this.#skipped++
-    if (this.#skipped < this.#pace) return
-    this.#skipped = 0
+    this.#intervalsSinceSend++
+    if (this.#intervalsSinceSend < this.#intervalsPerHeartbeat) return
+    this.#intervalsSinceSend = 0
     this.send()
   }
 
-  /** How many intervals there are between two regular heartbeats of this gateway. */
-  get #pace (): number {
-    return this.#options.urgent?.() === true ? 1 : this.#slowness
+  /** Number of intervals between two regular heartbeats of this gateway. */
+  get #intervalsPerHeartbeat (): number {
+    return this.#options.urgent?.() === true ? 1 : this.#intervalFactor
   }
 
-  /** Sends a heartbeat to all now, in addition to the regular ones. */
+  /** Sends a heartbeat to all peers now, in addition to the regular ones. */
   send (): void {
     this.#sendTo(this.#recipients, false)
   }
 
-  #sendTo (peers: readonly PeerAddress[], asks: boolean): void {
+  #sendTo (peers: readonly PeerAddress[], wantsReply: boolean): void {
     if (peers.length === 0) return
-    const message = encode({ ...this.#options.heartbeat(), interval: this.#options.interval * this.#pace, asks })
+    const message = encode({ ...this.#options.heartbeat(), interval: this.#options.interval * this.#intervalsPerHeartbeat, wantsReply })
     for (const { address } of peers) this.#datagrams.send(message, address)
   }
 
@@ -203,23 +221,27 @@
     this.#datagrams.stop()
   }
 
-  /** Sends another message than a heartbeat. It may be lost. @param to the id of a gateway that is live, or the `host:port` that a message of it came from */
+  /**
+   * Sends a message that is not a heartbeat. It may be lost.
+   * @param to the id of a gateway that is live, or the `host:port` from which one of its messages came
+   */
   post (to: string, message: string): void {
     this.#datagrams.send(message, this.#received.get(to)?.address ?? to)
   }
 
   /**
-   * Keeps a heartbeat as its sender's newest. A datagram that does not fit the schema is passed on, and dropped without a line by whoever else cannot read it: anything
-   * may reach the port, and a sender whose heartbeats never fit counts as not alive, as it would if it sent none.
+   * Stores a heartbeat as its sender's newest. Any process may send to the port, so a datagram that does not fit the
+   * schema is passed on, and dropped without a log line if no other receiver can read it. A sender whose heartbeats
+   * never fit counts as not live, as if it sent none.
    */
   #receive (message: Buffer, address: string): void {
     const heartbeat = decode(message)
     if (heartbeat === undefined) return this.#options.other?.(message, address)
     if (heartbeat.id === this.#options.id) return
     const at = this.#options.clock.now()
-    this.#received.set(heartbeat.id, { heartbeat, at, aliveUntil: at + this.#silence(heartbeat), address })
+    this.#received.set(heartbeat.id, { heartbeat, at, liveUntil: at + this.#timeoutOf(heartbeat), address })
     this.#live = undefined
     this.#options.heard?.(heartbeat, { id: heartbeat.id, address })
-    if (heartbeat.asks === true) this.#sendTo([{ id: heartbeat.id, address }], false)
+    if (heartbeat.wantsReply === true) this.#sendTo([{ id: heartbeat.id, address }], false)
   }
 }
--- a/packages/peers/test/peers.test.ts
+++ b/packages/peers/test/peers.test.ts
@@ -1,4 +1,4 @@
-/** Heartbeats between gateways: what is sent to whom, what is understood, and who counts as alive. */
+/** Heartbeats between gateways: encoding and decoding, recipients and intervals, and which peers count as live. */
 import { createSocket, type RemoteInfo, type Socket } from 'node:dgram'
 import test, { type ExecutionContext } from 'ava'
 import { ManualClock } from '@eiderwind/clock'
@@ -11,15 +11,15 @@
 /** The datagram of `heartbeat()`, as every build of the gateway sends and reads it. */
 const datagram = '{"id":"self","revision":7,"able":true,"loads":{"u":3},"suspects":["h"],"models":{"m":2},"served":true}'
 
-/** The same as a gateway sends it at regular times in a small fleet, and as it sends it to one that it has not heard yet. */
+/** The same datagram as it is sent regularly in a small fleet, and as a gateway sends it to request a reply. */
 const regular = datagram.replace('"served":true}', '"served":true,"every":250}')
-const asking = datagram.replace('"served":true}', '"served":true,"every":250,"ask":true}')
+const requestingReply = datagram.replace('"served":true}', '"served":true,"every":250,"ask":true}')
 
 function heartbeat (difference: Partial<Heartbeat> = {}): Heartbeat {
   return { id: 'self', revision: 7, canPlan: true, inFlight: { u: 3 }, suspects: ['h'], offeredByModel: { m: 2 }, served: true, loads: {}, ...difference }
 }
 
-test('loads that engines have begun are sent under a key of their own, and a datagram without it has none', t => {
+test('loads that engines have begun are sent under the key weights, and a datagram without the key has none', t => {
   const loads = { e1: 'large' }
   const text = encode(heartbeat({ loads }))
   t.is(text, datagram.replace('"served":true}', '"served":true,"weights":{"e1":"large"}}'))
@@ -27,7 +27,7 @@
   t.deepEqual(decode(Buffer.from(datagram))?.loads, {})
 })
 
-test('cold upstreams are sent with what each gets and for how much longer, and a datagram without them has none', t => {
+test('cold upstreams are sent with their rate and remaining time, and a datagram without the key has none', t => {
   const cold = { u: [32, 1500], 'v@k3': [0.5, 0] } as const
   const text = encode(heartbeat({ cold }))
   t.is(text, datagram.replace('"served":true}', '"served":true,"cold":{"u":[32,1500],"v@k3":[0.5,0]}}'))
@@ -36,7 +36,7 @@
   t.is(decode(Buffer.from(datagram))?.cold, undefined)
 })
 
-test('limits of upstreams are sent with the time since they were said, and a datagram without them has none', t => {
+test('limits of upstreams are sent with their rate and age, and a datagram without the key has none', t => {
   const limits = { u: [1.6, 20], 'v@k3': [null, 3000] } as const
   const text = encode(heartbeat({ limits }))
   t.is(text, datagram.replace('"served":true}', '"served":true,"limits":{"u":[1.6,20],"v@k3":[null,3000]}}'))
@@ -46,7 +46,7 @@
   t.is(decode(Buffer.from(text.replace('1.6', '-1'))), undefined)
 })
 
-test('upstreams that are leaving are sent under a key of their own, and a datagram without it has none', t => {
+test('upstreams that are leaving are sent under the key leaving, and a datagram without the key has none', t => {
   const leaving = ['u', 'v@k3']
   const text = encode(heartbeat({ leaving }))
   t.is(text, datagram.replace('"served":true}', '"served":true,"leaving":["u","v@k3"]}'))
@@ -55,7 +55,7 @@
   t.is(decode(Buffer.from(datagram))?.leaving, undefined)
 })
 
-test('evacuated data centres are sent with the store\'s revision, also where there are none any more, and a datagram without them has none', t => {
+test('evacuated data centres are sent with the store\'s revision, also once there are none any more, and a datagram without the key has none', t => {
   for (const evacuation of [{ revision: 70, dataCentres: ['dc-1'] }, { revision: 71, dataCentres: [] }]) {
     const text = encode(heartbeat({ evacuation }))
     t.is(text, datagram.replace('"served":true}', `"served":true,"evacuation":{"revision":${evacuation.revision},"dataCentres":${JSON.stringify(evacuation.dataCentres)}}}`))
@@ -64,7 +64,7 @@
   t.is(decode(Buffer.from(datagram))?.evacuation, undefined)
 })
 
-/** A socket that notes what it receives. */
+/** A socket that records what it receives. */
 interface Peer {
   readonly id: string
   readonly address: string
@@ -101,14 +101,14 @@
   while (!condition()) await new Promise(resolve => setImmediate(resolve))
 }
 
-/** Has `from` send a text to whoever sent it a heartbeat. */
+/** Sends a text from `from` to the address from which its first heartbeat came. */
 async function reply (from: Peer, text: string): Promise<void> {
   await until(() => from.received.length > 0)
   const { port, address } = from.received[0].from
   await new Promise(resolve => from.socket.send(text, port, address, resolve))
 }
 
-test('a heartbeat is sent as its datagram and read back', t => {
+test('a heartbeat is encoded as its datagram and decoded again', t => {
   t.is(encode(heartbeat()), datagram)
   t.deepEqual(decode(Buffer.from(datagram)), heartbeat())
 })
@@ -131,7 +131,7 @@
   })
 }
 
-test('heartbeats are sent to the listed peers at each interval and on demand, not to oneself', async t => {
+test('heartbeats are sent to the listed peers at each interval and on demand, and not to the gateway itself', async t => {
   const clock = new ManualClock()
   const peers = await startedPeers(t, clock)
   const [other, self] = await Promise.all([peer(t, 'other'), peer(t, 'self')])
@@ -143,11 +143,11 @@
   await until(() => other.received.length === 2)
   clock.advance(1)
   await until(() => other.received.length === 3)
-  t.deepEqual(other.received.map(each => each.text), [asking, regular, regular])
+  t.deepEqual(other.received.map(each => each.text), [requestingReply, regular, regular])
   t.is(self.received.length, 0)
 })
 
-test('in a large fleet a gateway sends to every peer, also to one that it has only heard', async t => {
+test('in a large fleet a gateway sends to every peer, also to an unlisted one that has sent it a heartbeat', async t => {
   const peers = await startedPeers(t, new ManualClock())
   const others = await Promise.all(Array.from({ length: 35 }, (_each, index) => peer(t, `g${index}`)))
   const reached = (): string[] => others.filter(each => each.received.length > 0).map(each => each.id)
@@ -163,27 +163,27 @@
   t.deepEqual(reached().sort(), others.map(each => each.id).sort())
 })
 
-for (const { size, slowness } of [{ size: 34, slowness: 1 }, { size: 41, slowness: 2 }, { size: 99, slowness: 3 }, { size: 389, slowness: 10 }]) {
-  test(`with ${size} peers a gateway sends each ${slowness * interval} ms, and a peer counts as alive as many times longer`, async t => {
+for (const { size, intervalFactor } of [{ size: 34, intervalFactor: 1 }, { size: 41, intervalFactor: 2 }, { size: 99, intervalFactor: 3 }, { size: 389, intervalFactor: 10 }]) {
+  test(`with ${size} peers a gateway sends each ${intervalFactor * interval} ms, and the time-out of a peer grows by the same factor`, async t => {
     const clock = new ManualClock()
     const peers = await startedPeers(t, clock)
     const other = await peer(t, 'other')
-    // Nobody listens at the others' addresses: the port is that of the discard protocol.
+    // No process listens at the other addresses: their port is that of the discard protocol.
     peers.setAddresses([other, ...Array.from({ length: size - 1 }, (_each, index) => ({ id: `g${index}`, address: '127.0.0.1:9' }))])
     await until(() => other.received.length === 1)
-    clock.advance(slowness * interval - 1)
+    clock.advance(intervalFactor * interval - 1)
     await new Promise(resolve => setTimeout(resolve, 50))
     t.is(other.received.length, 1)
     clock.advance(1)
     await until(() => other.received.length === 2)
     t.is(other.received.length, 2)
     const { text } = other.received[1]
-    t.is(decode(Buffer.from(text))?.interval, slowness * interval)
-    // A peer that says nothing of its interval is taken to have that of this gateway.
+    t.is(decode(Buffer.from(text))?.interval, intervalFactor * interval)
+    // A peer that does not send its interval is taken to have the interval of this gateway.
     for (const from of [text.replace('"self"', '"other"'), datagram.replace('"self"', '"other"')]) {
       await reply(other, from)
       await until(() => peers.live.length === 1)
-      clock.advance(slowness * timeout)
+      clock.advance(intervalFactor * timeout)
       t.is(peers.live.length, 1)
       clock.advance(1)
       t.is(peers.live.length, 0)
@@ -191,7 +191,7 @@
   })
 }
 
-test('a gateway whose loss the others must know soon sends each interval in a large fleet, and counts as gone after one time-out', async t => {
+test('an urgent gateway sends at each interval in a large fleet, and a peer that sends as often counts as gone after one time-out', async t => {
   const clock = new ManualClock()
   const other = await peer(t, 'other')
   const peers = new Peers({ clock, id: 'self', address: '127.0.0.1:0', heartbeat, interval, timeout, urgent: () => true })
@@ -210,30 +210,30 @@
   t.deepEqual(peers.live, [])
 })
 
-test('a peer that asks is answered at once, one that does not is not', async t => {
+test('a heartbeat that requests a reply is answered at once, and one that does not is not', async t => {
   const peers = await startedPeers(t, new ManualClock())
   const other = await peer(t, 'other')
   peers.setAddresses([other])
   await reply(other, datagram.replace('"self"', '"other"'))
   await until(() => peers.live.length === 1)
   t.is(other.received.length, 1)
-  await reply(other, asking.replace('"self"', '"other"'))
+  await reply(other, requestingReply.replace('"self"', '"other"'))
   await until(() => other.received.length === 2)
-  t.deepEqual(other.received.map(each => each.text), [asking, regular])
+  t.deepEqual(other.received.map(each => each.text), [requestingReply, regular])
 })
 
-test('a list that is read again asks those that were not heard, and no others', async t => {
+test('when the list is read again, a reply is requested from peers that have sent nothing, and from no others', async t => {
   const peers = await startedPeers(t, new ManualClock())
-  const [heard, silent] = await Promise.all([peer(t, 'heard'), peer(t, 'silent')])
-  peers.setAddresses([heard, silent])
-  await reply(heard, datagram.replace('"self"', '"heard"'))
+  const [answering, silent] = await Promise.all([peer(t, 'answering'), peer(t, 'silent')])
+  peers.setAddresses([answering, silent])
+  await reply(answering, datagram.replace('"self"', '"answering"'))
   await until(() => peers.live.length === 1)
-  peers.setAddresses([heard, silent])
+  peers.setAddresses([answering, silent])
   await until(() => silent.received.length === 2)
-  t.is(heard.received.length, 1)
+  t.is(answering.received.length, 1)
 })
 
-test('a peer is alive until nothing was received from it for the timeout', async t => {
+test('a peer counts as live until nothing was received from it for the time-out', async t => {
   const clock = new ManualClock()
   const peers = await startedPeers(t, clock)
   const other = await peer(t, 'other')
@@ -250,7 +250,7 @@
   t.deepEqual(peers.live, [])
 })
 
-test('own and foreign datagrams are dropped, and only live peers that may plan are planners', async t => {
+test('own datagrams and those that are no heartbeats are dropped, and only live peers that may plan are planners', async t => {
   const peers = await startedPeers(t, new ManualClock())
   const other = await peer(t, 'other')
   peers.setAddresses([other])
@@ -263,17 +263,17 @@
   t.deepEqual(peers.planners, ['other'])
 })
 
-test('a datagram that cannot be sent does not disturb the others', async t => {
+test('a datagram that cannot be sent does not keep the others from being sent', async t => {
   const peers = await startedPeers(t, new ManualClock())
   const other = await peer(t, 'other')
   // The system refuses to send to the broadcast address.
   peers.setAddresses([{ id: 'refused', address: '255.255.255.255:9' }, other])
   peers.send()
   await until(() => other.received.length === 2)
-  t.deepEqual(other.received.map(each => each.text), [asking, regular])
+  t.deepEqual(other.received.map(each => each.text), [requestingReply, regular])
 })
 
-test('a gateway without a list sends to whoever it has heard, also to one that has been silent for long', async t => {
+test('a gateway without a list sends to every peer that has sent it a heartbeat, also after a long silence', async t => {
   const clock = new ManualClock()
   const other = await peer(t, 'other')
   const port = await freePort()
@@ -286,7 +286,7 @@
   await until(() => other.received.length === 1)
   clock.advance(20 * timeout)
   t.deepEqual(peers.live, [])
-  // What was sent while it still lived arrives meanwhile.
+  // Datagrams that were sent while the peer still counted as live arrive meanwhile.
   await new Promise(resolve => setTimeout(resolve, 100))
   const before = other.received.length
   peers.send()
@@ -294,7 +294,7 @@
   t.true(other.received.length > before)
 })
 
-test('a gateway that has callers sent to others says so, and one that does not says nothing', t => {
+test('a gateway that is away sends the key away, and one that is not omits it', t => {
   const text = encode(heartbeat({ away: true }))
   t.is(text, datagram.replace('"served":true}', '"served":true,"away":true}'))
   t.true(decode(Buffer.from(text))?.away)
