--- a/packages/work/src/first.ts
+++ b/packages/work/src/first.ts
@@ -1,6 +1,7 @@
 /**
- * When the first event of a request can be expected at a head. Pure. The load that it answers: heads with as many requests but other prompts before them. It is computed from the
- * configuration alone; `forecast.ts` corrects it by what came.
+ * Computes when the first event of a request can be expected at a head. Pure. The load behind it: heads with equally
+ * many requests, but different amounts of prompt tokens ahead. The time is computed from the configuration alone;
+ * `forecast.ts` corrects it by measured times.
  */
 import { type Engine } from '@eiderwind/traffic'
 
@@ -8,36 +9,38 @@
 export interface HeadState {
   /** Requests in flight there, from all gateways. */
   readonly inFlight: number
-  /** Prompt tokens of them that are not read yet. */
+  /** Prompt tokens of these requests that are not read yet. */
   readonly unread: number
 }
 
 /** A request for a model. */
-export interface Subject {
+export interface ModelRequest {
   readonly service: string
   readonly model: string
   /** Tokens of its prompt. */
   readonly prompt: number
 }
 
-/** When the first event of a request is expected, and what that rests on. */
-export interface Expectation extends Subject, HeadState {
-  /** Time from its send, in ms. */
+/** The expected time of the first event of a request, and what it was computed from. */
+export interface Expectation extends ModelRequest, HeadState {
+  /** Time from the sending of the request, in ms. */
   readonly time: number
-  /** Part of that time by which first events of its model usually come later than computed, in ms. */
+  /** The part of `time` by which first events of this model usually come later than computed, in ms. */
   readonly lag: number
-  /** Whether the head takes a limited number of requests a second: it is cold, or says so itself. */
+  /** Whether the head takes a limited number of requests per second, because it is cold or has announced a limit. */
   readonly limited: boolean
   /** Whether the head is in another data centre. */
   readonly remote: boolean
 }
 
-/** Figures of an engine that the time depends on. */
+/** The parameters of an engine that the time depends on. */
 type Figures = Pick<Engine, 'slots' | 'step' | 'stepPerRequest' | 'readRate' | 'answer'>
 
 /**
- * Expected time from sending a request to its first event, in ms: until a slot is free, all prompts before its own are read, and its own, and the step that writes its first token.
- * @param prompt tokens of its prompt @param pace the factor of the model on all times
+ * Expected time from sending a request to its first event, in ms. It is the sum of three parts: the wait for a free
+ * slot, the reading of all prompts ahead and of its own, and the step that writes its first token.
+ * @param prompt tokens of its prompt
+ * @param pace the model's factor on all times
  */
 export function expectedFirst (prompt: number, { inFlight, unread }: HeadState, engine: Figures, pace: number): number {
   const { slots, readRate } = engine
@@ -47,7 +50,7 @@
   return pace * (slotTime + (unread + prompt) * 1000 / readRate + step)
 }
 
-/** Time of a step that writes a token of so many requests, in ms. */
+/** Time of a step that writes one token for each of `requests` requests, in ms. */
 function stepTime ({ step, stepPerRequest }: Figures, requests: number): number {
   return step + stepPerRequest * requests
 }
--- a/packages/work/src/forecast.ts
+++ b/packages/work/src/forecast.ts
@@ -1,14 +1,19 @@
 /**
- * Forecasts of first events, and what they are corrected by. Owns the prompts that heads have not read yet, and for each model of a service how much later first events usually come
- * than the configuration's figures say: what a head needs beside reading and writing is not among these. Pure: told what came. Each gateway learns for itself.
+ * Forecasts the time of first events and corrects the forecasts by measured times. Owns the prompts that heads have not
+ * read yet. For each model of a service it also owns the lag: how much later first events usually come than the
+ * configuration predicts, which does not cover what a head does beside reading and writing. Pure; the caller reports
+ * measured times. Each gateway learns for itself.
  */
 import { type Engine } from '@eiderwind/traffic'
-import { expectedFirst, type Expectation, type HeadState, type Subject } from './first.js'
+import { expectedFirst, type Expectation, type HeadState, type ModelRequest } from './first.js'
 import { RunningMedian } from './median.js'
 import { Unread } from './unread.js'
 
-/** Models of which the lag is kept: callers name them, and a name that nothing serves must not grow the table. */
-const mostModels = 1000
+/**
+ * Maximum number of models with a stored lag. Callers choose the names, and names that no upstream serves must not grow
+ * the table without bound.
+ */
+const maxModels = 1000
 
 /** Forecasts first events. */
 export class Forecast {
@@ -16,14 +21,17 @@
   readonly unread = new Unread()
   readonly #lags = new Map<string, RunningMedian>()
 
-  /** When the first event of a request can be expected at a head. */
-  expect ({ service, model, prompt }: Subject, head: HeadState, engine: Engine): Pick<Expectation, 'time' | 'lag'> {
+  /** Forecasts the first event of a request at a head. */
+  expect ({ service, model, prompt }: ModelRequest, head: HeadState, engine: Engine): Pick<Expectation, 'time' | 'lag'> {
     const pace = engine.models.find(({ name }) => name === model)?.pace ?? 1
     const lag = this.#lag(service, model).value
     return { time: expectedFirst(prompt, head, engine, pace) + lag, lag }
   }
 
-  /** Takes in how an expectation came true. @param error by how much later than expected the first event came, in ms */
+  /**
+   * Corrects the lag of a model after the first event of a forecast request has come.
+   * @param error by how much later than expected the first event came, in ms
+   */
   learn ({ service, model, lag }: Pick<Expectation, 'service' | 'model' | 'lag'>, error: number): void {
     this.#lag(service, model).add(lag + error)
   }
@@ -31,7 +39,7 @@
   #lag (service: string, model: string): RunningMedian {
     const key = `${service} ${model}`
     const lag = this.#lags.get(key) ?? new RunningMedian()
-    if (this.#lags.size < mostModels) this.#lags.set(key, lag)
+    if (this.#lags.size < maxModels) this.#lags.set(key, lag)
     return lag
   }
 }
--- a/packages/work/src/median.ts
+++ b/packages/work/src/median.ts
@@ -1,13 +1,19 @@
-/** The median of a series, followed without keeping it: each value moves the estimate towards itself, and one that is far off by no more than others. Pure. */
+/**
+ * Estimates the median of a series without storing its values. Each value moves the estimate towards itself, and an
+ * outlier moves it no further than other values do. Pure.
+ */
 
-/** Longest step of the first value, and the least that a later one has, in units of the values. */
-const firstStep = 120
-const leastStep = 2
+/**
+ * Upper bound of the step at the first value, and the smallest value to which that bound shrinks, in units of the
+ * values.
+ */
+const initialStep = 120
+const minStep = 2
 
-/** Part of the distance to a value by which the estimate moves at the most. */
-const approach = 0.5
+/** Maximum part of the distance to a value by which the estimate moves. */
+const maxApproach = 0.5
 
-/** Follows the median of a series. */
+/** A running estimate of the median of a series. */
 export class RunningMedian {
   #value = 0
   #count = 0
@@ -19,7 +25,7 @@
 
   add (value: number): void {
     this.#count++
-    const step = Math.max(leastStep, firstStep / this.#count)
-    this.#value += Math.max(-step, Math.min(step, approach * (value - this.#value)))
+    const step = Math.max(minStep, initialStep / this.#count)
+    this.#value += Math.max(-step, Math.min(step, maxApproach * (value - this.#value)))
   }
 }
--- a/packages/work/src/tokens.ts
+++ b/packages/work/src/tokens.ts
@@ -1,27 +1,28 @@
 /**
- * How many tokens a request has: those of its prompt, and those that its answer will probably have. Pure. What callers say is a claim: a value without sense says nothing, and
- * the means of the service stand in for it.
+ * Determines how many tokens a request has in its prompt, and how many its answer will probably have. Pure. The
+ * caller's numbers are only claims: a malformed value is ignored, and the means of the service are used instead.
  */
 import { type Engine } from '@eiderwind/traffic'
 
 /** Tokens of a request. */
 export interface RequestTokens {
   readonly prompt: number
-  /** Expected, not the most. */
+  /** The expected number of tokens, not the maximum. */
   readonly answer: number
 }
 
-const usageForm = /^\s*(\d{1,9})\s*,\s*(\d{1,9})\s*$/
-const hintForm = /^\s*(\d{1,9})\s*$/
+const usagePattern = /^\s*(\d{1,9})\s*,\s*(\d{1,9})\s*$/
+const hintPattern = /^\s*(\d{1,9})\s*$/
 
 /**
- * The tokens of a request. An answer is no longer than the most that its caller takes; where the caller expects a length, that is right in the median, so it goes before the mean.
- * @param usage tokens of the prompt, and the most of the answer, by the caller: `1460,80`
+ * The tokens of a request. An answer is no longer than the maximum that its caller accepts. A length expected by the
+ * caller is right in the median, so it takes precedence over the mean.
+ * @param usage tokens of the prompt and maximum tokens of the answer, from the caller: `1460,80`
  * @param hint tokens of the answer that the caller expects
  */
 export function requestTokens (usage: string | undefined, hint: string | undefined, { prompt, answer }: Pick<Engine, 'prompt' | 'answer'>): RequestTokens {
-  const [, said, most] = usageForm.exec(usage ?? '') ?? []
-  const [, expected] = hintForm.exec(hint ?? '') ?? []
-  const likely = expected === undefined ? answer : Number(expected)
-  return { prompt: said === undefined ? prompt : Number(said), answer: most === undefined ? likely : Math.min(likely, Number(most)) }
+  const [, promptTokens, maxAnswerTokens] = usagePattern.exec(usage ?? '') ?? []
+  const [, hintedTokens] = hintPattern.exec(hint ?? '') ?? []
+  const expectedTokens = hintedTokens === undefined ? answer : Number(hintedTokens)
+  return { prompt: promptTokens === undefined ? prompt : Number(promptTokens), answer: maxAnswerTokens === undefined ? expectedTokens : Math.min(expectedTokens, Number(maxAnswerTokens)) }
 }
--- a/packages/work/src/unread.ts
+++ b/packages/work/src/unread.ts
@@ -1,19 +1,25 @@
-/** Prompt tokens that heads have not read yet, as far as one gateway has sent them. Owns their sums, by the identity of the upstream's life; nothing is kept of one that has none. */
+/**
+ * Prompt tokens that this gateway has sent and that heads have not read yet. Owns the sums by upstream id, which
+ * differs between two incarnations of an upstream. An upstream with no unread tokens has no entry.
+ */
 export class Unread {
   readonly #tokens = new Map<string, number>()
 
-  /** Prompt tokens at an upstream of which no first event has come yet. */
+  /** Prompt tokens at an upstream whose first event has not come yet. */
   of (upstream: string): number {
     return this.#tokens.get(upstream) ?? 0
   }
 
-  /** Counts a prompt that is sent, until the returned function is called: its first event has come, or its attempt has ended. Calls after the first do nothing. */
+  /**
+   * Counts a prompt that is sent. Call the returned function when its first event has come or its attempt has ended;
+   * further calls do nothing.
+   */
   add (upstream: string, tokens: number): () => void {
     this.#set(upstream, this.of(upstream) + tokens)
-    let counts = true
+    let isCounted = true
     return () => {
-      if (counts) this.#set(upstream, this.of(upstream) - tokens)
-      counts = false
+      if (isCounted) this.#set(upstream, this.of(upstream) - tokens)
+      isCounted = false
     }
   }
 
--- a/packages/work/test/work.test.ts
+++ b/packages/work/test/work.test.ts
@@ -1,10 +1,10 @@
-/** Tables of what requests cost, from the figures of an engine. */
+/** Costs of requests and times of first events, computed from the parameters of an engine. */
 import test from 'ava'
 import { Forecast, RunningMedian, Unread, expectedFirst, requestTokens, workOf } from '../src/index.js'
 
 const engine = { slots: 40, step: 8, stepPerRequest: 0.1, readRate: 50_000, prompt: 1000, answer: 100 }
 
-test('tokens are those that the caller says, within the most, and the means of the service where it says none', t => {
+test('tokens are those that the caller names, up to its maximum, and the means of the service if it names none', t => {
   const table: ReadonlyArray<readonly [string | undefined, string | undefined, number, number]> = [
     ['1460,80', '50', 1460, 50],
     ['1460,80', '500', 1460, 80],
@@ -23,16 +23,16 @@
   t.is(workOf(engine, engine), 1)
   t.is(workOf({ prompt: 2000, answer: 200 }, engine), 2)
   t.is(workOf({ prompt: 0, answer: 0 }, engine), 0)
-  // 20 ms of reading beside 30 ms of writing.
+  // 20 ms of reading, compared with 30 ms of writing.
   t.is(workOf({ prompt: 1000, answer: 0 }, engine), 0.4)
   t.is(workOf({ prompt: 6000, answer: 100 }, engine), 3)
 })
 
-test('where the configuration gives no means, each request counts as one', t => {
+test('without means in the configuration each request counts as one', t => {
   t.is(workOf({ prompt: 6000, answer: 100 }, { ...engine, prompt: 0, answer: 0 }), 1)
 })
 
-test('the first event comes once all prompts before are read, the own one too, and a step is done', t => {
+test('the first event comes after the wait for a slot, the reading of all prompts ahead and its own, and one step', t => {
   const table: ReadonlyArray<readonly [string, number, number, number, number, number]> = [
     ['an empty head', 1000, 0, 0, 1, 20 + 8.1],
     ['prompts before', 1000, 4, 3000, 1, 80 + 8.5],
@@ -45,7 +45,7 @@
   for (const [what, prompt, inFlight, unread, pace, time] of table) t.is(Number(expectedFirst(prompt, { inFlight, unread }, engine, pace).toFixed(6)), Number(time.toFixed(6)), what)
 })
 
-test('more before a request never has it come sooner', t => {
+test('more requests or unread tokens ahead of a request never make its first event earlier', t => {
   for (let inFlight = 0; inFlight < 60; inFlight++) {
     const time = (more: number, unread: number): number => expectedFirst(700, { inFlight: inFlight + more, unread }, engine, 1)
     t.true(time(1, 0) >= time(0, 0))
@@ -53,7 +53,7 @@
   }
 })
 
-test('a prompt is unread from its sending to its first event or the end of its attempt, and counted off once', t => {
+test('a prompt counts as unread until the function that ends it is called, and is subtracted once', t => {
   const unread = new Unread()
   const first = unread.add('a', 1000)
   const second = unread.add('a', 500)
@@ -68,7 +68,7 @@
   t.is(unread.of('c'), 0)
 })
 
-test('a running median settles at the middle of its series, and single values far off hardly move it', t => {
+test('a running median settles at the median of its series, and single outliers hardly move it', t => {
   const median = new RunningMedian()
   t.is(median.value, 0)
   for (let each = 0; each < 400; each++) median.add(130 + each * 7 % 21)
@@ -78,7 +78,7 @@
   t.true(median.value - settled <= 6)
 })
 
-test('forecasts are corrected by what first events of their model took, at this gateway', t => {
+test('forecasts are corrected by the measured first events of their model at this gateway', t => {
   const forecast = new Forecast()
   const served = { ...engine, models: [{ name: 'm', size: 1, share: 1, pace: 2, load: 0, warm: 0 }], loadRate: 1, loadsAtOnce: 1, formTime: 0 }
   const subject = { service: 's', model: 'm', prompt: 1000 }
@@ -95,7 +95,7 @@
   t.is(forecast.expect({ ...subject, model: 'other' }, idle, served).lag, 0)
 })
 
-test('of many forecasts that were made before the first came true, each corrects by what it was computed from', t => {
+test('many forecasts that were made before the first event came are each corrected from their own lag', t => {
   const forecast = new Forecast()
   const early = { service: 's', model: 'm', lag: 0 }
   for (let each = 0; each < 50; each++) forecast.learn(early, 140)
