--- a/experiments/variants.js
+++ b/experiments/variants.js
@@ -18,6 +18,6 @@
   'engines of others at two replicas too': [{ file: `${forming}/composition.js`, find: 'const scarceReplicas = 1', replace: 'const scarceReplicas = 2' }],
   'engines without an entry are missing at once': [{ file: `${forming}/reconciler.js`, find: 'keep: options.keepUnlisted', replace: 'keep: 0' }],
   'engines of others never': [{ file: `${forming}/composition.js`, find: 'const scarceReplicas = 1', replace: 'const scarceReplicas = -1' }],
-  'no second model on serving engines': [{ file: `${forming}/staging.js`, find: 'return stagingOnServing(pool, models[0])', replace: 'return []' }],
+  'no second model on serving engines': [{ file: `${forming}/staging.js`, find: 'return [...onSpares, ...stagingOnServing(pool, models[0])]', replace: 'return onSpares' }],
   'all loads for whatever comes first': [{ file: `${forming}/permits.js`, find: 'const repairShare = 0.5', replace: 'const repairShare = 0' }]
 }
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -500,7 +500,7 @@
     point: 2,
     rule: 'loads stay under the rate of the weight store (CEILING)',
     file: 'packages/forming/dist/src/loadlimit.js',
-    find: '(!rated || this.#tokens >= 1) && others < engine.loadsAtOnce - keepFree',
+    find: '(!rated || this.#tokens >= 1) && besides.size < engine.loadsAtOnce - keepFree',
     replace: 'true',
     test: 'packages/emulator/dist/test/forming.test.js',
     title: 'engines that hold nothing become*'
