--- a/packages/forming/src/activity.ts
+++ b/packages/forming/src/activity.ts
@@ -1,62 +1,63 @@
 /**
- * Which domains need a look now. A look at a fleet of 20 domains costs some 6 ms of a core, most of it in domains in which nothing
- * happens; with changes of single engines coming 20 times a second that is what a planner spends its time on.
- * Owns what has happened in each domain since it was planned last. Pure bookkeeping: a domain that is looked at in vain costs time only.
+ * Tracks which domains need to be planned now. Planning a fleet of 20 domains costs about 6 ms of a core, most of it in
+ * domains without any change. When changes of single engines arrive 20 times a second, a planner would spend its time
+ * on these domains. Owns the changes in each domain since it was last planned. Pure bookkeeping: planning a domain
+ * without need only costs time.
  */
 import { type Clock } from '@eiderwind/clock'
 
 /**
- * Time after which a domain is looked at whatever has happened, in ms: what changes with time alone waits this long at the most, such as the
- * demand by which targets rise.
+ * Time after which a domain is planned even without a change, in ms. It bounds the delay of effects that depend on time
+ * alone, such as a rise of targets with the demand.
  */
 const quietInterval = 500
 
-/** Domains by key, and whether they are quiet. */
+/** The domains by key, and whether they are quiet. */
 export class Activity {
   readonly #clock: Clock
-  /** When each quiet domain was planned last, on `Clock.now`; one that is not here is due. */
+  /** When each quiet domain was last planned, on `Clock.now`. A domain without an entry is due. */
   readonly #quietSince = new Map<string, number>()
-  /** Number of what happened last in each domain, and anywhere. */
-  readonly #happened = new Map<string, number>()
-  #everywhere = 0
-  #newest = 0
-  #fleet = ''
+  /** Sequence numbers of changes: the last in each domain, the last that concerns every domain, and the last of all. */
+  readonly #lastChanges = new Map<string, number>()
+  #lastFleetChange = 0
+  #latestChange = 0
+  #sharedFacts = ''
 
   constructor (clock: Clock) {
     this.#clock = clock
   }
 
-  /** Something happened in a domain. */
-  happened (domain: string): void {
-    this.#happened.set(domain, ++this.#newest)
+  /** Records a change in a domain. */
+  recordChange (domain: string): void {
+    this.#lastChanges.set(domain, ++this.#latestChange)
     this.#quietSince.delete(domain)
   }
 
-  /** Something happened that concerns every domain. */
-  happenedEverywhere (): void {
-    this.#everywhere = ++this.#newest
+  /** Records a change that concerns every domain. */
+  recordFleetChange (): void {
+    this.#lastFleetChange = ++this.#latestChange
     this.#quietSince.clear()
   }
 
-  /** Number of what happened last: facts that are read now hold all of it. */
-  get newest (): number {
-    return this.#newest
+  /** Sequence number of the last change. Facts that are read now include it and all changes before it. */
+  get latestChange (): number {
+    return this.#latestChange
   }
 
-  /** Takes what all domains share; each is due once it differs. */
-  shared (facts: string): void {
-    if (facts !== this.#fleet) this.happenedEverywhere()
-    this.#fleet = facts
+  /** Updates the facts that all domains share. If they differ from the last ones, every domain is due. */
+  updateSharedFacts (facts: string): void {
+    if (facts !== this.#sharedFacts) this.recordFleetChange()
+    this.#sharedFacts = facts
   }
 
   /**
    * Records that a domain was planned.
    * @param quiet whether nothing is left to be done there
-   * @param newest number of the last that the facts hold from which it was planned
+   * @param latestChange sequence number of the last change that is included in the facts of the plan
    */
-  planned (domain: string, quiet: boolean, newest: number): void {
-    const later = Math.max(this.#everywhere, this.#happened.get(domain) ?? 0) > newest
-    if (quiet && !later) this.#quietSince.set(domain, this.#clock.now())
+  recordPlanned (domain: string, quiet: boolean, latestChange: number): void {
+    const changedSince = Math.max(this.#lastFleetChange, this.#lastChanges.get(domain) ?? 0) > latestChange
+    if (quiet && !changedSince) this.#quietSince.set(domain, this.#clock.now())
     else this.#quietSince.delete(domain)
   }
 
--- a/packages/forming/src/domains.ts
+++ b/packages/forming/src/domains.ts
@@ -1,6 +1,7 @@
 /**
- * The domains of the services, each with its desired state (the placement) and its actual one (the listed engines). Owns the
- * cached placements with their versions: as long as this process is the only planner, nothing else changes the stored ones.
+ * The domains of the services. Each has a desired state (the placement) and an actual state (the listed engines). Owns
+ * the cached placements with their versions, and relies on this process being the only planner: then nothing else
+ * changes the stored placements.
  */
 import { type Roster, type Upstream } from '@eiderwind/roster'
 import { type Service } from '@eiderwind/traffic'
@@ -13,7 +14,7 @@
   readonly service: string
   readonly upstreams: readonly Upstream[]
   readonly placement: Placement
-  /** The version of the placement in the store; 0 where it is not stored yet. */
+  /** The version of the placement in the store; 0 if it is not stored yet. */
   readonly version: number
 }
 
@@ -26,19 +27,19 @@
 export interface DomainsOptions {
   readonly roster: Roster
   readonly placements: Placements
-  /** The engines that are not listed and are kept. */
+  /** Engines that are retained although they are not listed. */
   readonly unlisted?: () => readonly Upstream[]
-  /** Called when a placement can't be read, once until one is read again. */
+  /** Called when a placement can't be read. It is not called again until every placement that failed can be read. */
   readonly failed: (error: Error) => void
 }
 
 /** Reads domains and their placements, and stores new placements. */
 export class Domains {
   readonly #options: DomainsOptions
-  readonly #known = new Map<string, Domain>()
-  /** The epoch that an engine showed when a domain's placement was read again for it, by domain. */
-  readonly #readFor = new Map<string, number>()
-  /** Domains whose placement could not be read when it was last tried. */
+  readonly #cache = new Map<string, Domain>()
+  /** The epoch that an engine reported when the placement of its domain was last read again, by domain. */
+  readonly #refreshedForEpoch = new Map<string, number>()
+  /** Domains whose placement could not be read in the last attempt. */
   readonly #unreadable = new Set<string>()
   /** Domains whose placement is being written. */
   readonly #writing = new Set<string>()
@@ -49,39 +50,46 @@
 
   /** Every replica of the domains that were read. */
   get replicas (): PlannedReplica[] {
-    return [...this.#known.values()].flatMap(each => each.placement.replicas)
+    return [...this.#cache.values()].flatMap(each => each.placement.replicas)
   }
 
   /**
-   * The domains of a service whose placements can be read, in the order in which the roster first names them. All that have to be read are
-   * read at the same time: a planner that takes over 20 domains while the store takes 240 ms begins after one such time, not after 5 s.
+   * The domains of a service whose placements can be read, in the order in which the roster first names them. All
+   * placements that are not cached are read in parallel: with 20 domains and a store that takes 240 ms per call, a new
+   * planner begins after 240 ms instead of 5 s.
    */
   async read (service: Service): Promise<Domain[]> {
-    const groups = [...this.#group(service.name)]
+    const groups = [...this.#groupByDomain(service.name)]
     const read = await Promise.all(groups.map(async ([name, upstreams]) => await this.#readOne(service.name, domainKey(service.name, name), upstreams)))
     return read.filter(each => each !== undefined)
   }
 
   async #readOne (service: string, key: string, upstreams: readonly Upstream[]): Promise<Domain | undefined> {
-    const shown = Math.max(0, ...upstreams.map(each => each.membership?.epoch ?? 0))
-    const cached = this.isWriting(key) || !this.#isOutdated(key, shown) ? this.#known.get(key) : undefined
+    const reportedEpoch = Math.max(0, ...upstreams.map(each => each.membership?.epoch ?? 0))
+    const cached = this.isWriting(key) || !this.#isOutdated(key, reportedEpoch) ? this.#cache.get(key) : undefined
     const known = cached ?? await this.#load(key)
     if (known === undefined) return undefined
     const domain = { key, service, upstreams, placement: known.placement, version: known.version }
-    this.#known.set(key, domain)
+    this.#cache.set(key, domain)
     return domain
   }
 
-  /** Whether a domain's placement is being written: what it will be is not known, so the domain is not planned. */
+  /**
+   * Whether a domain's placement is being written. The domain is not planned meanwhile, because the result of the write
+   * is not known.
+   */
   isWriting (key: string): boolean {
     return this.#writing.has(key)
   }
 
-  /** Whether a domain's placement is still the stored one. If not, or if that cannot be known, it is read again at the next look. */
+  /**
+   * Whether a domain's placement is still the stored one. If not, or if the store does not answer, the next pass reads
+   * it again.
+   */
   async isCurrent ({ key, version }: Domain): Promise<boolean> {
     const read = await this.#options.placements.read(key)
     if (read.isOk() && read.value.version === version) return true
-    this.#known.delete(key)
+    this.#cache.delete(key)
     return false
   }
 
@@ -90,33 +98,33 @@
     this.#writing.add(domain.key)
     const written = await this.#options.placements.write(placement, domain.version).finally(() => this.#writing.delete(domain.key))
     if (written.isErr()) {
-      // Another planner was first, or the write may have been done: what is stored is read again at the next look.
-      this.#known.delete(domain.key)
+      // Another planner wrote first, or the write may have succeeded. The next pass reads the stored placement again.
+      this.#cache.delete(domain.key)
       return false
     }
-    // A domain that was forgotten meanwhile is read again when it is needed.
-    if (this.#known.has(domain.key)) this.#known.set(domain.key, { ...domain, placement, version: written.value })
+    // If the domain was discarded meanwhile, it is read again when it is needed.
+    if (this.#cache.has(domain.key)) this.#cache.set(domain.key, { ...domain, placement, version: written.value })
     return true
   }
 
-  /** Forgets the domains of a service, which another process may change from now on. */
+  /** Discards the cached domains of a service, because another process may change them from now on. */
   forget (service: string): void {
-    for (const [key, domain] of this.#known) if (domain.service === service) this.#known.delete(key)
+    for (const [key, domain] of this.#cache) if (domain.service === service) this.#cache.delete(key)
   }
 
   /**
-   * Whether a cached placement has been replaced by another planner: an engine is in a later replica than any that it holds. True
-   * once for each epoch, since engines may also be in replicas that nobody planned.
+   * Whether another planner has replaced a cached placement: an engine is in a replica with a higher epoch than the
+   * placement. True only once for each epoch, because engines may also be in replicas that no planner planned.
    */
-  #isOutdated (key: string, shown: number): boolean {
-    const known = this.#known.get(key)
-    if (known === undefined || shown <= known.placement.epoch || shown === this.#readFor.get(key)) return false
-    this.#readFor.set(key, shown)
+  #isOutdated (key: string, reportedEpoch: number): boolean {
+    const cached = this.#cache.get(key)
+    if (cached === undefined || reportedEpoch <= cached.placement.epoch || reportedEpoch === this.#refreshedForEpoch.get(key)) return false
+    this.#refreshedForEpoch.set(key, reportedEpoch)
     return true
   }
 
-  /** The engines of a service by domain. */
-  #group (service: string): Map<string, Upstream[]> {
+  /** The engines of a service, grouped by domain. */
+  #groupByDomain (service: string): Map<string, Upstream[]> {
     const groups = new Map<string, Upstream[]>()
     for (const upstream of [...this.#options.roster.upstreams, ...this.#options.unlisted?.() ?? []]) {
       if (upstream.service !== service || upstream.domain === undefined) continue
--- a/packages/forming/src/draft.ts
+++ b/packages/forming/src/draft.ts
@@ -1,6 +1,6 @@
 /**
- * The placement of one domain as it changes within a step. Owns the rules of epochs and names, and of what is lacking. Later
- * decisions of a step see the changes of earlier ones.
+ * The placement of one domain while a step changes it. Owns the rules for epochs and names, and the rule for which
+ * replicas are lacking. Later decisions of a step are based on the changes of earlier ones.
  */
 import { type Upstream } from '@eiderwind/roster'
 import { type Model } from '@eiderwind/traffic'
@@ -8,10 +8,10 @@
 import { type Snapshot } from './snapshot.js'
 import { type Counts } from './targets.js'
 
-/** The placement as the step leaves it so far. */
+/** The placement with the changes of the step so far. */
 export class PlacementDraft {
   readonly snapshot: Snapshot
-  /** The decisions, in words for the log. */
+  /** The decisions, as text for the log. */
   readonly notes: string[] = []
   #placement: Placement
 
@@ -34,18 +34,24 @@
     return this.#placement !== this.snapshot.facts.placement
   }
 
-  /** Models with fewer intact replicas here than planned, by need, then by size, then by the order of the configuration. */
+  /**
+   * Models with fewer intact replicas here than planned, ordered by need, then by size, then by the order of the
+   * configuration.
+   */
   get lacking (): Model[] {
     const { models } = this.snapshot.facts.engine
     const need = (model: Model): number => this.snapshot.need(model.name)
-    return models.filter(each => this.#count(each.name) < (this.#placement.targets[each.name] ?? 0))
+    return models.filter(each => this.#countIntact(each.name) < (this.#placement.targets[each.name] ?? 0))
       .sort((a, b) => need(b) - need(a) || b.size - a.size)
   }
 
-  /** Plans a replica, with an epoch above every epoch that the placement or an engine shows. The first member is the head. */
+  /**
+   * Plans a replica. Its epoch is higher than every epoch in the placement and every epoch that an engine reports. The
+   * first member is the head.
+   */
   form (model: Model, members: readonly Upstream[]): void {
-    const shown = this.snapshot.facts.upstreams.map(each => each.membership?.epoch ?? 0)
-    const epoch = Math.max(this.#placement.epoch, ...shown) + 1
+    const reportedEpochs = this.snapshot.facts.upstreams.map(each => each.membership?.epoch ?? 0)
+    const epoch = Math.max(this.#placement.epoch, ...reportedEpochs) + 1
     const { domain, replicas } = this.#placement
     const name = `${domain}.${epoch}`
     const formed = { name, model: model.name, epoch, members: members.map(({ id, address }) => ({ id, address })) }
@@ -53,14 +59,14 @@
     this.notes.push(`${name} of ${model.name} formed: ${members.map(each => each.id).join(' ')}`)
   }
 
-  /** Frees the engines of a replica. */
+  /** Removes a replica from the placement, which frees its engines. */
   dissolve ({ name, model }: PlannedReplica, why: string): void {
     const replicas = this.#placement.replicas.filter(each => each.name !== name)
     this.#placement = { ...this.#placement, replicas }
     this.notes.push(`${name} of ${model} dissolved: ${why}`)
   }
 
-  /** Has replicas stop serving, so that their engines can serve `model`. */
+  /** Marks replicas as retiring: they stop serving, so that their engines can serve `model`. */
   retire (retired: readonly PlannedReplica[], model: Model): void {
     const names = new Set(retired.map(each => each.name))
     const replicas = this.#placement.replicas.map(each => names.has(each.name) ? { ...each, retiring: true } : each)
@@ -68,8 +74,10 @@
     this.notes.push(`${[...names].join(' ')} retired for ${model.name}`)
   }
 
-  /** Intact replicas of a model in this domain that are not evacuated; retiring ones count until they are dissolved. */
-  #count (model: string): number {
+  /**
+   * Intact replicas of a model in this domain that are not evacuated. A retiring replica counts until it is dissolved.
+   */
+  #countIntact (model: string): number {
     return this.#placement.replicas.filter(each => each.model === model && this.snapshot.isIntact(each) && !this.snapshot.isEvacuated(each)).length
   }
 }
--- a/packages/forming/src/engines.ts
+++ b/packages/forming/src/engines.ts
@@ -1,22 +1,28 @@
-/** What single engines hold and can do, as the roster lists them. Pure; relies on nothing else. */
+/** What a single engine holds and can do, according to its record in the roster. Pure; relies on nothing else. */
 import { type Upstream } from '@eiderwind/roster'
 
-/** Whether an engine has a model's weights, in use or in its host's memory, and so serves it without a load. */
+/**
+ * Whether an engine has a model's weights, in use or in its host's memory. Such an engine serves the model without a
+ * load from the weight store.
+ */
 export function holds ({ loaded, staged }: Upstream, model: string): boolean {
   return loaded.includes(model) || staged.includes(model)
 }
 
-/** Whether an engine has no weights at all, as a new one. */
+/** Whether an engine has no weights at all, like a new engine. */
 export function isEmpty ({ loaded, staged }: Upstream): boolean {
   return loaded.length === 0 && staged.length === 0
 }
 
-/** Whether an engine can be counted on: it answers and has not announced that it leaves. */
+/** Whether an engine counts as available: it answers and has not announced that it leaves. */
 export function isStaying ({ id, leaving }: Upstream, unreachable: ReadonlySet<string>): boolean {
   return !leaving && !unreachable.has(id)
 }
 
-/** How far an engine is from serving a model: 0 loaded, 1 a load from its host's memory, 2 a load from the weight store. */
+/**
+ * How far an engine is from serving a model. 0: loaded. 1: needs a load from its host's memory. 2: needs a load from
+ * the weight store.
+ */
 export function loadDistance ({ loaded, staged }: Upstream, model: string): number {
   if (loaded.includes(model)) return 0
   return staged.includes(model) ? 1 : 2
--- a/packages/forming/src/fleet.ts
+++ b/packages/forming/src/fleet.ts
@@ -1,4 +1,7 @@
-/** What all domains of a service show together. Owns one rule: when all engines of a first start have appeared. */
+/**
+ * Facts about all domains of a service together. Owns the rules for when engines are still appearing, at a first start
+ * and in a single domain.
+ */
 import { type Clock } from '@eiderwind/clock'
 import { type Upstream } from '@eiderwind/roster'
 import { type Domain } from './domains.js'
@@ -6,81 +9,89 @@
 import { type Counts, type DomainSize } from './targets.js'
 
 /**
- * All engines of a first start have appeared once no further one has for this long, in ms: those of a large site
- * list themselves over some seconds.
+ * All engines of a first start count as present when no further engine has appeared for this long, in ms. The engines
+ * of a large site register over several seconds.
  */
-const arrivalTime = 600
+const settleTime = 600
 
-/** Notices when the engines of a first start have all appeared; targets set for the first few would last and be wrong. */
+/**
+ * Detects when all engines of a first start have appeared. Targets that are set for the first few engines would be
+ * wrong and would persist.
+ */
 export class Arrivals {
   readonly #clock: Clock
-  /** The most engines that were listed so far, and since when, on `Clock.now`. */
-  #most = 0
-  #since = -Infinity
+  /** The highest number of engines listed so far, and since when, on `Clock.now`. */
+  #maxCount = 0
+  #maxSince = -Infinity
 
   constructor (clock: Clock) {
     this.#clock = clock
   }
 
-  /** Whether engines are still appearing, while no domain was ever planned. */
-  underWay (domains: readonly Domain[]): boolean {
+  /** Whether engines are still appearing. False as soon as any domain has been planned. */
+  isUnderWay (domains: readonly Domain[]): boolean {
     const count = domains.reduce((sum, each) => sum + each.upstreams.length, 0)
-    if (count > this.#most) {
-      this.#most = count
-      this.#since = this.#clock.now()
+    if (count > this.#maxCount) {
+      this.#maxCount = count
+      this.#maxSince = this.#clock.now()
     }
-    return domains.every(each => each.placement.epoch === 0) && this.#clock.now() - this.#since < arrivalTime
+    return domains.every(each => each.placement.epoch === 0) && this.#clock.now() - this.#maxSince < settleTime
   }
 }
 
 /**
- * A domain's targets wait this long at the most while its engines appear one after the other, in ms: one that is added each second should not
- * keep the others idle.
+ * Upper bound on how long a domain's targets wait while its engines appear one after the other, in ms. Without it, an
+ * engine that is added each second would keep the others idle.
  */
-const longestArrival = 2000
+const maxSettleTime = 2000
 
-/** The engines that a domain had at the last look. */
-interface Appeared {
+/** The engines that a domain had in the last pass. */
+interface AppearanceState {
   readonly ids: ReadonlySet<string>
-  /** When the first and the newest of those came that appeared shortly after each other, on `Clock.now`. */
+  /**
+   * When the first and the latest engine of the current series appeared, on `Clock.now`. The engines of a series appear
+   * shortly after each other.
+   */
   readonly begunAt: number
   readonly newestAt: number
 }
 
 /**
- * Notices domains that were dark and whose engines are still appearing. Their targets must not rise yet: those for the first few
- * engines are of the smaller models, and last: the engines of a large replica would stay idle. A domain that has room for any replica does not
- * wait when single engines come: each would keep the others idle for a while.
+ * Detects domains that were dark and whose engines are still appearing. Their targets must not rise yet: targets for
+ * the first few engines would be replicas of the smaller models, and they persist, so the engines of a large replica
+ * would stay idle. A domain with room for any replica does not wait for single new engines, because each would keep the
+ * others idle for a while.
  */
 export class Appearances {
   readonly #clock: Clock
-  readonly #domains = new Map<string, Appeared>()
+  readonly #domains = new Map<string, AppearanceState>()
 
   constructor (clock: Clock) {
     this.#clock = clock
   }
 
   /**
-   * Whether engines are still appearing in a domain that was dark. One that is seen for the first time counts as complete.
-   * @param largest engines in a replica of the largest model: a domain that had as many was not dark
+   * Whether engines are still appearing in a domain that was dark. A domain that is seen for the first time counts as
+   * complete.
+   * @param maxReplicaSize engines in a replica of the largest model. A domain that had as many was not dark
    */
-  underWay ({ key, upstreams }: Pick<Domain, 'key' | 'upstreams'>, largest: number): boolean {
+  isUnderWay ({ key, upstreams }: Pick<Domain, 'key' | 'upstreams'>, maxReplicaSize: number): boolean {
     const now = this.#clock.now()
-    const appeared = this.#look(this.#domains.get(key), new Set(upstreams.map(each => each.id)), largest, now)
-    this.#domains.set(key, appeared)
-    return now - appeared.newestAt < arrivalTime && now - appeared.begunAt < longestArrival
+    const state = this.#nextState(this.#domains.get(key), new Set(upstreams.map(each => each.id)), maxReplicaSize, now)
+    this.#domains.set(key, state)
+    return now - state.newestAt < settleTime && now - state.begunAt < maxSettleTime
   }
 
-  #look (before: Appeared | undefined, ids: ReadonlySet<string>, largest: number, now: number): Appeared {
+  #nextState (before: AppearanceState | undefined, ids: ReadonlySet<string>, maxReplicaSize: number, now: number): AppearanceState {
     if (before === undefined) return { ids, begunAt: -Infinity, newestAt: -Infinity }
     if ([...ids].every(id => before.ids.has(id))) return { ...before, ids }
-    if (now - before.newestAt < arrivalTime) return { ids, begunAt: before.begunAt, newestAt: now }
-    return before.ids.size < largest ? { ids, begunAt: now, newestAt: now } : { ...before, ids }
+    if (now - before.newestAt < settleTime) return { ids, begunAt: before.begunAt, newestAt: now }
+    return before.ids.size < maxReplicaSize ? { ids, begunAt: now, newestAt: now } : { ...before, ids }
   }
 }
 
-/** Engines that do not count now: those that do not answer, and those in data centres that are evacuated. */
-export interface Absent {
+/** Engines that are not counted now: those that do not answer, and those in evacuated data centres. */
+export interface Exclusions {
   readonly unreachable: ReadonlySet<string>
   readonly evacuated: ReadonlySet<string>
 }
@@ -90,20 +101,23 @@
   return upstreams.length > 0 && upstreams.every(({ id }) => evacuated.has(id))
 }
 
-/** What the targets of a domain depend on. @param appearing whether further engines are still appearing there */
-export function domainSize ({ key, placement, upstreams }: Domain, absent: Absent, appearing: boolean): DomainSize {
-  return { key, nodes: upstreams.filter(each => counts(each, absent)).length, targets: placement.targets, appearing }
+/**
+ * The properties of a domain on which its targets depend.
+ * @param appearing whether further engines are still appearing there
+ */
+export function domainSize ({ key, placement, upstreams }: Domain, exclusions: Exclusions, appearing: boolean): DomainSize {
+  return { key, nodes: upstreams.filter(each => isCounted(each, exclusions)).length, targets: placement.targets, appearing }
 }
 
-function counts (upstream: Upstream, { unreachable, evacuated }: Absent): boolean {
+function isCounted (upstream: Upstream, { unreachable, evacuated }: Exclusions): boolean {
   return isStaying(upstream, unreachable) && !evacuated.has(upstream.id)
 }
 
-/** Replicas of each model that have all their members. */
-export function intactReplicas (domains: readonly Domain[], absent: Absent): Counts {
+/** Replicas of each model whose members are all available. */
+export function intactReplicas (domains: readonly Domain[], exclusions: Exclusions): Counts {
   const intact: Record<string, number> = {}
   for (const { placement, upstreams } of domains) {
-    const staying = new Set(upstreams.filter(each => counts(each, absent)).map(each => each.id))
+    const staying = new Set(upstreams.filter(each => isCounted(each, exclusions)).map(each => each.id))
     for (const { model, members } of placement.replicas) {
       if (members.every(({ id }) => staying.has(id))) intact[model] = (intact[model] ?? 0) + 1
     }
@@ -111,7 +125,7 @@
   return intact
 }
 
-/** Whether every domain has targets, and as many open replicas as they ask for. */
+/** Whether every domain has targets, and at least as many open replicas as they require. */
 export function targetsMet (domains: readonly Domain[]): boolean {
   return domains.every(({ placement: { targets, replicas }, upstreams }) => {
     const open = new Set(upstreams.filter(each => each.membership?.state === 'open').map(each => each.membership?.replica))
--- a/packages/forming/src/index.ts
+++ b/packages/forming/src/index.ts
@@ -1,4 +1,4 @@
-/** The planner of replicas that engines form by orders, and the controller that carries its steps out. */
+/** The planner of the replicas that engines form on its orders, and the controller that carries out its steps. */
 export { Placements, emptyPlacement, type Member, type Placement, type PlannedReplica, type WriteFailure } from './placement.js'
 export { MemoryPlacements } from './memory.js'
 export { Orders, type Order, type OrderKind, type OrderResult } from './orders.js'
--- a/packages/forming/src/lifecycle.ts
+++ b/packages/forming/src/lifecycle.ts
@@ -1,6 +1,7 @@
 /**
- * What a planned replica needs next: orders to its engines, or its end. Pure. Owns two safety rules: a replica is opened only when
- * every member says that it is ready in it, and its engines are free only once its head is known not to serve.
+ * Decides what a planned replica needs next: orders to its engines, or its dissolution. Pure. It owns two safety rules.
+ * A replica is opened only when every member reports that it is ready in it. Its engines are free only when its head is
+ * known not to serve.
  */
 import { type PlacementDraft } from './draft.js'
 import { type OrderHistory } from './history.js'
@@ -8,10 +9,10 @@
 import { type PlannedReplica } from './placement.js'
 import { type Snapshot } from './snapshot.js'
 
-/** The next step of one replica. Without orders or a reason to dissolve it, it stays as it is. */
+/** The next step of one replica. Without orders and without a reason to dissolve it, the replica stays unchanged. */
 export interface ReplicaStep {
   readonly orders?: readonly UnfencedOrder[]
-  /** Why it is dissolved now, in words for the log. */
+  /** Why the replica is dissolved now, as text for the log. */
   readonly dissolved?: string
 }
 
@@ -33,10 +34,11 @@
 }
 
 /**
- * Whether a replica must end although no member is missing: its head was ordered to leave, here or by another planner, so that it has been in
- * it and is no more. Where another process planned the replica, its head may also never have joined; that looks alike.
- * Having it join again could undo what another planner relies on: that the head, once it has left, never serves this replica. A planner whose
- * orders are late, for want of processor time, would have it serve while its engines are ordered into another replica.
+ * Whether a replica must end although no member is missing. This is the case when its head was a member and has left,
+ * on an order of this planner or of another one. A head of another process's replica that has never joined looks the
+ * same. If the head joined again, it could break an assumption of another planner: a head that has left never serves
+ * this replica again. A planner whose orders are delayed by lack of processor time would have it serve while its
+ * engines are ordered into another replica.
  */
 function isAbandoned (replica: PlannedReplica, snapshot: Snapshot, history: OrderHistory): boolean {
   const { id } = replica.members[0]
@@ -44,7 +46,7 @@
   return !snapshot.isIn(replica, id) && !snapshot.facts.unjoined.has(replica.name)
 }
 
-/** Has members join that are not in the replica yet; opens it when all of them are ready. */
+/** Has the missing members join. Opens the replica when all members are ready. */
 function nextForUnopened (replica: PlannedReplica, snapshot: Snapshot): ReplicaStep {
   const outside = snapshot.staying(replica).filter(({ id }) => !snapshot.isIn(replica, id))
   if (outside.length > 0) return { orders: outside.filter(each => snapshot.isMovable(each)).map(each => joinOrder(replica, each)) }
@@ -53,9 +55,9 @@
 }
 
 /**
- * A replica whose head is not listed gets no requests any more. Once the head has left it, its engines form another one under a head that is
- * listed: their weights are loaded already. Requests in flight are cut and resumed elsewhere, since until the last of them has ended no
- * engine of the replica serves anybody else.
+ * A replica whose head is not listed receives no more requests. After the head has left, its engines form another
+ * replica under a listed head; their weights are already loaded. Requests in flight are cut and resumed elsewhere,
+ * because the engines of the replica cannot serve anything else until the last request has ended.
  */
 function nextForUnlistedHead (replica: PlannedReplica, snapshot: Snapshot, history: OrderHistory): ReplicaStep {
   const { id } = replica.members[0]
@@ -65,8 +67,8 @@
 }
 
 /**
- * A replica that lacks a member, or is about to, is closed, then dissolved. Requests in flight are completed only where all of its
- * missing members leave as announced; otherwise they have stalled, and are cut so that they are resumed elsewhere.
+ * Closes, then dissolves a replica that lacks a member or is about to. Requests in flight are completed only if all of
+ * its missing members leave as announced. Otherwise these requests have stalled, so they are cut and resumed elsewhere.
  */
 function nextForIncomplete (replica: PlannedReplica, snapshot: Snapshot, history: OrderHistory): ReplicaStep {
   const { id } = replica.members[0]
@@ -76,21 +78,26 @@
   const state = snapshot.headState(replica)
   if (state === 'open') return { orders: [closeOrder(replica, missing.every(each => snapshot.isLeaving(each)) ? 'finish' : 'cut')] }
   const close = closeOrder(replica, 'cut')
-  // A head that is not listed may serve on until it has left; then it is dead. One that is listed may have opened since.
+  // A head that is not listed may continue to serve until it has left; then it counts as dead. A listed head may have
+  // opened since its last record.
   if (snapshot.find(id) === undefined) return { orders: [history.hasAnswered(close) ? leaveOrder(replica) : close] }
   if (state === 'closing' || history.mayServe(id, replica.name)) return { orders: [close] }
   return state === 'ready' ? dissolveOnceLeft(replica, dissolved, history) : { dissolved }
 }
 
 /**
- * Dissolves a replica whose head is listed and does not serve, once the head has left it: an order to open that was not answered, or
- * one of another planner, may be carried out seconds later, when the other members are in other replicas already.
+ * Dissolves a replica after its head has left it. The head is listed and does not serve, but an open order that was not
+ * answered, or one of another planner, may be carried out seconds later. By then the other members could be in other
+ * replicas.
  */
 function dissolveOnceLeft (replica: PlannedReplica, dissolved: string, history: OrderHistory): ReplicaStep {
   return history.hasLeft(replica.members[0].id, replica.name) ? { dissolved } : { orders: [leaveOrder(replica)] }
 }
 
-/** A replica that gives its engines to another model is closed, then dissolved. While some model has no replica, it is cut. */
+/**
+ * Closes, then dissolves a replica that gives its engines to another model. If some model has no replica, requests in
+ * flight are cut.
+ */
 function nextForRetiring (replica: PlannedReplica, draft: PlacementDraft, history: OrderHistory): ReplicaStep {
   const state = draft.snapshot.headState(replica)
   if (state === 'open') {
--- a/packages/forming/src/loadlimit.ts
+++ b/packages/forming/src/loadlimit.ts
@@ -1,6 +1,6 @@
 /**
- * How many loads from the weight store may run, of this planner and of those before it. Owns the loads that this planner has
- * ordered and the tokens for new ones; relies on the roster to show when a load has ended.
+ * Limits how many loads from the weight store run, including the loads of earlier planners. Owns the loads that this
+ * planner has ordered and the tokens for new ones. Relies on the roster to show when a load has ended.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Upstream } from '@eiderwind/roster'
@@ -8,37 +8,37 @@
 import { holds } from './engines.js'
 
 /**
- * Loads that may begin at once after a quiet time. The deployments allow 1.1 times the rate over 5 s, and 3 loads more; 2 stays
- * below that at any rate. Not compared with other numbers.
+ * Loads that may begin at once after a quiet time. The deployments allow 1.1 times the rate over 5 s, plus 3 loads; 2
+ * stays below that at any rate.
  */
 const burst = 2
 
-/** A load that is never seen to end counts as ended after this many times its own time. */
-const loadPatience = 3
+/** A load whose end is not seen counts as ended after this many times its expected duration. */
+const loadTimeoutFactor = 3
 
-/** A load that is to begin. */
+/** A load that is about to begin. */
 export interface LoadRequest {
-  /** Holds the weight store's limits: loads begun in a second, and running at a time. */
+  /** Holds the weight store's limits: loads begun per second, and concurrent loads. */
   readonly engine: Engine
   readonly node: string
   readonly model: string
-  /** How long it takes if no other runs, in ms. */
+  /** Duration of the load if no other load runs, in ms. */
   readonly duration: number
-  /** How many loads must still be able to begin beside it. */
+  /** How many further loads must still be able to begin. */
   readonly keepFree: number
-  /** Whether the rate applies. The limit of loads at a time always does. */
+  /** Whether the rate applies. The limit of concurrent loads always applies. */
   readonly rated: boolean
 }
 
 interface Load {
   readonly model: string
-  /** When it counts as ended whatever is listed, on `Clock.now`. */
+  /** When the load counts as ended even if the list does not show its end, on `Clock.now`. */
   readonly until: number
 }
 
 /**
- * Permits for loads: a token bucket for the rate, and a limit of loads at a time. The bucket starts empty, since the planner of
- * a moment ago, in another process, may have used up the rate.
+ * Permits for loads: a token bucket for the rate, and a limit of concurrent loads. The bucket starts empty, because an
+ * earlier planner in another process may have used up the rate a moment ago.
  */
 export class LoadLimit {
   readonly #clock: Clock
@@ -48,38 +48,38 @@
   #tokens = 0
   #filledAt: number
 
-  /** @param othersLoads the loads in progress by orders of other planners: the model, by node */
+  /** @param othersLoads the loads in progress on orders of other planners: the model, by node */
   constructor (clock: Clock, othersLoads: () => ReadonlyMap<string, string> = () => new Map()) {
     this.#clock = clock
     this.#othersLoads = othersLoads
     this.#filledAt = clock.now()
   }
 
-  /** Acquires a permit for one load. Returns whether there was one. */
+  /** Acquires a permit for one load. Returns whether a permit was available. */
   acquire ({ engine, node, model, duration, keepFree, rated }: LoadRequest): boolean {
     const now = this.#clock.now()
     this.#tokens = rated ? Math.min(burst, this.#tokens + (now - this.#filledAt) / 1000 * engine.loadRate) : 0
     this.#filledAt = now
-    const besides = new Set([...this.#running.keys(), ...this.#othersLoads().keys()])
-    besides.delete(node)
-    const permitted = (!rated || this.#tokens >= 1) && besides.size < engine.loadsAtOnce - keepFree
+    const otherNodes = new Set([...this.#running.keys(), ...this.#othersLoads().keys()])
+    otherNodes.delete(node)
+    const permitted = (!rated || this.#tokens >= 1) && otherNodes.size < engine.loadsAtOnce - keepFree
     if (!permitted) return false
     if (rated) this.#tokens--
-    this.#running.set(node, { model, until: now + loadPatience * duration })
+    this.#running.set(node, { model, until: now + loadTimeoutFactor * duration })
     return true
   }
 
-  /** The model whose weights an engine loads by this planner's order, or by that of one before it. */
+  /** The model whose weights an engine loads, on an order of this planner or of an earlier one. */
   loading (node: string): string | undefined {
     return this.#running.get(node)?.model ?? this.#othersLoads().get(node)
   }
 
-  /** Whether a load in progress is by another planner's order. */
-  isOthers (node: string): boolean {
+  /** Whether an engine's load in progress was ordered by another planner. */
+  isOrderedElsewhere (node: string): boolean {
     return !this.#running.has(node) && this.#othersLoads().has(node)
   }
 
-  /** Loads in progress by this planner's orders. */
+  /** Loads in progress on this planner's orders. */
   get running (): ReadonlyArray<{ readonly node: string, readonly model: string }> {
     return [...this.#running].map(([node, { model }]) => ({ node, model }))
   }
--- a/packages/forming/src/pace.ts
+++ b/packages/forming/src/pace.ts
@@ -1,71 +1,72 @@
 /**
- * When a controller looks at its facts: at once after each change, one look at a time, and with pauses that leave most of the processor to other
- * work. Owns the timer of a pause. Relies on the controller to say how long its looks take.
+ * Schedules the passes of a controller. A pass runs at once after each change, one at a time, with pauses that leave
+ * most of the processor to other work. Owns the timer of a pause, and relies on the controller to report how long its
+ * passes take.
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 
 /** Dependencies of `Pace`. */
 export interface PaceOptions {
   readonly clock: Clock
-  /** One look. */
-  readonly look: () => Promise<void>
-  /** Called with an error of a look. */
+  /** Runs one pass. */
+  readonly runPass: () => Promise<void>
+  /** Called with the error of a pass. */
   readonly failed: (error: unknown) => void
 }
 
 /**
- * Part of a core that looks may take while everything changes at once, as a share from 0 to 1: after a look the next one waits four times
- * as long as that look took. In a fleet of 380 engines each death changes some 20 of them, and a planner that has just taken over and looks at
- * every change gives orders that take 0.6 to 1 s instead of 0.02, since it has time for nothing else. In a small fleet a look takes below
- * 1 ms, and the next waits below 4.
+ * Share of a core that passes may use while changes arrive continuously, from 0 to 1. With 0.2, the next pass waits
+ * four times as long as the last one took. In a fleet of 380 engines each death changes about 20 of them. A planner
+ * that has just taken over and runs a pass for every change has no time for anything else: its orders take 0.6 to 1 s
+ * instead of 0.02 s. In a small fleet a pass takes less than 1 ms, so the next one waits less than 4 ms.
  */
-const lookShare = 0.2
+const passCpuShare = 0.2
 
-/** Wakes a controller. */
+/** Runs passes when the controller is woken. */
 export class Pace {
   readonly #options: PaceOptions
-  #looking = false
-  #lookAgain = false
-  /** Until when the next look waits, on `Clock.now`. */
-  #restUntil = -Infinity
-  #rest: Subscription | undefined
+  #isRunning = false
+  #runAgain = false
+  /** When the current pause ends, on `Clock.now`. */
+  #pausedUntil = -Infinity
+  #pauseTimer: Subscription | undefined
 
   constructor (options: PaceOptions) {
     this.#options = options
   }
 
-  /** Looks now, after the look in progress, or once the pause is over. */
+  /** Runs a pass now, or after the pass in progress, or when the pause has ended. */
   wake (): void {
-    if (this.#looking) {
-      this.#lookAgain = true
+    if (this.#isRunning) {
+      this.#runAgain = true
       return
     }
-    if (this.#isResting()) return
-    this.#looking = true
-    this.#lookAgain = false
-    const { look, failed } = this.#options
-    look().catch(failed).finally(() => {
-      this.#looking = false
-      if (this.#lookAgain) this.wake()
+    if (this.#isPaused()) return
+    this.#isRunning = true
+    this.#runAgain = false
+    const { runPass, failed } = this.#options
+    runPass().catch(failed).finally(() => {
+      this.#isRunning = false
+      if (this.#runAgain) this.wake()
     })
   }
 
-  /** Takes how long the look in progress has kept the processor busy. @param time in ms */
-  took (time: number): void {
-    this.#restUntil = this.#options.clock.now() + time * (1 / lookShare - 1)
+  /** Records how long the pass in progress has occupied the processor. @param time in ms */
+  recordDuration (time: number): void {
+    this.#pausedUntil = this.#options.clock.now() + time * (1 / passCpuShare - 1)
   }
 
   stop (): void {
-    this.#rest?.cancel()
+    this.#pauseTimer?.cancel()
   }
 
-  /** Whether the next look has to wait; it is then made once the wait is over. */
-  #isResting (): boolean {
+  /** Whether the next pass has to wait. If so, a timer starts it at the end of the pause. */
+  #isPaused (): boolean {
     const { clock } = this.#options
-    const wait = this.#restUntil - clock.now()
+    const wait = this.#pausedUntil - clock.now()
     if (wait <= 0) return false
-    this.#rest ??= clock.after(wait, () => {
-      this.#rest = undefined
+    this.#pauseTimer ??= clock.after(wait, () => {
+      this.#pauseTimer = undefined
       this.wake()
     })
     return true
--- a/packages/forming/src/permits.ts
+++ b/packages/forming/src/permits.ts
@@ -1,25 +1,28 @@
 /**
- * Whether an order may be given now: which may be repeated, and which load may begin. Relies on the order history and the load
- * limit; asking acquires the permit of an order that loads.
+ * Decides whether an order may be sent now: which orders may be repeated, and which loads may begin. Relies on the
+ * order history and the load limit. The check of an order that loads also acquires its permit.
  */
 import { type DomainFacts } from './facts.js'
 import { type OrderHistory } from './history.js'
 import { type LoadLimit } from './loadlimit.js'
 import { type Order } from './orders.js'
 
-/** Part of the loads at a time that a load nothing waits for leaves free, for repairs. */
+/** Share of the concurrent loads that is reserved for repairs when a load starts that nothing waits for. */
 const repairShare = 0.5
 
-/** Whether an order may be given now. One that may not is planned and asked about again at the next look. */
-export function mayGive (order: Order, facts: DomainFacts, history: OrderHistory, loads: LoadLimit): boolean {
+/** Whether an order may be sent now. If not, it is planned and checked again in the next pass. */
+export function maySend (order: Order, facts: DomainFacts, history: OrderHistory, loads: LoadLimit): boolean {
   if (!history.isDue(order)) return false
   if (!order.loads) return true
-  // A load in progress is not ordered again, which would take a permit from another one.
-  if (loads.loading(order.node) === order.model && (loads.isOthers(order.node) || history.wasTaken(order))) return false
+  // A load in progress is not ordered again, because that would take a permit from another load.
+  if (loads.loading(order.node) === order.model && (loads.isOrderedElsewhere(order.node) || history.wasTaken(order))) return false
   return acquireLoad(order, facts, loads)
 }
 
-/** A load that nothing waits for leaves room for repairs. Before traffic, when loads slow no request, it waits for the targets. */
+/**
+ * Acquires a permit for a load. A load that nothing waits for leaves room for repairs. Before traffic, when loads slow
+ * no request, such a load waits until the targets are met.
+ */
 function acquireLoad ({ node, model = '', spare = false }: Order, facts: DomainFacts, loads: LoadLimit): boolean {
   const { engine, beforeTraffic, targetsMet } = facts
   if (spare && beforeTraffic && !targetsMet) return false
--- a/packages/forming/src/planner.ts
+++ b/packages/forming/src/planner.ts
@@ -1,6 +1,6 @@
 /**
- * The next step of one domain, from its desired and its actual state. Owns the order of the decisions within a step. Its only
- * state is what it is given: the order history and the load limit.
+ * Plans the next step of one domain from its desired and its actual state. Owns the order of the decisions within a
+ * step. It has no state of its own and relies on the order history and the load limit that it receives.
  */
 import { type Model } from '@eiderwind/traffic'
 import { donorsFor, membersFor } from './composition.js'
@@ -10,7 +10,7 @@
 import { nextForReplica } from './lifecycle.js'
 import { type LoadLimit } from './loadlimit.js'
 import { stageOrder, type UnfencedOrder } from './orders.js'
-import { mayGive } from './permits.js'
+import { maySend } from './permits.js'
 import { Pool } from './pool.js'
 import { Snapshot } from './snapshot.js'
 import { stagingFor } from './staging.js'
@@ -24,10 +24,10 @@
 }
 
 /**
- * Plans the next step of a domain. Four safety rules hold whatever the facts are: a replica is opened only when every member
- * says that it is ready in it (lifecycle.ts); an engine enters another replica only when its old head does not serve
- * (lifecycle.ts, snapshot.ts); each change has a higher epoch (draft.ts); loads stay below the weight store's limits
- * (loadlimit.ts).
+ * Plans the next step of a domain. Four safety rules hold for any facts. A replica is opened only when every member
+ * reports that it is ready in it (lifecycle.ts). An engine enters another replica only when its old head does not serve
+ * (lifecycle.ts, snapshot.ts). Each change has a higher epoch (draft.ts). Loads stay below the limits of the weight
+ * store (loadlimit.ts).
  */
 export class Planner {
   readonly #history: OrderHistory
@@ -38,7 +38,7 @@
     this.#loads = loads
   }
 
-  /** The next step. It is empty where desired and actual state agree and no order is due. */
+  /** The next step. It is empty if the desired and the actual state agree and no order is due. */
   step (facts: DomainFacts): Step {
     const draft = new PlacementDraft(new Snapshot(facts))
     const pool = new Pool(draft, this.#loads)
@@ -47,17 +47,17 @@
     if (!facts.arriving) compose(pool)
     if (facts.warmSpares) orders.push(...warmingFor(pool))
     orders.push(...stagingFor(pool).map(stageOrder))
-    // The orders were planned for the stored placement. If that changes, only closes are sure to be right; the others are planned
-    // anew from the new placement, at the look that follows each write.
+    // The orders were planned for the stored placement. If the placement changes, only the orders to close are
+    // certainly still right. The others are planned again from the new placement, in the pass that follows each write.
     const valid = draft.changed ? orders.filter(each => each.kind === 'close') : orders
     const fence = facts.placement.epoch
-    // The order of the list decides which loads get the permits: those of replicas that form before staging.
-    const permitted = valid.map(each => ({ ...each, fence })).filter(each => mayGive(each, facts, this.#history, this.#loads))
+    // The order of the list decides which loads get the permits: loads for replicas that form precede staging.
+    const permitted = valid.map(each => ({ ...each, fence })).filter(each => maySend(each, facts, this.#history, this.#loads))
     const quiet = !draft.changed && orders.length === 0
     return { placement: draft.placement, orders: permitted, quiet, notes: draft.notes, survey }
   }
 
-  /** Looks after the replicas of the stored placement, in its order. */
+  /** Plans the next step of each replica of the stored placement, in the order of the placement. */
   #maintain (draft: PlacementDraft): UnfencedOrder[] {
     return draft.snapshot.facts.placement.replicas.flatMap(replica => {
       const { dissolved, orders } = nextForReplica(replica, draft, this.#history)
@@ -67,7 +67,10 @@
   }
 }
 
-/** Plans replicas of lacking models while engines suffice, then takes engines of other models for those that still lack some. */
+/**
+ * Plans replicas of lacking models while there are enough engines. Then takes engines of other models for the models
+ * that still lack replicas.
+ */
 function compose (pool: Pool): void {
   const { draft } = pool
   let formed = true
@@ -78,7 +81,7 @@
   }
 }
 
-/** Plans one more replica of a model. Returns whether there were engines for it. */
+/** Plans one more replica of a model. Returns whether there were enough engines. */
 function form (model: Model, pool: Pool): boolean {
   const members = membersFor(model, pool)
   if (members !== undefined) pool.draft.form(model, members)
--- a/packages/forming/src/reconciler.ts
+++ b/packages/forming/src/reconciler.ts
@@ -1,7 +1,7 @@
 /**
- * The controller of the replicas: reads the facts, has the planner make the next step of each domain, stores the placement and
- * gives the orders. Owns nothing that must last: the desired state is in the store and the actual one in the engines, so a
- * process that takes over continues from both.
+ * The controller of the replicas. It reads the facts, has the planner compute the next step of each domain, stores the
+ * placement and sends the orders. It owns no durable state: the desired state is in the store and the actual state is
+ * in the engines. A process that takes over continues from both.
  */
 import { type Subscription } from '@eiderwind/clock'
 import { Liveness, Unlisted, type LivenessOptions, type UnlistedEnd } from '@eiderwind/detect'
@@ -19,42 +19,51 @@
 import { type Placements } from './placement.js'
 import { Planner } from './planner.js'
 import { type Survey } from './survey.js'
-import { covered, repairNeeds, retarget, type Counts, type Demand, type DomainSize } from './targets.js'
+import { coverModels, repairNeeds, retarget, type Counts, type Demand, type DomainSize } from './targets.js'
 
 /**
- * Time between two looks at the domains, in ms, beside those after each change of the roster and each answer of an engine.
+ * Time between two passes over the domains, in ms. Each change of the roster and each answer of an engine also triggers
+ * a pass.
  */
-const lookInterval = 100
+const passInterval = 100
 
-/** Time between two reports of what the engines of a domain do, in ms: one line a second and domain. */
+/**
+ * Time between two surveys of the engines of a domain, in ms. Each survey is one log line, so a domain logs one line a
+ * second.
+ */
 const surveyInterval = 1000
 
 /** Dependencies of `Reconciler`. */
 export interface ReconcilerOptions extends Omit<LivenessOptions, 'changed' | 'isKept'> {
   readonly orders: Orders
   readonly placements: Placements
-  /** The services of the configuration in force. */
+  /** The services of the current configuration. */
   readonly services: () => readonly Service[]
   /** Whether this process is the leader of a service now. */
   readonly leads: (service: string) => boolean
-  /** Called when a placement of a service turned out to have been changed by another process: it may lead now. */
+  /** Called when another process has changed a placement of a service. That process may be the leader now. */
   readonly contested: (service: string) => void
-  /** The work of each model of a service. */
+  /** The share of the work that each model of a service has. */
   readonly demand: (service: string) => Demand
-  /** Loads that engines have begun by orders of other gateways, also of such as died within the time of a load: the model, by node. */
+  /**
+   * Loads that engines have begun on orders of other gateways: the model, by node. Includes the orders of gateways that
+   * stopped within the time of a load.
+   */
   readonly othersLoads: () => ReadonlyMap<string, string>
-  /** Whether no caller was ever served, by any gateway. */
+  /** Whether no gateway has ever served a caller. */
   readonly beforeTraffic: () => boolean
-  /** Called after each decision, once it is stored. */
+  /** Called with each decision after it is stored. */
   readonly decided: (domain: string, note: string, epoch: number) => void
-  /** How long an engine that answers is kept after its entry went, in ms; 0: not at all. */
+  /** How long an engine is retained after its entry disappears, in ms, as long as it answers. 0 disables this. */
   readonly keepUnlisted: number
-  /** Whether spares load weights from their host's memory before a replica needs them, and hold a second model beside. */
+  /**
+   * Whether spares load weights from their host's memory before a replica needs them, and hold a second model as well.
+   */
   readonly warmSpares: boolean
-  /** Called when an engine is kept although it is not listed, and when that ends. */
+  /** Called when an engine that is not listed is retained, and when that ends. */
   readonly unlisted: (engine: Upstream) => void
   readonly unlistedEnded: (engine: Upstream, how: UnlistedEnd) => void
-  /** Called with what the engines of a domain do, about once a second. */
+  /** Called with the survey of the engines of a domain, about once a second. */
   readonly surveyed: (domain: string, survey: Survey) => void
   /** Called when an order has ended, with the time that it took in ms. */
   readonly ordered: (order: Order, result: OrderResult, took: number) => void
@@ -73,9 +82,12 @@
   readonly #pace: Pace
   readonly #liveness: Liveness
   readonly #unlisted: Unlisted
-  /** When the engines of each domain were last reported on, on `Clock.now`. */
+  /** When the last survey of each domain was reported, on `Clock.now`. */
   readonly #surveyedAt = new Map<string, number>()
-  /** Names of replicas that this process planned since it leads their service, and whose heads have not joined yet. */
+  /**
+   * Names of replicas that this process has planned since it became the leader of their service, and whose heads have
+   * not joined yet.
+   */
   readonly #unjoined = new Set<string>()
   #timer: Subscription | undefined
   #unsubscribe: (() => void) | undefined
@@ -90,7 +102,7 @@
     this.#arrivals = new Arrivals(clock)
     this.#appearances = new Appearances(clock)
     this.#activity = new Activity(clock)
-    this.#pace = new Pace({ clock, look: async () => await this.#look(), failed: options.failed })
+    this.#pace = new Pace({ clock, runPass: async () => await this.#runPass(), failed: options.failed })
     this.#liveness = new Liveness({ ...options, isKept: id => this.#unlisted.has(id), changed: () => this.#livenessChanged() })
     this.#unlisted = new Unlisted({
       ...options,
@@ -105,7 +117,7 @@
 
   start (): void {
     const { clock, roster } = this.#options
-    this.#timer = clock.every(lookInterval, () => this.wake())
+    this.#timer = clock.every(passInterval, () => this.wake())
     this.#unsubscribe = roster.listen(changes => this.#rosterChanged(changes))
   }
 
@@ -115,13 +127,13 @@
     this.#unsubscribe?.()
   }
 
-  /** Loads that engines have begun by this planner's orders: the model, by node. */
+  /** Loads that engines have begun on this planner's orders: the model, by node. */
   get loads (): Record<string, string> {
     const begun = this.#loads.running.filter(({ node, model }) => this.#history.wasTaken({ kind: 'stage', node, model }))
     return Object.fromEntries(begun.map(({ node, model }) => [node, model]))
   }
 
-  /** Other planners' loads that have not ended: engines that hold the weights by now are done, and others are gone. */
+  /** Loads of other planners that are still running. A load has ended when the engine holds the weights or is gone. */
   #othersLoads (): ReadonlyMap<string, string> {
     const { roster, othersLoads } = this.#options
     return new Map([...othersLoads()].filter(([node, model]) => {
@@ -130,32 +142,32 @@
     }))
   }
 
-  /** Looks at the domains as soon as the pace allows. */
+  /** Runs a pass over the domains as soon as the pace allows. */
   wake (): void {
     this.#pace.wake()
   }
 
   #livenessChanged (): void {
-    this.#activity.happenedEverywhere()
+    this.#activity.recordFleetChange()
     this.wake()
   }
 
-  /** An upstream that is gone may have been in any domain. */
+  /** A record that is gone does not show its domain, so its removal concerns every domain. */
   #rosterChanged (changes: readonly RosterChange[]): void {
     for (const change of changes) {
-      if ('gone' in change) this.#activity.happenedEverywhere()
-      else this.#activity.happened(domainKey(change.upstream.service, change.upstream.domain ?? ''))
+      if ('gone' in change) this.#activity.recordFleetChange()
+      else this.#activity.recordChange(domainKey(change.upstream.service, change.upstream.domain ?? ''))
     }
     this.wake()
   }
 
-  /** Forgets what another planner may change from now on. */
+  /** Discards the cached state of a service that another planner may change from now on. */
   #forget (service: string): void {
     this.#domains.forget(service)
     for (const name of this.#unjoined) if (name.startsWith(domainKey(service, ''))) this.#unjoined.delete(name)
   }
 
-  /** Notes which heads of the planned replicas have joined them. */
+  /** Records which heads of the planned replicas have joined them. */
   #noteJoined (domains: readonly Domain[]): void {
     if (this.#unjoined.size === 0) return
     for (const { upstreams } of domains) {
@@ -163,8 +175,8 @@
     }
   }
 
-  /** One look at every service, in the order of the configuration. */
-  async #look (): Promise<void> {
+  /** One pass over every service, in the order of the configuration. */
+  async #runPass (): Promise<void> {
     const { roster, services, leads } = this.#options
     if (!roster.hasList) return
     this.#history.sweep()
@@ -178,12 +190,12 @@
   }
 
   /**
-   * One step in each domain of a service that needs one. The targets are set first, from the same facts for all; nothing is awaited between
-   * the steps, so that all see the same facts.
+   * Plans one step in each domain of a service that needs one. All targets are set first, from the same facts. Nothing
+   * is awaited between the steps, so that every step is planned from the same facts.
    */
   async #reconcile (service: Service, engine: Engine): Promise<void> {
     this.#unlisted.check()
-    const { newest } = this.#activity
+    const { latestChange } = this.#activity
     const domains = await this.#domains.read(service)
     const { clock } = this.#options
     const begunAt = clock.now()
@@ -192,77 +204,78 @@
     const { dead } = this.#liveness
     const unreachable = this.#unreachable
     const demand = this.#options.demand(service.name)
-    const largest = Math.max(...engine.models.map(each => each.size))
+    const maxReplicaSize = Math.max(...engine.models.map(each => each.size))
     const evacuated = this.#evacuated(domains)
-    const sizes = domains.map(each => domainSize(each, { unreachable, evacuated }, this.#appearances.underWay(each, largest)))
+    const sizes = domains.map(each => domainSize(each, { unreachable, evacuated }, this.#appearances.isUnderWay(each, maxReplicaSize)))
     const targets = this.#targets(engine, sizes.filter((_each, index) => !isEvacuated(domains[index], evacuated)), demand, evacuated.size > 0)
     const fleet = this.#fleetFacts(domains, engine, demand, evacuated)
     const { needs: _needs, ...shared } = fleet
-    this.#activity.shared(JSON.stringify([service.name, shared, [...dead], [...unreachable], [...evacuated], [...this.#options.roster.lapsed], [...this.#unlisted.ids], this.#unlisted.unheard, [...targets]]))
+    this.#activity.updateSharedFacts(JSON.stringify([service.name, shared, [...dead], [...unreachable], [...evacuated], [...this.#options.roster.lapsed], [...this.#unlisted.ids], this.#unlisted.unheard, [...targets]]))
     for (const domain of domains) {
       if (this.#domains.isWriting(domain.key)) continue
-      if (!this.#activity.isDue(domain.key) && !this.#surveyIsDue(domain.key)) continue
+      if (!this.#activity.isDue(domain.key) && !this.#isSurveyDue(domain.key)) continue
       const step = this.#planner.step(this.#domainFacts(domain, engine, targets.get(domain.key) ?? domain.placement.targets, fleet, evacuated))
-      this.#survey(domain.key, step)
-      this.#activity.planned(domain.key, step.quiet, newest)
-      if (step.placement === domain.placement) this.#giveAll(domain, step)
+      this.#reportSurvey(domain.key, step)
+      this.#activity.recordPlanned(domain.key, step.quiet, latestChange)
+      if (step.placement === domain.placement) this.#sendAll(domain, step)
       else this.#store(domain, step).catch(this.#options.failed)
     }
-    this.#pace.took(clock.now() - begunAt)
+    this.#pace.recordDuration(clock.now() - begunAt)
   }
 
   /**
-   * Stores what was decided before any order is given. Other domains go on meanwhile: one whose placement cannot be written holds up
-   * itself only.
+   * Stores a decision before any of its orders is sent. Other domains continue meanwhile: a placement that cannot be
+   * written blocks only its own domain.
    */
   async #store (domain: Domain, step: Step): Promise<void> {
     const stored = await this.#domains.write(domain, step.placement)
-    this.#activity.happened(domain.key)
+    this.#activity.recordChange(domain.key)
     if (!stored) this.#options.contested(domain.service)
     if (stored && this.#options.leads(domain.service)) {
       for (const { name } of step.placement.replicas) if (domain.placement.replicas.every(each => each.name !== name)) this.#unjoined.add(name)
-      this.#decided(domain.key, step)
-      this.#giveAll(domain, step)
+      this.#reportDecisions(domain.key, step)
+      this.#sendAll(domain, step)
     }
     this.wake()
   }
 
-  #giveAll (domain: Domain, { orders }: Step): void {
+  #sendAll (domain: Domain, { orders }: Step): void {
     for (const order of orders) {
-      this.#history.given(order)
-      if (order.kind === 'open') this.#giveIfCurrent(domain, order).catch(this.#options.failed)
-      else this.#give(domain.key, order)
+      this.#history.recordSent(order)
+      if (order.kind === 'open') this.#sendIfCurrent(domain, order).catch(this.#options.failed)
+      else this.#send(domain.key, order)
     }
   }
 
   /**
-   * Has a head open only by the placement that is stored now. For a moment another gateway may plan too, and may just have dissolved the
-   * replica: this one would then have the engines join it again, and have it serve while the other planner's orders take its engines into
-   * another replica. It costs one call of the store for each replica that opens.
+   * Orders a head to open only if the stored placement has not changed. For a moment another gateway may plan too, and
+   * it may just have dissolved the replica. This gateway would then have the engines join the replica again and have it
+   * serve, while the other planner's orders take its engines into another replica. The check costs one call of the
+   * store for each replica that opens.
    */
-  async #giveIfCurrent (domain: Domain, order: Order): Promise<void> {
-    if (await this.#domains.isCurrent(domain)) return this.#give(domain.key, order)
+  async #sendIfCurrent (domain: Domain, order: Order): Promise<void> {
+    if (await this.#domains.isCurrent(domain)) return this.#send(domain.key, order)
     this.#options.contested(domain.service)
     this.wake()
   }
 
-  /** Reports what the engines of a domain do, at an interval. */
-  #survey (domain: string, { survey }: Step): void {
-    if (!this.#surveyIsDue(domain)) return
+  /** Reports the survey of a domain at most once per interval. */
+  #reportSurvey (domain: string, { survey }: Step): void {
+    if (!this.#isSurveyDue(domain)) return
     this.#surveyedAt.set(domain, this.#options.clock.now())
     this.#options.surveyed(domain, survey)
   }
 
-  #surveyIsDue (domain: string): boolean {
+  #isSurveyDue (domain: string): boolean {
     return this.#options.clock.now() - (this.#surveyedAt.get(domain) ?? -Infinity) >= surveyInterval
   }
 
-  /** Reports what was stored. */
-  #decided (domain: string, { placement, notes }: Step): void {
+  /** Reports the decisions that were stored. */
+  #reportDecisions (domain: string, { placement, notes }: Step): void {
     for (const note of notes) this.#options.decided(domain, note, placement.epoch)
   }
 
-  /** Engines that can't be counted on, whatever their last record says. */
+  /** Engines that do not count as available, whatever their last record shows. */
   get #unreachable (): ReadonlySet<string> {
     return new Set([...this.#liveness.unreachable, ...this.#unlisted.expired])
   }
@@ -274,16 +287,19 @@
     return new Set(domains.flatMap(each => each.upstreams).filter(each => evacuatedDataCentres.has(each.dataCentre)).map(each => each.id))
   }
 
-  /** What each domain should hold that is not evacuated. One that is keeps its targets, for the time after. */
+  /**
+   * The targets of each domain that is not evacuated. An evacuated domain keeps its targets for the time after the
+   * evacuation.
+   */
   #targets ({ models }: Engine, domains: readonly DomainSize[], demand: Demand, evacuating: boolean): Map<string, Counts> {
     const targets = retarget(models, domains, demand)
-    return evacuating ? covered(models, domains, targets, demand) : targets
+    return evacuating ? coverModels(models, domains, targets, demand) : targets
   }
 
   #fleetFacts (domains: readonly Domain[], engine: Engine, demand: Demand, evacuated: ReadonlySet<string>): FleetFacts {
     const intact = intactReplicas(domains, { unreachable: this.#unreachable, evacuated })
     const beforeTraffic = this.#options.beforeTraffic()
-    const arriving = beforeTraffic && this.#arrivals.underWay(domains)
+    const arriving = beforeTraffic && this.#arrivals.isUnderWay(domains)
     return { intact, needs: repairNeeds(engine.models, intact, demand), targetsMet: targetsMet(domains.filter(each => !isEvacuated(each, evacuated))), beforeTraffic, arriving, evacuating: evacuated.size > 0, warmSpares: this.#options.warmSpares }
   }
 
@@ -294,21 +310,21 @@
     return { ...fleet, engine, placement, upstreams, unreachable, dead, unlisted: this.#unlisted.ids, lapsed, evacuated, unjoined: this.#unjoined, targets }
   }
 
-  #left ({ node, replica }: Order): void {
+  #noteLeft ({ node, replica }: Order): void {
     this.#liveness.left(node)
     this.#unlisted.left(node, replica)
   }
 
-  /** Gives an order without waiting for its end; another look follows that. */
-  #give (domain: string, order: Order): void {
+  /** Sends an order without waiting for its end. Another pass follows the answer. */
+  #send (domain: string, order: Order): void {
     const { clock, orders, ordered, failed } = this.#options
-    const givenAt = clock.now()
+    const sentAt = clock.now()
     orders.give(order).then(result => {
-      this.#history.answered(order, result)
+      this.#history.recordResult(order, result)
       if (order.kind === 'close') this.#liveness.closeAnswered(order.node, result !== 'unanswered')
-      if (result === 'closed' || (order.kind === 'leave' && result !== 'unanswered')) this.#left(order)
-      ordered(order, result, clock.now() - givenAt)
-      this.#activity.happened(domain)
+      if (result === 'closed' || (order.kind === 'leave' && result !== 'unanswered')) this.#noteLeft(order)
+      ordered(order, result, clock.now() - sentAt)
+      this.#activity.recordChange(domain)
       this.wake()
     }).catch(failed)
   }
--- a/packages/forming/src/snapshot.ts
+++ b/packages/forming/src/snapshot.ts
@@ -1,14 +1,14 @@
-/** The actual state of one domain, for look-ups while a step is planned. Owns nothing; pure over `DomainFacts`. */
+/** Look-ups in the actual state of one domain while a step is planned. Pure over `DomainFacts`; owns no state. */
 import { type Membership, type Upstream } from '@eiderwind/roster'
 import { type DomainFacts } from './facts.js'
 import { isStaying } from './engines.js'
 import { type PlannedReplica } from './placement.js'
 
-/** The engines and replicas of a domain as they are listed, judged by the facts. */
+/** The listed engines and replicas of a domain, evaluated with the facts. */
 export class Snapshot {
   readonly facts: DomainFacts
   readonly #upstreams: ReadonlyMap<string, Upstream>
-  /** Evacuated engines of replicas that have other members too: these serve on without them. */
+  /** Evacuated engines of replicas that also have members elsewhere. These members continue to serve without them. */
   readonly #withdrawn: ReadonlySet<string>
 
   constructor (facts: DomainFacts) {
@@ -22,13 +22,16 @@
     return this.#upstreams.get(id)
   }
 
-  /** Whether an engine can't be counted on: it is neither listed nor kept, leaves, is unreachable, or is evacuated while other members of its replica are not. */
+  /**
+   * Whether an engine is unavailable: it is neither listed nor retained, is leaving, is unreachable, or is evacuated
+   * while other members of its replica are not.
+   */
   isMissing (id: string): boolean {
     const upstream = this.find(id)
     return upstream === undefined || !isStaying(upstream, this.facts.unreachable) || this.#withdrawn.has(id)
   }
 
-  /** Whether an engine is not listed, and is kept since it answers: gateways send it no requests. */
+  /** Whether an engine is not listed but retained because it answers. Gateways send it no requests. */
   isUnlisted (id: string): boolean {
     return this.facts.unlisted.has(id)
   }
@@ -39,24 +42,30 @@
     return leaves && !this.facts.unreachable.has(id)
   }
 
-  /** Whether all members of a replica are evacuated. It is kept as it is: idle, and ready for the end of the evacuation. */
+  /**
+   * Whether all members of a replica are evacuated. Such a replica stays unchanged: idle, and ready for the end of the
+   * evacuation.
+   */
   isEvacuated ({ members }: PlannedReplica): boolean {
     return members.every(({ id }) => this.facts.evacuated.has(id))
   }
 
-  /** Whether an engine says that it is in a replica, under the planned epoch and at its place: what another engine at its address says does not count for it. */
+  /**
+   * Whether an engine reports that it is in a replica, with the planned epoch and rank. A report by another engine at
+   * the same address does not count.
+   */
   isIn (replica: PlannedReplica, id: string): boolean {
     const membership = this.find(id)?.membership
     return membership?.replica === replica.name && membership.epoch === replica.epoch && replica.members[membership.rank]?.id === id
   }
 
-  /** The state of a replica as its head says; undefined where the head is not listed or not in the replica. */
+  /** The state of a replica that its head reports. Undefined if the head is not listed or not in the replica. */
   headState (replica: PlannedReplica): Membership['state'] | undefined {
     const { id } = replica.members[0]
     return this.isIn(replica, id) ? this.find(id)?.membership?.state : undefined
   }
 
-  /** The members of a replica that can be counted on. */
+  /** The members of a replica that are available. */
   staying ({ members }: PlannedReplica): Upstream[] {
     return members.filter(({ id }) => !this.isMissing(id)).map(({ id }) => this.find(id) as Upstream)
   }
@@ -73,12 +82,12 @@
   isMovable ({ membership }: Upstream): boolean {
     if (membership === undefined) return true
     const { replica, epoch } = membership
-    const shown = this.facts.upstreams.flatMap(each => each.membership ?? [])
-    const head = shown.find(each => each.replica === replica && each.epoch === epoch && each.rank === 0)
+    const memberships = this.facts.upstreams.flatMap(each => each.membership ?? [])
+    const head = memberships.find(each => each.replica === replica && each.epoch === epoch && each.rank === 0)
     return head?.state !== 'open' && head?.state !== 'closing'
   }
 
-  /** Intact replicas of a model in all domains, without those that are evacuated. */
+  /** Intact replicas of a model in all domains, without evacuated ones. */
   intact (model: string): number {
     return this.facts.intact[model] ?? 0
   }
--- a/packages/forming/src/survey.ts
+++ b/packages/forming/src/survey.ts
@@ -1,6 +1,6 @@
 /**
- * What the engines of a domain do: the account of its capacity, for the log. Pure. Where requests find no room, it says whether
- * engines are missing, or are there and serve nobody, and why.
+ * Counts what the engines of a domain do, as a record of its capacity for the log. Pure. If requests find no room, the
+ * survey shows whether engines are missing or do not serve, and why.
  */
 import { type Upstream } from '@eiderwind/roster'
 import { isEmpty } from './engines.js'
@@ -8,16 +8,18 @@
 import { type Pool } from './pool.js'
 
 /**
- * What an engine does. `serving`: in an open replica that has all its members. `forming`: in a replica that is not open yet. `broken`: in
- * one that lacks a member or gives its engines up. `loading`: loads weights by this planner's order. `empty`: holds none. `idle`: holds
- * weights and is in no replica. `unlisted`: serves in none and is not listed, but answers. `missing`: leaves, or does not answer. `evacuated`: its data centre is evacuated, whatever it does.
+ * What an engine does. `serving`: in an open replica that has all its members. `forming`: in a replica that is not open
+ * yet. `broken`: in a replica that lacks a member or gives up its engines. `loading`: loads weights on a planner's
+ * order. `empty`: holds no weights. `idle`: holds weights and is in no replica. `unlisted`: answers but is not listed,
+ * and does not serve in a replica. `missing`: leaves or does not answer. `evacuated`: its data centre is evacuated;
+ * this precedes all others.
  */
 export type EngineWork = 'serving' | 'forming' | 'broken' | 'loading' | 'empty' | 'idle' | 'unlisted' | 'missing' | 'evacuated'
 
-/** How many engines of a domain do what; work that none does is left out. */
+/** How many engines of a domain do each kind of work. Kinds without an engine are omitted. */
 export type Survey = Readonly<Partial<Record<EngineWork, number>>>
 
-/** What the engines of a domain do now. */
+/** Counts what the engines of a domain do now. */
 export function surveyOf (pool: Pool): Survey {
   const { placement, snapshot } = pool.draft
   const replicas = new Map(placement.replicas.flatMap(replica => replica.members.map(({ id }) => [id, replica] as const)))
--- a/packages/forming/src/targets.ts
+++ b/packages/forming/src/targets.ts
@@ -1,48 +1,55 @@
 /**
- * What each domain should hold: replicas of each model, from the domains' sizes and the demand. Pure. The order of the models
- * in the configuration and of the domains in the roster breaks ties, so it is part of the decision.
+ * Computes the targets of each domain, which are its numbers of replicas of each model, from the sizes of the domains
+ * and the demand. Pure. Ties are broken by the order of the models in the configuration and of the domains in the
+ * roster, so these orders are part of the decision.
  */
 import { type Model } from '@eiderwind/traffic'
 
-/** Share of the work that each model has, from 0 to 1. Models that are missing count with their configured share. */
+/** Share of the work that each model has, from 0 to 1. A model that is missing counts with its configured share. */
 export type Demand = ReadonlyMap<string, number>
 
 /** Replicas of each model, wanted or present. */
 export type Counts = Readonly<Record<string, number>>
 
 /**
- * Replicas of a model, over all domains, that go before more of any other. Three, so that two are left when one dies: one
- * alone cannot serve a model.
+ * Replicas of a model, over all domains, that have precedence over more replicas of any other model. With three, two
+ * are left when one dies; a single one cannot serve a model.
  */
 const minReplicas = 3
 
 /**
- * Engines of each domain left without a replica, so that a repair needs no load: one for each of two models
+ * Engines of each domain that are left without a replica, so that a repair needs no load: one for each of two models
  * (`sparesPerModel` in staging.ts).
  */
 const sparesPerDomain = 2
 
-/** Need from which a replica is planned on the spares too: every model below `minReplicas` has at least this. */
+/**
+ * At this need or above, a replica may be planned on the spares too. Every model below `minReplicas` needs at least
+ * this much.
+ */
 const urgentNeed = 1
 
-/** A model with no replica counts as having this many, so that its need is finite and above that with one. */
-const noReplica = 0.5
+/**
+ * Number of replicas assumed for a model that has none. It keeps the need finite, and above the need of a model with
+ * one.
+ */
+const replicasIfNone = 0.5
 
-/** A domain, as far as its targets depend on it. */
+/** The properties of a domain on which its targets depend. */
 export interface DomainSize {
   readonly key: string
-  /** Engines that can be counted on. */
+  /** Engines that are available. */
   readonly nodes: number
-  /** Its targets until now. */
+  /** Its current targets. */
   readonly targets: Counts
-  /** Whether further engines are still appearing, so that what it has room for is not known yet. */
+  /** Whether further engines are still appearing, so that the capacity of the domain is not known yet. */
   readonly appearing: boolean
 }
 
 /**
- * Replicas of each model that each domain should have, by domain key. Targets last, so that what dies is repaired as it was:
- * they fall only where a domain no longer has the engines for them, and rise only where its engines suffice beside the spares and have
- * all appeared.
+ * Replicas of each model that each domain should have, by domain key. Targets persist, so that a replica that dies is
+ * replaced by the same kind. They fall only in a domain that no longer has enough engines for them. They rise only in a
+ * domain whose engines have all appeared and suffice for the spares too.
  */
 export function retarget (models: readonly Model[], domains: readonly DomainSize[], demand: Demand): Map<string, Counts> {
   const targets = new Map(domains.map(({ key, targets }) => [key, { ...targets }]))
@@ -54,45 +61,50 @@
 }
 
 /**
- * Targets by which each model has a replica, where engines allow it: a model that has none gets room in the domain where the fewest engines have to be taken, from models
- * that keep at least one. For fleets of which a part is evacuated: models that were served there alone have to be served by what is left.
+ * Targets with at least one replica of each model, if the engines allow it. A model without a replica is placed in the
+ * domain in which the fewest engines have to be taken. These come from models that keep at least one replica. This is
+ * for fleets that are partly evacuated: the remaining domains have to serve the models that were served only in the
+ * evacuated part.
  */
-export function covered (models: readonly Model[], domains: readonly DomainSize[], targets: ReadonlyMap<string, Counts>, demand: Demand): Map<string, Counts> {
+export function coverModels (models: readonly Model[], domains: readonly DomainSize[], targets: ReadonlyMap<string, Counts>, demand: Demand): Map<string, Counts> {
   const result = new Map(targets)
   for (const model of models.filter(each => total(result, each.name) === 0)) {
-    const ways = domains.filter(each => !each.appearing).flatMap(({ key, nodes }) => {
+    const candidates = domains.filter(each => !each.appearing).flatMap(({ key, nodes }) => {
       const present = result.get(key) as Counts
-      const counts = withRoomFor(model, models, nodes, present, result, demand)
-      return counts === undefined ? [] : [{ key, counts, taken: used(models, present) - used(models, counts) }]
+      const counts = makeRoomFor(model, models, nodes, present, result, demand)
+      return counts === undefined ? [] : [{ key, counts, taken: enginesUsed(models, present) - enginesUsed(models, counts) }]
     })
-    const best = ways.sort((a, b) => a.taken - b.taken)[0]
+    const best = candidates.sort((a, b) => a.taken - b.taken)[0]
     if (best !== undefined) result.set(best.key, { ...best.counts, [model.name]: 1 })
   }
   return result
 }
 
-/** Targets of a domain that leave room for one replica of a model, undefined where others would lose their last one; first those that need theirs least give. */
-function withRoomFor (model: Model, models: readonly Model[], nodes: number, present: Counts, all: ReadonlyMap<string, Counts>, demand: Demand): Counts | undefined {
+/**
+ * Targets of a domain that leave room for one replica of `model`. The models with the lowest need give up replicas
+ * first. Undefined if a model would lose its last replica.
+ */
+function makeRoomFor (model: Model, models: readonly Model[], nodes: number, present: Counts, all: ReadonlyMap<string, Counts>, demand: Demand): Counts | undefined {
   const counts: Record<string, number> = { ...present }
   const left = ({ name }: Model): number => total(all, name) - (present[name] ?? 0) + (counts[name] ?? 0)
-  while (used(models, counts) + model.size > nodes) {
-    const givers = models.filter(each => (counts[each.name] ?? 0) > 0 && left(each) > 1)
-    if (givers.length === 0) return undefined
-    const giver = givers.reduce((a, b) => needOf(b, left(b) - 1, demand) < needOf(a, left(a) - 1, demand) ? b : a)
-    counts[giver.name]--
+  while (enginesUsed(models, counts) + model.size > nodes) {
+    const donors = models.filter(each => (counts[each.name] ?? 0) > 0 && left(each) > 1)
+    if (donors.length === 0) return undefined
+    const donor = donors.reduce((a, b) => needOf(b, left(b) - 1, demand) < needOf(a, left(a) - 1, demand) ? b : a)
+    counts[donor.name]--
   }
   return counts
 }
 
-/** How much a model needs a replica, once its number has changed by `change`. */
+/** How much a model needs a replica after its number of replicas has changed by `change`. */
 type Need = (model: Model, change: number) => number
 
-/** Targets in the making, by domain key. */
+/** Targets that are being computed, by domain key. */
 type Targets = ReadonlyMap<string, Record<string, number>>
 
-/** Drops what a domain has too few engines for; first the model that needs its replica least. */
+/** Drops replicas for which a domain has too few engines. The model with the lowest need loses a replica first. */
 function shrink (models: readonly Model[], { nodes }: DomainSize, targets: Record<string, number>, need: Need): void {
-  while (used(models, targets) > nodes) {
+  while (enginesUsed(models, targets) > nodes) {
     const present = models.filter(each => (targets[each.name] ?? 0) > 0)
     const dropped = present.reduce((a, b) => need(b, -1) < need(a, -1) ? b : a)
     targets[dropped.name]--
@@ -100,40 +112,47 @@
 }
 
 /**
- * Adds one replica of the model that needs it most and that some domain has room for. It goes to the domain with fewest of that
- * model, then to the one with most room, so that losing a domain takes few replicas of any one model. Returns whether one fitted.
+ * Adds one replica of the model with the highest need that fits in some domain. It goes to the domain with the fewest
+ * replicas of that model, then to the one with the most room, so that the loss of a domain takes few replicas of any
+ * one model. Returns whether one fitted.
  */
 function grow (models: readonly Model[], domains: readonly DomainSize[], targets: Targets, need: Need): boolean {
   for (const model of [...models].sort((a, b) => need(b, 0) - need(a, 0))) {
     const spares = need(model, 0) >= urgentNeed ? 0 : sparesPerDomain
-    const room = ({ key, nodes }: DomainSize): number => nodes - used(models, targets.get(key) as Counts) - model.size - spares
+    const room = ({ key, nodes }: DomainSize): number => nodes - enginesUsed(models, targets.get(key) as Counts) - model.size - spares
     const present = ({ key }: DomainSize): number => targets.get(key)?.[model.name] ?? 0
     const best = domains.filter(each => !each.appearing && room(each) >= 0).sort((a, b) => present(a) - present(b) || room(b) - room(a))[0]
     if (best === undefined) continue
-    const own = targets.get(best.key) as Record<string, number>
-    own[model.name] = (own[model.name] ?? 0) + 1
+    const domainTargets = targets.get(best.key) as Record<string, number>
+    domainTargets[model.name] = (domainTargets[model.name] ?? 0) + 1
     return true
   }
   return false
 }
 
-/** Work for each replica and engine, if there were `count` replicas; and one more for each replica below `minReplicas`. */
+/** Work for each replica and engine if there were `count` replicas, plus one for each replica below `minReplicas`. */
 function needOf (model: Model, count: number, demand: Demand): number {
-  return workOf(model, demand) / Math.max(count, noReplica) / model.size + Math.max(0, minReplicas - count)
+  return workOf(model, demand) / Math.max(count, replicasIfNone) / model.size + Math.max(0, minReplicas - count)
 }
 
-/** How much each model needs one more replica: its work for each intact one. Repairs and donors are ranked by it. */
+/**
+ * How much each model needs one more replica: its work divided by its intact replicas. Repairs and donors are ranked by
+ * it.
+ */
 export function repairNeeds (models: readonly Model[], intact: Counts, demand: Demand): Record<string, number> {
-  return Object.fromEntries(models.map(model => [model.name, workOf(model, demand) / Math.max(intact[model.name] ?? 0, noReplica)]))
+  return Object.fromEntries(models.map(model => [model.name, workOf(model, demand) / Math.max(intact[model.name] ?? 0, replicasIfNone)]))
 }
 
-/** A model's work on a scale common to all: measured, or else its configured share by the pace of its replicas. */
+/**
+ * A model's work on a scale that all models share: the measured work, or else the configured share times the pace of
+ * its replicas.
+ */
 function workOf ({ name, share, pace }: Model, demand: Demand): number {
   return demand.get(name) ?? share * pace
 }
 
-/** Engines that replicas take up. */
-function used (models: readonly Model[], counts: Counts): number {
+/** Engines that the replicas occupy. */
+function enginesUsed (models: readonly Model[], counts: Counts): number {
   return models.reduce((sum, { name, size }) => sum + size * (counts[name] ?? 0), 0)
 }
 
--- a/packages/forming/test/domains.test.ts
+++ b/packages/forming/test/domains.test.ts
@@ -1,4 +1,7 @@
-/** A placement that can't be read is reported, once for each time that the store is away. */
+/**
+ * A placement that can't be read is reported once per outage of the store, and does not stop the planning of other
+ * domains.
+ */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Err, type Result } from 'ts-results-es'
@@ -17,8 +20,8 @@
   return roster
 }
 
-/** Placements whose store can be away. */
-class AwayPlacements extends MemoryPlacements {
+/** Placements in a store that can be unavailable. */
+class UnavailablePlacements extends MemoryPlacements {
   away = true
 
   override async read (domain: string): Promise<Result<{ readonly placement: Placement, readonly version: number }, string>> {
@@ -26,9 +29,9 @@
   }
 }
 
-test('a placement that can\'t be read is reported once, until one is read again', async t => {
+test('a placement that can\'t be read is reported once, and again only after a successful read', async t => {
   const roster = rosterOf(['d0'])
-  const placements = new AwayPlacements()
+  const placements = new UnavailablePlacements()
   const reported: string[] = []
   const domains = new Domains({ roster, placements, failed: error => { reported.push(error.message) } })
   t.deepEqual(await domains.read(service), [])
@@ -42,13 +45,13 @@
   t.is(reported.length, 2)
 })
 
-test('a placement that can\'t be read holds up its own domain only', async t => {
+test('a placement that can\'t be read blocks only its own domain', async t => {
   const roster = rosterOf(['d0', 'd1', 'd2'])
-  class OneAway extends MemoryPlacements {
+  class OneUnreadable extends MemoryPlacements {
     override async read (domain: string): Promise<Result<{ readonly placement: Placement, readonly version: number }, string>> {
       return domain === 'chat.d1' ? Err('no answer') : await super.read(domain)
     }
   }
-  const domains = new Domains({ roster, placements: new OneAway(), failed: () => {} })
+  const domains = new Domains({ roster, placements: new OneUnreadable(), failed: () => {} })
   t.deepEqual((await domains.read(service)).map(each => each.key), ['chat.d0', 'chat.d2'])
 })
--- a/packages/forming/test/fleet.test.ts
+++ b/packages/forming/test/fleet.test.ts
@@ -1,4 +1,4 @@
-/** When the engines of a domain have all appeared. */
+/** Detection of when the engines of a domain have all appeared. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { type Upstream } from '@eiderwind/roster'
@@ -11,42 +11,42 @@
   }
 }
 
-test('engines are appearing until none has for 600 ms, and one that goes changes nothing', t => {
+test('engines count as still appearing until 600 ms after the last new one, also if one is removed meanwhile', t => {
   const clock = new ManualClock()
   const appearances = new Appearances(clock)
-  t.false(appearances.underWay(domain(0), 4))
+  t.false(appearances.isUnderWay(domain(0), 4))
   for (let count = 1; count <= 3; count++) {
     clock.advance(300)
-    t.true(appearances.underWay(domain(count), 4))
+    t.true(appearances.isUnderWay(domain(count), 4))
   }
   clock.advance(599)
-  t.true(appearances.underWay(domain(2), 4))
+  t.true(appearances.isUnderWay(domain(2), 4))
   clock.advance(1)
-  t.false(appearances.underWay(domain(2), 4))
+  t.false(appearances.isUnderWay(domain(2), 4))
 })
 
-test('engines that go on appearing one by one are waited for no longer than two seconds', t => {
+test('the wait for engines that appear one by one ends after two seconds', t => {
   const clock = new ManualClock()
   const appearances = new Appearances(clock)
-  appearances.underWay(domain(0), 4)
+  appearances.isUnderWay(domain(0), 4)
   const under = Array.from({ length: 8 }, (_each, index) => {
     clock.advance(500)
-    return appearances.underWay(domain(index + 1), 4)
+    return appearances.isUnderWay(domain(index + 1), 4)
   })
   t.deepEqual(under, [true, true, true, true, false, false, false, false])
 })
 
-test('a planner that sees a domain for the first time plans it at once', t => {
-  t.false(new Appearances(new ManualClock()).underWay(domain(5), 4))
+test('a domain that is seen for the first time counts as complete at once', t => {
+  t.false(new Appearances(new ManualClock()).isUnderWay(domain(5), 4))
 })
 
-test('a domain that had as many engines as the largest replica takes does not wait for single ones', t => {
+test('a domain with enough engines for the largest replica does not wait for single new engines', t => {
   const clock = new ManualClock()
   const appearances = new Appearances(clock)
-  appearances.underWay(domain(4), 4)
+  appearances.isUnderWay(domain(4), 4)
   clock.advance(1000)
-  t.false(appearances.underWay(domain(5), 4))
-  appearances.underWay(domain(3), 4)
+  t.false(appearances.isUnderWay(domain(5), 4))
+  appearances.isUnderWay(domain(3), 4)
   clock.advance(1000)
-  t.true(appearances.underWay(domain(6), 4))
+  t.true(appearances.isUnderWay(domain(6), 4))
 })
--- a/packages/forming/test/history.test.ts
+++ b/packages/forming/test/history.test.ts
@@ -1,4 +1,4 @@
-/** What the order history concludes from orders to one head. */
+/** What the order history concludes from the orders to one head. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { OrderHistory } from '../src/history.js'
@@ -8,37 +8,38 @@
   return { kind, node: 'head', address: 'head:1', replica: 'r', epoch: 1, loads: false, fence: 1, ...difference }
 }
 
-// The pattern: a planner that is short of processor time takes engines for unreachable and back by turns. It had the head leave, then join and
-// open the replica again as its members were back, and as one seemed lost once more it dissolved the replica while the head opened.
-test('a head that was ordered to join or open a replica again has not left it, whether that is answered yet or not', t => {
+// Guards against this failure: a planner that lacks processor time sees engines as unreachable and reachable by turns.
+// It ordered the head to leave, then to join and open the replica again when its members were back. When one seemed
+// lost once more, it dissolved the replica while the head opened.
+test('a head that is ordered to join or open a replica again no longer counts as having left it, even before it answers', t => {
   for (const again of ['join', 'open'] as const) {
     const history = new OrderHistory(new ManualClock())
     const leave = order('leave')
-    history.given(leave)
-    history.answered(leave, 'taken')
+    history.recordSent(leave)
+    history.recordResult(leave, 'taken')
     t.true(history.hasLeft('head', 'r'))
-    history.given(order(again))
+    history.recordSent(order(again))
     t.false(history.hasLeft('head', 'r'), again)
-    history.given(leave)
-    history.answered(leave, 'taken')
+    history.recordSent(leave)
+    history.recordResult(leave, 'taken')
     t.true(history.hasLeft('head', 'r'))
   }
 })
 
-test('an order to leave that is answered after the head was ordered to join again does not show that it has left', t => {
+test('an order to leave that is answered after a later order to join does not mark the head as having left', t => {
   const history = new OrderHistory(new ManualClock())
   const leave = order('leave')
-  history.given(leave)
-  history.given(order('join'))
-  history.answered(leave, 'taken')
+  history.recordSent(leave)
+  history.recordSent(order('join'))
+  history.recordResult(leave, 'taken')
   t.false(history.hasLeft('head', 'r'))
 })
 
-test('orders of another replica or to another engine leave it as it is', t => {
+test('orders for another replica or to another engine do not change that a head has left', t => {
   const history = new OrderHistory(new ManualClock())
-  history.given(order('leave'))
-  history.answered(order('leave'), 'refused')
-  history.given(order('join', { replica: 's' }))
-  history.given(order('open', { node: 'other' }))
+  history.recordSent(order('leave'))
+  history.recordResult(order('leave'), 'refused')
+  history.recordSent(order('join', { replica: 's' }))
+  history.recordSent(order('open', { node: 'other' }))
   t.true(history.hasLeft('head', 'r'))
 })
--- a/packages/forming/test/loadlimit.test.ts
+++ b/packages/forming/test/loadlimit.test.ts
@@ -1,4 +1,7 @@
-/** How many loads may run at a time, whoever ordered them: the weight store is slower for each of them above that. */
+/**
+ * The limit of concurrent loads counts the loads of every planner, because the weight store slows down with each load
+ * above it.
+ */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { type Engine } from '@eiderwind/traffic'
@@ -10,12 +13,12 @@
   return { engine, node, model: 'large', duration: 12_000, keepFree, rated: false }
 }
 
-test('as many loads begin as may run at a time', t => {
+test('a load above the limit of concurrent loads gets no permit', t => {
   const loads = new LoadLimit(new ManualClock())
   t.deepEqual(['a', 'b', 'c', 'd', 'e'].map(node => loads.acquire(request(node))), [true, true, true, true, false])
 })
 
-test('a planner that takes over counts the loads of the one before it', t => {
+test('a planner that takes over counts the running loads of the previous planner', t => {
   const before = new Map([['a', 'large'], ['b', 'small'], ['c', 'large']])
   const loads = new LoadLimit(new ManualClock(), () => before)
   t.false(loads.acquire(request('d', 2)))
@@ -25,7 +28,7 @@
   t.true(loads.acquire(request('e')))
 })
 
-test('an engine that loads by two planners\' orders counts once', t => {
+test('a load that two planners have ordered counts once', t => {
   const before = new Map([['a', 'large'], ['b', 'large']])
   const loads = new LoadLimit(new ManualClock(), () => before)
   t.deepEqual(['a', 'b', 'c', 'd', 'e'].map(node => loads.acquire(request(node))), [true, true, true, true, false])
--- a/packages/forming/test/snapshot.test.ts
+++ b/packages/forming/test/snapshot.test.ts
@@ -1,4 +1,4 @@
-/** Whose word counts that an engine is in a replica. */
+/** Which reports of engines show that an engine is in a replica. */
 import test from 'ava'
 import { type Upstream } from '@eiderwind/roster'
 import { Snapshot } from '../src/snapshot.js'
@@ -16,11 +16,11 @@
   return new Snapshot(facts as DomainFacts)
 }
 
-test('an engine is in a replica under its epoch and at its own place only', t => {
+test('an engine counts as in a replica only if it reports the planned epoch and its own rank', t => {
   t.true(snapshotOf([member('a', 0)]).isIn(replica, 'a'))
   t.true(snapshotOf([member('b', 1)]).isIn(replica, 'b'))
   t.false(snapshotOf([member('a', 0, 6)]).isIn(replica, 'a'))
-  // What the engine of rank 1 says at an address that was another engine's before.
+  // The engine of rank 1 reports from an address that belonged to another engine before.
   t.false(snapshotOf([member('a', 1)]).isIn(replica, 'a'))
   t.false(snapshotOf([member('a', 5)]).isIn(replica, 'a'))
 })
--- a/packages/roster/src/roster.ts
+++ b/packages/roster/src/roster.ts
@@ -30,7 +30,7 @@
  * How long the departure of an upstream that is gone is remembered, in ms: many times the longest
  * deadline of a request (8 s), so that the end of a call to it can still be judged by its record.
  */
-const departureMemory = 60_000
+const departureRetention = 60_000
 
 /** Looks up upstreams by id, service and model, and notifies listeners after each change. */
 export class Roster {
@@ -47,13 +47,13 @@
   readonly #listeners = new Set<(changes: readonly RosterChange[]) => void>()
   readonly #endListeners = new Set<(upstream: Upstream) => void>()
   /** Lives whose end the listeners have not heard of yet. */
-  #untold: Upstream[] = []
+  #pendingEnds: Upstream[] = []
   /** Data centres whose upstreams take no new requests. */
-  #dataCentres: ReadonlySet<string> = new Set()
+  #evacuatedDataCentres: ReadonlySet<string> = new Set()
   /** Indexes for `available`, `heads` and `isEvacuated`, made when they are first asked for after a change. */
   #byService: Map<string, Upstream[]> | undefined
   #heads: Map<string, Upstream[]> | undefined
-  #evacuated: ReadonlySet<string> | undefined
+  #evacuatedIds: ReadonlySet<string> | undefined
   #hasList = false
 
   /** @param outage without it, an upstream that is not listed is gone at once */
@@ -103,36 +103,36 @@
 
   /** Upstreams of a service that take new requests. */
   available (service: string): readonly Upstream[] {
-    this.#byService ??= groupBy(this.#open.filter(each => !each.leaving), each => each.service)
+    this.#byService ??= groupBy(this.#notEvacuated.filter(each => !each.leaving), each => each.service)
     return this.#byService.get(service) ?? []
   }
 
   /** Heads of open replicas of a model that take new requests. */
   heads (service: string, model: string): readonly Upstream[] {
-    this.#heads ??= groupBy(this.#open.filter(isOpenHead), each => headKey(each.service, each.loaded[0] ?? ''))
+    this.#heads ??= groupBy(this.#notEvacuated.filter(isOpenHead), each => headKey(each.service, each.loaded[0] ?? ''))
     return this.#heads.get(headKey(service, model)) ?? []
   }
 
   /** Whether an upstream takes no new requests since its data centre, or that of a member of its replica, is evacuated. */
   isEvacuated (id: string): boolean {
-    this.#evacuated ??= evacuatedUpstreams(this.upstreams, this.#dataCentres)
-    return this.#evacuated.has(id)
+    this.#evacuatedIds ??= evacuatedUpstreams(this.upstreams, this.#evacuatedDataCentres)
+    return this.#evacuatedIds.has(id)
   }
 
   /** The data centres that are evacuated. */
   get evacuatedDataCentres (): ReadonlySet<string> {
-    return this.#dataCentres
+    return this.#evacuatedDataCentres
   }
 
   /** Takes the data centres that are evacuated from now on, all of them. */
   evacuate (dataCentres: ReadonlySet<string>): void {
-    this.#dataCentres = dataCentres
-    this.#changed([])
+    this.#evacuatedDataCentres = dataCentres
+    this.#notifyChanges([])
   }
 
   /** Upstreams in no data centre that is evacuated. */
-  get #open (): Upstream[] {
-    return this.#dataCentres.size === 0 ? this.upstreams : this.upstreams.filter(({ id }) => !this.isEvacuated(id))
+  get #notEvacuated (): Upstream[] {
+    return this.#evacuatedDataCentres.size === 0 ? this.upstreams : this.upstreams.filter(({ id }) => !this.isEvacuated(id))
   }
 
   /** Takes the whole list: an upstream that is not on it is no longer listed. */
@@ -145,16 +145,16 @@
 
   /** Takes changes, in the order in which the store made them. */
   apply (changes: readonly RosterChange[], absence: Absence = 'judged'): void {
-    this.#changed(changes.filter(change => 'gone' in change ? this.#remove(change.gone, change.certain === true ? 'certain' : absence) : this.#update(change.upstream)))
+    this.#notifyChanges(changes.filter(change => 'gone' in change ? this.#remove(change.gone, change.certain === true ? 'certain' : absence) : this.#update(change.upstream)))
   }
 
   /** Tells the listeners what has changed. */
-  #changed (effective: readonly RosterChange[]): void {
+  #notifyChanges (effective: readonly RosterChange[]): void {
     this.#byService = undefined
     this.#heads = undefined
-    this.#evacuated = undefined
+    this.#evacuatedIds = undefined
     this.#forgetDepartures()
-    this.#tellEnds()
+    this.#notifyEnds()
     for (const listener of this.#listeners) listener(effective)
   }
 
@@ -167,10 +167,10 @@
     const latest = this.#upstreams.get(id) ?? this.#departures.get(id)?.upstream
     if (latest === undefined || latest.leaving) return false
     const upstream = { ...latest, leaving: true }
-    this.#depart(upstream)
+    this.#recordDeparture(upstream)
     if (!this.#upstreams.has(id)) return true
-    this.#keep(upstream)
-    this.#changed([{ upstream }])
+    this.#store(upstream)
+    this.#notifyChanges([{ upstream }])
     return true
   }
 
@@ -194,14 +194,14 @@
   #update (record: Upstream): boolean {
     const present = this.#lives.get(listedName(record))
     if (this.#ended.has(record.id) || (present !== undefined && isEarlier(record, present))) return false
-    if (present !== undefined && present.id !== record.id) this.#end(present)
+    if (present !== undefined && present.id !== record.id) this.#endLife(present)
     this.#lapsed.delete(record.id)
     const leaving = record.leaving || this.#departures.get(record.id)?.upstream.leaving === true
-    const known = withWeightsInUse(record, this.#upstreams.get(record.id))
-    const upstream = leaving ? { ...known, leaving } : known
+    const completed = withWeightsInUse(record, this.#upstreams.get(record.id))
+    const upstream = leaving ? { ...completed, leaving } : completed
     const isNew = !isDeepStrictEqual(upstream, this.#upstreams.get(record.id))
-    this.#keep(upstream)
-    if (leaving) this.#depart(upstream)
+    this.#store(upstream)
+    if (leaving) this.#recordDeparture(upstream)
     else this.#departures.delete(upstream.id)
     return isNew
   }
@@ -223,16 +223,16 @@
   }
 
   /** Takes that a life has ended, since a later one began. */
-  #end (upstream: Upstream): void {
+  #endLife (upstream: Upstream): void {
     this.#forget(upstream)
     this.#ended.set(upstream.id, this.#clock.now())
-    this.#untold.push(upstream)
+    this.#pendingEnds.push(upstream)
   }
 
   /** Listeners look things up, so they hear of it once all changes are taken. */
-  #tellEnds (): void {
-    const ends = this.#untold
-    this.#untold = []
+  #notifyEnds (): void {
+    const ends = this.#pendingEnds
+    this.#pendingEnds = []
     for (const upstream of ends) for (const listener of this.#endListeners) listener(upstream)
   }
 
@@ -240,7 +240,7 @@
     this.#lapsed.delete(upstream.id)
     this.#upstreams.delete(upstream.id)
     this.#lives.delete(listedName(upstream))
-    this.#depart(upstream)
+    this.#recordDeparture(upstream)
   }
 
   /** Keeps an upstream for `grace` ms; if it is not listed again by then, it is gone. */
@@ -253,18 +253,18 @@
     })
   }
 
-  #keep (upstream: Upstream): void {
+  #store (upstream: Upstream): void {
     this.#upstreams.set(upstream.id, upstream)
     this.#lives.set(listedName(upstream), upstream)
   }
 
-  #depart (upstream: Upstream): void {
+  #recordDeparture (upstream: Upstream): void {
     const at = this.#departures.get(upstream.id)?.at ?? this.#clock.now()
     this.#departures.set(upstream.id, { upstream, at })
   }
 
   #forgetDepartures (): void {
-    const before = this.#clock.now() - departureMemory
+    const before = this.#clock.now() - departureRetention
     for (const [id, { at }] of this.#departures) {
       if (at < before && !this.#upstreams.has(id)) this.#departures.delete(id)
     }
@@ -273,8 +273,8 @@
 }
 
 /** Whether a record is of an earlier life than another record of the same name. */
-function isEarlier (record: Upstream, than: Upstream): boolean {
-  return record.born !== undefined && than.born !== undefined && record.born < than.born
+function isEarlier (record: Upstream, other: Upstream): boolean {
+  return record.born !== undefined && other.born !== undefined && record.born < other.born
 }
 
 function isOpenHead ({ leaving, membership }: Upstream): boolean {
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -500,7 +500,7 @@
     point: 2,
     rule: 'loads stay under the rate of the weight store (CEILING)',
     file: 'packages/forming/dist/src/loadlimit.js',
-    find: '(!rated || this.#tokens >= 1) && besides.size < engine.loadsAtOnce - keepFree',
+    find: '(!rated || this.#tokens >= 1) && otherNodes.size < engine.loadsAtOnce - keepFree',
     replace: 'true',
     test: 'packages/emulator/dist/test/forming.test.js',
     title: 'engines that hold nothing become*'
@@ -600,7 +600,7 @@
     point: 2,
     rule: 'an engine that loads is not told to load again (CEILING)',
     file: 'packages/forming/dist/src/permits.js',
-    find: 'loads.loading(order.node) === order.model && (loads.isOthers(order.node) || history.wasTaken(order))',
+    find: 'loads.loading(order.node) === order.model && (loads.isOrderedElsewhere(order.node) || history.wasTaken(order))',
     replace: 'false',
     test: 'packages/emulator/dist/test/forming.test.js',
     title: 'an engine that has taken an order to load*'
