--- a/packages/roster/src/condition.ts
+++ b/packages/roster/src/condition.ts
@@ -1,16 +1,19 @@
-/** What an upstream says of itself in an answer, beside the answer. The platform's adapter reads it from the headers of every answer. */
+/**
+ * The condition that an upstream reports about itself in an answer, apart from the answer's content. The platform's
+ * adapter reads it from the headers of every answer.
+ */
 
-/** The condition of an upstream by its own word. */
+/** The condition of an upstream, as reported by the upstream itself. */
 export interface Condition {
-  /** Whether it is about to stop: it should get no new request. */
+  /** Whether it is about to stop. It should then receive no new request. */
   readonly leaving: boolean
-  /** For how long it wants nothing from this gateway, in ms from the answer; 0 where it did not ask for that. */
+  /** How long it asks this gateway for no requests, in ms from the answer; 0 if it does not ask for that. */
   readonly rest: number
   /**
-   * Requests a second that it takes from all gateways together, for as long as it says so; Infinity where it says that it takes any number. Absent where the
-   * answer does not tell.
+   * Requests per second that it accepts from all gateways together. The limit holds as long as the upstream reports it.
+   * Infinity if it reports that it accepts any number. Absent if the answer does not contain a limit.
    */
   readonly limit?: number
-  /** For how much longer it is cold, in ms from the answer. Absent where the answer does not say that it is. */
+  /** How much longer it is cold, in ms from the answer. Absent if the answer does not report that it is cold. */
   readonly cold?: number
 }
--- a/packages/roster/src/evacuation.ts
+++ b/packages/roster/src/evacuation.ts
@@ -1,12 +1,12 @@
 /**
- * Which upstreams take no new requests since the operator has evacuated data centres. Pure; relies on what the upstreams list of themselves.
- * Whoever sends a request asks the roster, which asks this.
+ * Determines which upstreams take no new requests because the operator has evacuated data centres. Pure; relies on the
+ * records of the upstreams. The roster calls it; senders of requests ask the roster.
  */
 import { type Upstream } from './upstream.js'
 
 /**
- * Ids of the upstreams in data centres that are evacuated, and of the heads of replicas that have a member there: a request to such a head has work done by its
- * members.
+ * Ids of the upstreams in evacuated data centres, and of the heads of replicas with a member there. Such a head would
+ * have the evacuated members work on its requests.
  */
 export function evacuatedUpstreams (upstreams: readonly Upstream[], dataCentres: ReadonlySet<string>): Set<string> {
   const within = dataCentres.size === 0 ? [] : upstreams.filter(each => dataCentres.has(each.dataCentre))
--- a/packages/roster/src/index.ts
+++ b/packages/roster/src/index.ts
@@ -1,4 +1,4 @@
-/** The upstreams that the store lists, the replicas that their engines report, and when each upstream left. */
+/** The upstreams that the store lists, the replicas that their engines report, and when each upstream departed. */
 export { Membership, Upstream, listedName, withWeightsInUse } from './upstream.js'
 export { evacuatedUpstreams } from './evacuation.js'
 export { Roster, type Absence, type Departure, type RosterChange } from './roster.js'
--- a/packages/roster/src/outage.ts
+++ b/packages/roster/src/outage.ts
@@ -1,28 +1,26 @@
 /**
- * Distinguishes an outage of the store from a time in which nothing changed, by the calls that failed. It owns the times of
- * the last outage and of the first answer; it relies on the gateway to report every call. `Roster` and the gateway read
- * from it how far the list of upstreams can be trusted.
+ * Distinguishes an outage of the store from a time without changes, based on failed calls. Owns the times of the last
+ * outage and of the first answer, and relies on the gateway to report every call. `Roster` and the gateway use it to
+ * decide how far the list of upstreams can be trusted.
  */
 import { type Clock } from '@eiderwind/clock'
 
 /**
- * Shortest outage in which records may lapse, in ms: below the three heartbeats of silence after
- * which the store drops a record (3.6 s where a heartbeat takes 1.2 s).
+ * Shortest outage in which records may lapse, in ms. It is below the three missed heartbeats after which the store
+ * drops a record (3.6 s with a heartbeat of 1.2 s).
  */
 const minimumOutage = 2500
 
-/**
- * Failed calls in a row that make an outage: a single lost answer makes none.
- */
+/** Failed calls in a row that make an outage. A single lost answer makes none. */
 const minimumFailures = 2
 
 /**
- * Time after an outage within which the records that lapsed during it are listed again, in ms. The platform states
- * about two seconds; the rest is a margin.
+ * Time after an outage in which records that lapsed during it are listed again, in ms. The platform states about two
+ * seconds; the rest is a margin.
  */
 const relistTime = 2600
 
-/** Keeps the times of the last outage. A list that was not asked for, or had nothing new, was not away. */
+/** Stores the times of the last outage. A time without calls, or without changes, does not count as an outage. */
 export class Outage {
   readonly #clock: Clock
   #answeredAt: number
@@ -43,22 +41,22 @@
   }
 
   /**
-   * Whether the list is complete. A process that starts cannot know whether an outage ended just before its first answer,
-   * and thus whether upstreams are missing that have yet to be listed again.
+   * Whether the list is complete. A process that starts cannot know whether an outage ended just before its first
+   * answer. Upstreams that have yet to be listed again may then be missing.
    */
   get listComplete (): boolean {
     return this.#clock.bootNow() - this.#firstAnswerAt >= relistTime
   }
 
-  /** Whether the list was not followed here for a while: what the process knew of outages has a gap. */
+  /** Whether this process has resumed following the list after a gap in which it may have missed an outage. */
   get resumed (): boolean {
     return this.#resumed
   }
 
   /**
-   * Notes that the list is followed here again from now on, after another process did so. Where a gap is left in which an outage may have
-   * passed unnoticed, one may just have ended, as at a start.
-   * @param knownUpTo the list lacks nothing that happened before, on `Clock.bootNow`
+   * Records that this process follows the list again from now on, after another process did so. If the gap is long
+   * enough for an unnoticed outage, an outage may just have ended, as at a start.
+   * @param knownUpTo the list includes everything that happened before this time, on `Clock.bootNow`
    */
   resume (knownUpTo: number): void {
     const now = this.#clock.bootNow()
@@ -67,7 +65,7 @@
     this.#resumed = true
   }
 
-  /** Notes that a call was answered. */
+  /** Records that a call was answered. */
   answered (): void {
     const now = this.#clock.bootNow()
     this.#firstAnswerAt = Math.min(this.#firstAnswerAt, now)
@@ -77,7 +75,7 @@
     this.#failures = 0
   }
 
-  /** Notes that a call failed. @param askedAt when it was made, on `Clock.bootNow` */
+  /** Records that a call failed. @param askedAt when the call was made, on `Clock.bootNow` */
   failed (askedAt: number): void {
     this.#failures++
     this.#failingSince ??= Math.max(askedAt, this.#answeredAt)
--- a/packages/roster/src/roster.ts
+++ b/packages/roster/src/roster.ts
@@ -1,7 +1,7 @@
 /**
  * The gateway's view of the upstreams that the store lists: which take new requests, which lead open replicas, and when
- * one left. `Roster` owns this view and every rule on it; it relies on the adapter for lists and changes in their order,
- * and on `Outage` for how far a missing record can be trusted. The README has the states of a record.
+ * each departed. `Roster` owns this view and every rule on it. It relies on the adapter for lists and changes in their
+ * order, and on `Outage` for how far a missing record can be trusted. The README describes the states of a record.
  */
 import { isDeepStrictEqual } from 'node:util'
 import { type Clock } from '@eiderwind/clock'
@@ -10,12 +10,15 @@
 import { listedName, withWeightsInUse, type Upstream } from './upstream.js'
 
 /**
- * A change of one upstream's record: its new content, or the name of a record that is no longer listed. `certain`: something else stands in its
- * place, so that no outage can be the reason.
+ * A change of one upstream's record: its new content, or the name of a record that is no longer listed. `certain` means
+ * that its entry now holds something else, so that no outage can be the reason.
  */
 export type RosterChange = { readonly upstream: Upstream } | { readonly gone: string, readonly certain?: boolean | undefined }
 
-/** What it means that an upstream is not listed: `judged` by the outages of the store seen here, or `certain`ly gone. */
+/**
+ * How the absence of a record is treated. `judged`: an outage of the store may be the reason. `certain`: the upstream
+ * is gone.
+ */
 export type Absence = 'judged' | 'certain'
 
 /** The departure of an upstream that is leaving or gone. */
@@ -27,8 +30,8 @@
 }
 
 /**
- * How long the departure of an upstream that is gone is remembered, in ms: many times the longest
- * deadline of a request (8 s), so that the end of a call to it can still be judged by its record.
+ * How long the departure of an upstream that is gone is retained, in ms. This is many times the longest deadline of a
+ * request (8 s), so that the end of a call to the upstream can still be evaluated with its record.
  */
 const departureRetention = 60_000
 
@@ -36,43 +39,47 @@
 export class Roster {
   readonly #clock: Clock
   readonly #outage: Outage | undefined
-  /** Upstreams whose records lapsed during an outage and may be listed again. */
+  /** Ids of upstreams whose records lapsed during an outage and may be listed again. */
   readonly #lapsed = new Set<string>()
   readonly #upstreams = new Map<string, Upstream>()
-  /** The life that is listed under each name. */
+  /**
+   * The current life of each upstream, by its listed name. A life is the time from one start of an upstream to its end.
+   */
   readonly #lives = new Map<string, Upstream>()
-  /** Lives that ended before a later one of the same name began, with the time at which that was seen, on `Clock.now`. */
+  /** Ids of lives that ended because a later one of the same name began, and when this was seen, on `Clock.now`. */
   readonly #ended = new Map<string, number>()
   readonly #departures = new Map<string, Departure>()
   readonly #listeners = new Set<(changes: readonly RosterChange[]) => void>()
   readonly #endListeners = new Set<(upstream: Upstream) => void>()
-  /** Lives whose end the listeners have not heard of yet. */
+  /** Ended lives of which the listeners are not notified yet. */
   #pendingEnds: Upstream[] = []
   /** Data centres whose upstreams take no new requests. */
   #evacuatedDataCentres: ReadonlySet<string> = new Set()
-  /** Indexes for `available`, `heads` and `isEvacuated`, made when they are first asked for after a change. */
+  /** Indexes for `available`, `heads` and `isEvacuated`, built on first use after a change. */
   #byService: Map<string, Upstream[]> | undefined
   #heads: Map<string, Upstream[]> | undefined
   #evacuatedIds: ReadonlySet<string> | undefined
   #hasList = false
 
-  /** @param outage without it, an upstream that is not listed is gone at once */
+  /** @param outage if omitted, an upstream that is not listed is gone at once */
   constructor (clock: Clock, outage?: Outage) {
     this.#clock = clock
     this.#outage = outage
   }
 
-  /** Whether a list was ever taken. Until then the roster is empty because nothing was read yet. */
+  /** Whether a list was ever received. Until then the roster is empty because nothing was read yet. */
   get hasList (): boolean {
     return this.#hasList
   }
 
-  /** Every upstream that is not gone: also those that are leaving or whose record lapsed. */
+  /** Every upstream that is not gone, including those that are leaving or whose record has lapsed. */
   get upstreams (): Upstream[] {
     return [...this.#upstreams.values()]
   }
 
-  /** Ids of the upstreams whose records lapsed during an outage: each is listed again in time, or is gone. */
+  /**
+   * Ids of the upstreams whose records lapsed during an outage. Each is either listed again in time or counts as gone.
+   */
   get lapsed (): ReadonlySet<string> {
     return this.#lapsed
   }
@@ -81,7 +88,7 @@
     return this.#upstreams.get(id)
   }
 
-  /** Whether an upstream is listed, or its departure is not forgotten yet. */
+  /** Whether an upstream is listed, or its departure is still retained. */
   remembers (id: string): boolean {
     return this.find(id) !== undefined || this.departure(id) !== undefined
   }
@@ -91,7 +98,10 @@
     return this.#departures.get(id)
   }
 
-  /** Departures of upstreams that are not listed and whose end is not certain, in the order in which they were first seen. */
+  /**
+   * Departures of upstreams that are not listed and whose end is not certain, in the order in which they were first
+   * seen.
+   */
   get gone (): Departure[] {
     return [...this.#departures].filter(([id]) => !this.#upstreams.has(id) && !this.#ended.has(id)).map(([_id, departure]) => departure)
   }
@@ -113,7 +123,10 @@
     return this.#heads.get(headKey(service, model)) ?? []
   }
 
-  /** Whether an upstream takes no new requests since its data centre, or that of a member of its replica, is evacuated. */
+  /**
+   * Whether an upstream takes no new requests because its data centre, or the data centre of a member of its replica,
+   * is evacuated.
+   */
   isEvacuated (id: string): boolean {
     this.#evacuatedIds ??= evacuatedUpstreams(this.upstreams, this.#evacuatedDataCentres)
     return this.#evacuatedIds.has(id)
@@ -124,18 +137,18 @@
     return this.#evacuatedDataCentres
   }
 
-  /** Takes the data centres that are evacuated from now on, all of them. */
+  /** Replaces the set of evacuated data centres. */
   evacuate (dataCentres: ReadonlySet<string>): void {
     this.#evacuatedDataCentres = dataCentres
     this.#notifyChanges([])
   }
 
-  /** Upstreams in no data centre that is evacuated. */
+  /** Upstreams that are not closed to new requests by an evacuation. */
   get #notEvacuated (): Upstream[] {
     return this.#evacuatedDataCentres.size === 0 ? this.upstreams : this.upstreams.filter(({ id }) => !this.isEvacuated(id))
   }
 
-  /** Takes the whole list: an upstream that is not on it is no longer listed. */
+  /** Applies a whole list. An upstream that is missing from it is no longer listed. */
   replace (upstreams: readonly Upstream[], absence: Absence = 'judged'): void {
     const listed = new Set(upstreams.map(listedName))
     const gone = [...this.#lives.keys()].filter(name => !listed.has(name)).map(name => ({ gone: name }))
@@ -143,12 +156,12 @@
     this.apply([...gone, ...upstreams.map(upstream => ({ upstream }))], absence)
   }
 
-  /** Takes changes, in the order in which the store made them. */
+  /** Applies changes, in the order in which the store made them. */
   apply (changes: readonly RosterChange[], absence: Absence = 'judged'): void {
     this.#notifyChanges(changes.filter(change => 'gone' in change ? this.#remove(change.gone, change.certain === true ? 'certain' : absence) : this.#update(change.upstream)))
   }
 
-  /** Tells the listeners what has changed. */
+  /** Discards the indexes and the departures that are too old, then notifies the listeners. */
   #notifyChanges (effective: readonly RosterChange[]): void {
     this.#byService = undefined
     this.#heads = undefined
@@ -159,11 +172,12 @@
   }
 
   /**
-   * Takes an upstream's own word that it is leaving: from now on it takes no new requests, whatever its record says, until a later life. Returns whether that
-   * is new. Some upstreams never say it in their record.
+   * Records that an upstream has announced that it is leaving. From now on it takes no new requests, whatever its
+   * record contains, until a later life begins. Returns whether that is new. Some upstreams never announce it in their
+   * record.
    */
   leave (id: string): boolean {
-    // One that is gone may be listed again, after an outage.
+    // An upstream that is gone may be listed again after an outage.
     const latest = this.#upstreams.get(id) ?? this.#departures.get(id)?.upstream
     if (latest === undefined || latest.leaving) return false
     const upstream = { ...latest, leaving: true }
@@ -174,22 +188,25 @@
     return true
   }
 
-  /** Calls `listener` after each change, with what changed here, until the returned function is called. */
+  /** Calls `listener` after each change, with the records that changed, until the returned function is called. */
   listen (listener: (changes: readonly RosterChange[]) => void): () => void {
     this.#listeners.add(listener)
     return () => { this.#listeners.delete(listener) }
   }
 
-  /** Calls `listener` with each life that has ended before a later one began, its last record, until the returned function is called. */
+  /**
+   * Calls `listener` with the last record of each life that ended because a later one began, until the returned
+   * function is called.
+   */
   listenEnds (listener: (upstream: Upstream) => void): () => void {
     this.#endListeners.add(listener)
     return () => { this.#endListeners.delete(listener) }
   }
 
   /**
-   * Takes an upstream's record. One that was ever leaving stays so: a record that says otherwise is an older one that came
-   * late. That holds for one life: a later one begins anew, and a record of an earlier one is
-   * not taken. Returns whether the record says anything new.
+   * Applies an upstream's record. An upstream that was ever leaving stays so: a record without that is an older one
+   * that arrived late. This holds for one life only. A later life starts afresh, and a record of an earlier life is
+   * ignored. Returns whether the record changes anything.
    */
   #update (record: Upstream): boolean {
     const present = this.#lives.get(listedName(record))
@@ -207,8 +224,8 @@
   }
 
   /**
-   * Takes that an upstream is no longer listed: it is gone, unless its record may have lapsed during an outage. Returns whether it
-   * is gone now.
+   * Handles a record that is no longer listed. The upstream is gone, unless its record may have lapsed during an
+   * outage. Returns whether it is gone now.
    */
   #remove (name: string, absence: Absence): boolean {
     const upstream = this.#lives.get(name)
@@ -222,14 +239,14 @@
     return true
   }
 
-  /** Takes that a life has ended, since a later one began. */
+  /** Records that a life has ended because a later one began. */
   #endLife (upstream: Upstream): void {
     this.#forget(upstream)
     this.#ended.set(upstream.id, this.#clock.now())
     this.#pendingEnds.push(upstream)
   }
 
-  /** Listeners look things up, so they hear of it once all changes are taken. */
+  /** Notifies the listeners of ended lives. Listeners do look-ups, so they are called after all changes are applied. */
   #notifyEnds (): void {
     const ends = this.#pendingEnds
     this.#pendingEnds = []
@@ -243,7 +260,7 @@
     this.#recordDeparture(upstream)
   }
 
-  /** Keeps an upstream for `grace` ms; if it is not listed again by then, it is gone. */
+  /** Retains an upstream for `grace` ms. If it is not listed again by then, it is gone. */
   #lapse (upstream: Upstream, grace: number): void {
     const { id } = upstream
     if (this.#lapsed.has(id)) return
@@ -272,7 +289,7 @@
   }
 }
 
-/** Whether a record is of an earlier life than another record of the same name. */
+/** Whether a record belongs to an earlier life than another record of the same name. */
 function isEarlier (record: Upstream, other: Upstream): boolean {
   return record.born !== undefined && other.born !== undefined && record.born < other.born
 }
--- a/packages/roster/src/upstream.ts
+++ b/packages/roster/src/upstream.ts
@@ -1,32 +1,40 @@
 /**
- * An upstream as the store lists it, in the project's words. The adapter (`platform/src/upstreams.ts`) makes these
- * from the store's records. A gateway sends them in this form to one that cannot read the store's list, so field names are
- * names on the wire: never rename, drop or retype one, and make new ones optional.
+ * An upstream as the store lists it, in the types of this project. The adapter (`platform/src/upstreams.ts`) converts
+ * the store's records to them. A gateway sends them in this form to a gateway that cannot read the store's list, so the
+ * field names are names on the wire: never rename, drop or retype a field, and make new fields optional.
  */
 import { z } from 'zod'
 
-/** An engine's part in a replica, as the engine itself reports it. */
+/** An engine's part in a replica, as reported by the engine itself. */
 export const Membership = z.object({
   /** Name of the replica. */
   replica: z.string(),
   epoch: z.int(),
-  /** Place in the replica. 0 is the head. */
+  /** Rank in the replica. 0 is the head. */
   rank: z.int(),
-  /** Only a head is ever `open`, `closing` or `broken`. */
+  /** Only a head can be `open`, `closing` or `broken`. */
   state: z.enum(['joining', 'ready', 'open', 'closing', 'broken'])
 })
 export type Membership = z.infer<typeof Membership>
 
-/** One life of an upstream, an engine or a plain server. */
+/** One life of an upstream, which is an engine or a plain server. */
 export const Upstream = z.object({
-  /** Identity of this life: what is kept of an upstream is kept under it, so that nothing of one life counts in the next. */
+  /**
+   * Identity of this life. State about an upstream is stored under it, so that nothing from one life affects the next.
+   */
   id: z.string(),
-  /** Under what it is listed, and what it calls itself: the same in each of its lives. Absent where that is its id. */
+  /**
+   * The name under which it is listed and which it reports itself. It is the same in each of its lives. Absent if it
+   * equals the id.
+   */
   name: z.string().optional(),
-  /** When this life began, in Unix ms by its own machine's clock: compared between lives of one name only. Absent where it does not say. */
+  /**
+   * When this life began, in Unix ms by its own machine's clock. It is compared only between lives of one name. Absent
+   * if the upstream does not report it.
+   */
   born: z.int().optional(),
   service: z.string(),
-  /** `host:port`. It may be given to another upstream once this one has gone. */
+  /** `host:port`. It may be assigned to another upstream after this one is gone. */
   address: z.string(),
   dataCentre: z.string(),
   /** Whether it has announced that it is about to stop. */
@@ -35,14 +43,15 @@
   domain: z.string().optional(),
   /** Models whose weights are loaded. */
   loaded: z.array(z.string()),
-  /** Models whose weights lie in the host's memory. */
+  /** Models whose weights are in the host's memory. */
   staged: z.array(z.string()),
   /**
-   * For how much longer it is cold, in ms from when its record is read: a time left, since machines' clocks differ, and one that is read late must not end early. Absent where its
-   * record does not say that it is cold.
+   * How much longer it is cold, in ms from when its record is read. This is a remaining time, because the clocks of
+   * machines differ and a cold time that is read late must not end early. Absent if its record does not report that it
+   * is cold.
    */
   cold: z.number().positive().optional(),
-  /** Absent where the engine is in no replica. */
+  /** Absent if the engine is in no replica. */
   membership: Membership.optional()
 })
 export type Upstream = z.infer<typeof Upstream>
@@ -53,8 +62,8 @@
 }
 
 /**
- * An engine that has left its replica keeps the weights that it had in use until it loads others, though its record names none then: it serves the same model
- * again without a load.
+ * Completes a record with the weights that the engine has in use. An engine that has left its replica retains these
+ * weights until it loads others, although its record lists none. It can serve the same model again without a load.
  */
 export function withWeightsInUse (record: Upstream, before: Upstream | undefined): Upstream {
   const isOut = record.membership === undefined && record.loaded.length === 0
--- a/packages/roster/test/evacuation.test.ts
+++ b/packages/roster/test/evacuation.test.ts
@@ -33,25 +33,25 @@
   })
 }
 
-test('the roster offers none of them, also those that are listed later, and all at once when it is over', t => {
+test('the roster offers no evacuated upstream, also if it is listed later, and offers all again at the end of the evacuation', t => {
   const roster = new Roster(new ManualClock())
   roster.replace(all)
-  let woken = 0
-  roster.listen(() => woken++)
+  let notifications = 0
+  roster.listen(() => notifications++)
   roster.evacuate(new Set(['a']))
-  t.is(woken, 1, 'who waits for an upstream looks again')
+  t.is(notifications, 1, 'listeners are notified, so that waiting requests look for an upstream again')
   roster.apply([{ upstream: plain('p-late', 'a') }, { upstream: engine('a-3', 'a', 'late', 0) }])
   t.deepEqual(roster.available('plain').map(each => each.id), ['p-b'])
   t.deepEqual(roster.heads('chat', 'm').map(each => each.id), ['b-1'])
   t.true(roster.isEvacuated('a-3'))
   roster.evacuate(new Set())
-  t.is(woken, 3)
+  t.is(notifications, 3)
   t.deepEqual(roster.available('plain').map(each => each.id), ['p-a', 'p-b', 'p-late'])
   t.deepEqual(roster.heads('chat', 'm').map(each => each.id), ['a-0', 'b-0', 'b-1', 'a-3'])
   t.false(roster.isEvacuated('a-3'))
 })
 
-test('an upstream whose record lapses or that leaves stays closed', t => {
+test('an evacuated upstream whose record disappears or that leaves stays closed to requests', t => {
   const roster = new Roster(new ManualClock())
   roster.replace(all)
   roster.evacuate(new Set(['a']))
--- a/packages/roster/test/leave.test.ts
+++ b/packages/roster/test/leave.test.ts
@@ -1,4 +1,7 @@
-/** Upstreams that say themselves that they are leaving, beside what their records say: in both orders, and where the records lapse. */
+/**
+ * Upstreams that announce in an answer that they are leaving, while their records may not show it: the announcement
+ * comes before or after the record, or the record lapses.
+ */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Outage, Roster, type RosterChange, type Upstream } from '../src/index.js'
@@ -9,28 +12,28 @@
   return { id, service: 'chat', address: `${id}:1`, dataCentre: 'dc', leaving: false, loaded: ['m'], staged: [], membership: open, ...difference }
 }
 
-function fixture (): { clock: ManualClock, outage: Outage, roster: Roster, told: string[] } {
+function fixture (): { clock: ManualClock, outage: Outage, roster: Roster, notified: string[] } {
   const clock = new ManualClock()
   const outage = new Outage(clock)
   const roster = new Roster(clock, outage)
-  const told: string[] = []
+  const notified: string[] = []
   const name = (change: RosterChange): string => 'gone' in change ? `-${change.gone}` : `${change.upstream.id}${change.upstream.leaving ? ' leaves' : ''}`
   roster.replace([record('a'), record('b')])
-  roster.listen(changes => told.push(...changes.map(name)))
-  return { clock, outage, roster, told }
+  roster.listen(changes => notified.push(...changes.map(name)))
+  return { clock, outage, roster, notified }
 }
 
-test('an upstream that says that it is leaving takes no new requests, and the listeners hear of it once', t => {
-  const { roster, told } = fixture()
+test('an upstream that announces that it is leaving takes no new requests, and the listeners are notified once', t => {
+  const { roster, notified } = fixture()
   t.true(roster.leave('a'))
   t.false(roster.leave('a'))
   t.deepEqual(roster.heads('chat', 'm').map(each => each.id), ['b'])
   t.deepEqual(roster.available('chat').map(each => each.id), ['b'])
   t.true(roster.departure('a')?.upstream.leaving)
-  t.deepEqual(told, ['a leaves'])
+  t.deepEqual(notified, ['a leaves'])
 })
 
-test('records that say otherwise afterwards change nothing, in a change and in a whole list', t => {
+test('a later record without the announcement changes nothing, in a change or in a whole list', t => {
   const { roster } = fixture()
   roster.leave('a')
   roster.apply([{ upstream: record('a', { staged: ['m'] }) }])
@@ -38,14 +41,14 @@
   t.deepEqual(roster.available('chat').map(each => each.id), ['b'])
 })
 
-test('one whose record says it first has nothing new to say', t => {
-  const { roster, told } = fixture()
+test('an announcement that the record already contains is not new', t => {
+  const { roster, notified } = fixture()
   roster.apply([{ upstream: record('a', { leaving: true }) }])
   t.false(roster.leave('a'))
-  t.deepEqual(told, ['a leaves'])
+  t.deepEqual(notified, ['a leaves'])
 })
 
-test('one that is not listed any more when its answer comes is still leaving when it is listed again', t => {
+test('an upstream that announces its leaving while it is not listed is still leaving when it is listed again', t => {
   const { roster } = fixture()
   roster.apply([{ gone: 'a', certain: true }])
   t.true(roster.leave('a'))
@@ -54,7 +57,7 @@
   t.deepEqual(roster.available('chat').map(each => each.id), ['b'])
 })
 
-test('one whose record has lapsed in an outage says so and goes when its record would be back', t => {
+test('an upstream that announces its leaving while its record has lapsed is gone when the time to be listed again is over', t => {
   const { clock, outage, roster } = fixture()
   outage.failed(clock.bootNow())
   outage.failed(clock.bootNow())
@@ -68,7 +71,7 @@
   t.is(roster.find('a'), undefined)
 })
 
-test('a later life is not leaving', t => {
+test('a later life of an upstream that was leaving is not leaving', t => {
   const { roster } = fixture()
   roster.apply([{ upstream: record('c@1', { name: 'c', born: 1 }) }])
   roster.leave('c@1')
@@ -76,8 +79,8 @@
   t.deepEqual(roster.available('chat').map(each => each.id), ['a', 'b', 'c@2'])
 })
 
-test('an upstream that nobody knows says nothing', t => {
-  const { roster, told } = fixture()
-  t.false(roster.leave('nobody'))
-  t.deepEqual(told, [])
+test('an announcement of an unknown upstream is ignored', t => {
+  const { roster, notified } = fixture()
+  t.false(roster.leave('unknown'))
+  t.deepEqual(notified, [])
 })
--- a/packages/roster/test/lives.test.ts
+++ b/packages/roster/test/lives.test.ts
@@ -1,4 +1,4 @@
-/** Upstreams that start again under the name that they had. */
+/** Upstreams that restart under the same name. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Outage, Roster, type Upstream } from '../src/index.js'
@@ -19,7 +19,7 @@
   return { clock, outage, roster, ends }
 }
 
-test('a later life ends the earlier one at once: it leads nothing, and that it was leaving does not count', t => {
+test('a later life ends the earlier one at once: it leads no replica, and the announcement of the earlier one is dropped', t => {
   const { roster, ends } = fixture()
   roster.replace([life(1, { loaded: ['m'], membership: open, leaving: true })])
   roster.apply([{ upstream: life(2) }])
@@ -31,7 +31,7 @@
   t.is(roster.departure('a@2'), undefined)
 })
 
-test('a record of an earlier life that comes late is not taken, in a change, in a list, and after the later life has gone', t => {
+test('a record of an earlier life that arrives late is ignored, in a change, in a list, and after the later life has gone', t => {
   const { roster, ends } = fixture()
   roster.replace([life(1)])
   roster.apply([{ upstream: life(2) }, { upstream: life(1, { membership: open, loaded: ['m'] }) }])
@@ -43,7 +43,7 @@
   t.deepEqual(ends, ['a@1'])
 })
 
-test('two lives between two readings of the list: the newest is there, and all before have ended', t => {
+test('the newest life of a list replaces the earlier one, and a record of a life between them is ignored', t => {
   const { roster, ends } = fixture()
   roster.replace([life(1)])
   roster.replace([life(3)])
@@ -53,7 +53,7 @@
   t.deepEqual(roster.upstreams.map(each => each.id), ['a@3'])
 })
 
-test('one that is listed again after an outage in another life has ended at once, whatever time the outage leaves it', t => {
+test('a lapsed life ends at once when a later one is listed, even within the time to be listed again', t => {
   const { clock, outage, roster, ends } = fixture()
   roster.replace([life(1)])
   for (let count = 0; count < 3; count++) {
@@ -70,7 +70,7 @@
   t.deepEqual(roster.upstreams.map(each => each.id), ['a@2'])
 })
 
-test('an entry in which something else stands is gone at once, also after an outage', t => {
+test('an upstream is gone at once if its entry now holds something else, even after an outage', t => {
   const { clock, outage, roster } = fixture()
   roster.replace([life(1)])
   for (let count = 0; count < 3; count++) {
@@ -83,7 +83,7 @@
   t.deepEqual([...roster.lapsed], [])
 })
 
-test('listeners look up the list as it is after all changes', t => {
+test('listeners see the list with all changes applied', t => {
   const { roster } = fixture()
   roster.replace([life(1, { loaded: ['m'], membership: open })])
   t.is(roster.heads('chat', 'm').length, 1)
--- a/packages/roster/test/roster.test.ts
+++ b/packages/roster/test/roster.test.ts
@@ -1,4 +1,4 @@
-/** Which upstreams the store lists, and when each left. */
+/** Which upstreams count as listed, and when each departed. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Outage, Roster, type Upstream } from '../src/index.js'
@@ -9,7 +9,7 @@
 
 const open = { replica: 'r', epoch: 1, rank: 0, state: 'open' } as const
 
-test('only heads that are open and stay take requests of their model', t => {
+test('only open heads that are not leaving take requests of their model', t => {
   const roster = new Roster(new ManualClock())
   t.false(roster.hasList)
   roster.replace([
@@ -24,7 +24,7 @@
   t.deepEqual(roster.available('chat').map(each => each.id), ['head', 'member', 'closing', 'other'])
 })
 
-test('a departure counts from when it was first heard, and ends when the upstream is there again', t => {
+test('a departure starts when it is first seen, and none is recorded for an upstream that stays', t => {
   const clock = new ManualClock()
   const roster = new Roster(clock)
   roster.replace([engine('a'), engine('b')])
@@ -38,7 +38,7 @@
   t.is(roster.departure('b'), undefined)
 })
 
-test('an upstream that has said that it leaves never stays, whatever old word of it comes late', t => {
+test('an upstream that has announced its leaving stays leaving, even if an older record arrives late', t => {
   const clock = new ManualClock()
   const roster = new Roster(clock)
   roster.replace([engine('a', { membership: open }), engine('b')])
@@ -52,23 +52,23 @@
   t.is(roster.departure('a')?.at, 0)
 })
 
-test('listeners hear of every change until they stop', t => {
+test('listeners are notified of every change until they unsubscribe', t => {
   const roster = new Roster(new ManualClock())
-  let heard = 0
-  const stop = roster.listen(() => heard++)
+  let notifications = 0
+  const unsubscribe = roster.listen(() => notifications++)
   roster.replace([engine('a')])
   roster.apply([{ gone: 'a' }])
-  stop()
+  unsubscribe()
   roster.replace([])
-  t.is(heard, 2)
+  t.is(notifications, 2)
 })
 
-test('who is not listed any more after a quiet time is gone at once', t => {
+test('an upstream that is not listed any more after a quiet time is gone at once', t => {
   const clock = new ManualClock()
   const outage = new Outage(clock)
   const roster = new Roster(clock, outage)
   roster.replace([engine('a')])
-  // Nothing was asked for long, or what was asked had nothing to tell; then one lost answer.
+  // For a long time no call was made, or the answers had no changes; then one answer was lost.
   clock.advance(8000)
   outage.answered()
   roster.apply([{ gone: 'a' }])
@@ -81,7 +81,7 @@
   t.is(roster.find('a'), undefined)
 })
 
-test('entries that are missing after an outage stay until the time for their return is over', t => {
+test('entries that are missing after an outage are retained until the time to be listed again is over', t => {
   const clock = new ManualClock()
   const outage = new Outage(clock)
   const roster = new Roster(clock, outage)
@@ -102,7 +102,7 @@
   t.deepEqual(roster.upstreams, [])
 })
 
-test('a list that was first read a moment ago is not taken for whole', t => {
+test('a list that was first read a moment ago does not count as complete', t => {
   const clock = new ManualClock()
   const outage = new Outage(clock)
   clock.advance(5000)
@@ -114,7 +114,7 @@
   t.true(outage.listComplete)
 })
 
-test('the departure of an upstream that is gone is remembered for a minute', t => {
+test('the departure of an upstream that is gone is retained for a minute', t => {
   const clock = new ManualClock()
   const roster = new Roster(clock)
   roster.replace([engine('a')])
@@ -127,7 +127,7 @@
   t.is(roster.departure('a'), undefined)
 })
 
-test('a list that is followed here again after another process did so counts as complete, unless an outage may have passed unnoticed', t => {
+test('a list that is followed again after another process followed it counts as complete, unless the gap may hide an outage', t => {
   const clock = new ManualClock()
   const outage = new Outage(clock)
   outage.answered()
@@ -140,7 +140,7 @@
   t.true(outage.listComplete)
 })
 
-test('an engine that has left its replica keeps the weights that it had in use, until it loads others or begins a later life', t => {
+test('an engine that has left its replica retains the weights in use until it loads others, and a new engine has none', t => {
   const roster = new Roster(new ManualClock())
   const loaded = (): readonly string[] | undefined => roster.find('a')?.loaded
   roster.replace([engine('a', { membership: open, staged: ['n'] })])
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -568,12 +568,12 @@
   {
     name: 'quiet-is-outage',
     point: 6,
-    rule: 'who is not listed after a quiet time is gone at once (DRAIN)',
+    rule: 'an upstream that is not listed after a quiet time is gone at once (DRAIN)',
     file: 'packages/roster/dist/src/outage.js',
     find: 'this.#failingSince !== undefined && this.#failures >= minimumFailures && ',
     replace: '',
     test: 'packages/roster/dist/test/roster.test.js',
-    title: 'who is not listed any more*'
+    title: 'an upstream that is not listed any more*'
   },
   {
     name: 'doubtful-used',
