--- a/packages/roster/src/roster.ts
+++ b/packages/roster/src/roster.ts
@@ -43,15 +43,18 @@
   readonly #lapsed = new Set<string>()
   readonly #upstreams = new Map<string, Upstream>()
   /**
-   * The current life of each upstream, by its listed name. A life is the time from one start of an upstream to its end.
+   * The current incarnation of each upstream, by its listed name. An incarnation is the time from one start of an
+   * upstream to its end.
+   */
+  readonly #incarnations = new Map<string, Upstream>()
+  /**
+   * Ids of incarnations that ended because a later one of the same name began, and when this was seen, on `Clock.now`.
    */
-  readonly #lives = new Map<string, Upstream>()
-  /** Ids of lives that ended because a later one of the same name began, and when this was seen, on `Clock.now`. */
   readonly #ended = new Map<string, number>()
   readonly #departures = new Map<string, Departure>()
   readonly #listeners = new Set<(changes: readonly RosterChange[]) => void>()
   readonly #endListeners = new Set<(upstream: Upstream) => void>()
-  /** Ended lives of which the listeners are not notified yet. */
+  /** Ended incarnations of which the listeners are not notified yet. */
   #pendingEnds: Upstream[] = []
   /** Data centres whose upstreams take no new requests. */
   #evacuatedDataCentres: ReadonlySet<string> = new Set()
@@ -106,7 +109,7 @@
     return [...this.#departures].filter(([id]) => !this.#upstreams.has(id) && !this.#ended.has(id)).map(([_id, departure]) => departure)
   }
 
-  /** Whether an upstream has certainly ended: a later life is listed under its name. */
+  /** Whether an upstream has certainly ended: a later incarnation is listed under its name. */
   hasEnded (id: string): boolean {
     return this.#ended.has(id)
   }
@@ -151,7 +154,7 @@
   /** Applies a whole list. An upstream that is missing from it is no longer listed. */
   replace (upstreams: readonly Upstream[], absence: Absence = 'judged'): void {
     const listed = new Set(upstreams.map(listedName))
-    const gone = [...this.#lives.keys()].filter(name => !listed.has(name)).map(name => ({ gone: name }))
+    const gone = [...this.#incarnations.keys()].filter(name => !listed.has(name)).map(name => ({ gone: name }))
     this.#hasList = true
     this.apply([...gone, ...upstreams.map(upstream => ({ upstream }))], absence)
   }
@@ -173,8 +176,8 @@
 
   /**
    * Records that an upstream has announced that it is leaving. From now on it takes no new requests, whatever its
-   * record contains, until a later life begins. Returns whether that is new. Some upstreams never announce it in their
-   * record.
+   * record contains, until a later incarnation begins. Returns whether that is new. Some upstreams never announce it in
+   * their record.
    */
   leave (id: string): boolean {
     // An upstream that is gone may be listed again after an outage.
@@ -195,7 +198,7 @@
   }
 
   /**
-   * Calls `listener` with the last record of each life that ended because a later one began, until the returned
+   * Calls `listener` with the last record of each incarnation that ended because a later one began, until the returned
    * function is called.
    */
   listenEnds (listener: (upstream: Upstream) => void): () => void {
@@ -205,11 +208,11 @@
 
   /**
    * Applies an upstream's record. An upstream that was ever leaving stays so: a record without that is an older one
-   * that arrived late. This holds for one life only. A later life starts afresh, and a record of an earlier life is
-   * ignored. Returns whether the record changes anything.
+   * that arrived late. This holds for one incarnation only. A later incarnation starts afresh, and a record of an
+   * earlier incarnation is ignored. Returns whether the record changes anything.
    */
   #update (record: Upstream): boolean {
-    const present = this.#lives.get(listedName(record))
+    const present = this.#incarnations.get(listedName(record))
     if (this.#ended.has(record.id) || (present !== undefined && isEarlier(record, present))) return false
     if (present !== undefined && present.id !== record.id) this.#endLife(present)
     this.#lapsed.delete(record.id)
@@ -228,7 +231,7 @@
    * outage. Returns whether it is gone now.
    */
   #remove (name: string, absence: Absence): boolean {
-    const upstream = this.#lives.get(name)
+    const upstream = this.#incarnations.get(name)
     if (upstream === undefined) return false
     const grace = absence === 'certain' ? 0 : (this.#outage?.relistDeadline ?? -Infinity) - this.#clock.bootNow()
     if (grace > 0) {
@@ -239,14 +242,17 @@
     return true
   }
 
-  /** Records that a life has ended because a later one began. */
+  /** Records that an incarnation has ended because a later one began. */
   #endLife (upstream: Upstream): void {
     this.#forget(upstream)
     this.#ended.set(upstream.id, this.#clock.now())
     this.#pendingEnds.push(upstream)
   }
 
-  /** Notifies the listeners of ended lives. Listeners do look-ups, so they are called after all changes are applied. */
+  /**
+   * Notifies the listeners of ended incarnations. Listeners do look-ups, so they are called after all changes are
+   * applied.
+   */
   #notifyEnds (): void {
     const ends = this.#pendingEnds
     this.#pendingEnds = []
@@ -256,7 +262,7 @@
   #forget (upstream: Upstream): void {
     this.#lapsed.delete(upstream.id)
     this.#upstreams.delete(upstream.id)
-    this.#lives.delete(listedName(upstream))
+    this.#incarnations.delete(listedName(upstream))
     this.#recordDeparture(upstream)
   }
 
@@ -272,7 +278,7 @@
 
   #store (upstream: Upstream): void {
     this.#upstreams.set(upstream.id, upstream)
-    this.#lives.set(listedName(upstream), upstream)
+    this.#incarnations.set(listedName(upstream), upstream)
   }
 
   #recordDeparture (upstream: Upstream): void {
@@ -289,7 +295,7 @@
   }
 }
 
-/** Whether a record belongs to an earlier life than another record of the same name. */
+/** Whether a record belongs to an earlier incarnation than another record of the same name. */
 function isEarlier (record: Upstream, other: Upstream): boolean {
   return record.born !== undefined && other.born !== undefined && record.born < other.born
 }
--- a/packages/roster/src/upstream.ts
+++ b/packages/roster/src/upstream.ts
@@ -17,20 +17,21 @@
 })
 export type Membership = z.infer<typeof Membership>
 
-/** One life of an upstream, which is an engine or a plain server. */
+/** One incarnation of an upstream, which is an engine or a plain server. */
 export const Upstream = z.object({
   /**
-   * Identity of this life. State about an upstream is stored under it, so that nothing from one life affects the next.
+   * Identity of this incarnation. State about an upstream is stored under it, so that nothing from one incarnation
+   * affects the next.
    */
   id: z.string(),
   /**
-   * The name under which it is listed and which it reports itself. It is the same in each of its lives. Absent if it
-   * equals the id.
+   * The name under which it is listed and which it reports itself. It is the same in each of its incarnations. Absent
+   * if it equals the id.
    */
   name: z.string().optional(),
   /**
-   * When this life began, in Unix ms by its own machine's clock. It is compared only between lives of one name. Absent
-   * if the upstream does not report it.
+   * When this incarnation began, in Unix ms by its own machine's clock. It is compared only between incarnations of one
+   * name. Absent if the upstream does not report it.
    */
   born: z.int().optional(),
   service: z.string(),
--- a/packages/roster/test/leave.test.ts
+++ b/packages/roster/test/leave.test.ts
@@ -71,7 +71,7 @@
   t.is(roster.find('a'), undefined)
 })
 
-test('a later life of an upstream that was leaving is not leaving', t => {
+test('a later incarnation of an upstream that was leaving is not leaving', t => {
   const { roster } = fixture()
   roster.apply([{ upstream: record('c@1', { name: 'c', born: 1 }) }])
   roster.leave('c@1')
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -16,12 +16,12 @@
   {
     name: 'life-late-record',
     point: 1,
-    rule: 'a record of an earlier life is not taken after one of a later',
+    rule: 'a record of an earlier incarnation is not taken after one of a later',
     file: 'packages/roster/dist/src/roster.js',
     find: 'this.#ended.has(record.id) || ',
     replace: '',
-    test: 'packages/roster/dist/test/lives.test.js',
-    title: 'a record of an earlier life*'
+    test: 'packages/roster/dist/test/incarnations.test.js',
+    title: 'a record of an earlier incarnation*'
   },
   {
     name: 'grant-after-restart',
