--- a/packages/roster/src/roster.ts
+++ b/packages/roster/src/roster.ts
@@ -1,7 +1,7 @@
 /**
  * The gateway's view of the upstreams that the store lists: which take new requests, which lead open replicas, and when
- * one left. `Roster` owns this view and every rule on it; it relies on the adapter for lists and changes in their order,
- * and on `Outage` for how far a missing record can be trusted. The README has the states of a record.
+ * each departed. `Roster` owns this view and every rule on it. It relies on the adapter for lists and changes in their
+ * order, and on `Outage` for how far a missing record can be trusted. The README describes the states of a record.
  */
 import { isDeepStrictEqual } from 'node:util'
 import { type Clock } from '@eiderwind/clock'
@@ -10,12 +10,15 @@
 import { listedName, withWeightsInUse, type Upstream } from './upstream.js'
 
 /**
- * A change of one upstream's record: its new content, or the name of a record that is no longer listed. `certain`: something else stands in its
- * place, so that no outage can be the reason.
+ * A change of one upstream's record: its new content, or the name of a record that is no longer listed. `certain` means
+ * that its entry now holds something else, so that no outage can be the reason.
  */
 export type RosterChange = { readonly upstream: Upstream } | { readonly gone: string, readonly certain?: boolean | undefined }
 
-/** What it means that an upstream is not listed: `judged` by the outages of the store seen here, or `certain`ly gone. */
+/**
+ * How the absence of a record is treated. `judged`: an outage of the store may be the reason. `certain`: the upstream
+ * is gone.
+ */
 export type Absence = 'judged' | 'certain'
 
 /** The departure of an upstream that is leaving or gone. */
@@ -27,52 +30,59 @@
 }
 
 /**
- * How long the departure of an upstream that is gone is remembered, in ms: many times the longest
- * deadline of a request (8 s), so that the end of a call to it can still be judged by its record.
+ * How long the departure of an upstream that is gone is retained, in ms. This is many times the longest deadline of a
+ * request (8 s), so that the end of a call to the upstream can still be evaluated with its record.
  */
-const departureMemory = 60_000
+const departureRetention = 60_000
 
 /** Looks up upstreams by id, service and model, and notifies listeners after each change. */
 export class Roster {
   readonly #clock: Clock
   readonly #outage: Outage | undefined
-  /** Upstreams whose records lapsed during an outage and may be listed again. */
+  /** Ids of upstreams whose records lapsed during an outage and may be listed again. */
   readonly #lapsed = new Set<string>()
   readonly #upstreams = new Map<string, Upstream>()
-  /** The life that is listed under each name. */
-  readonly #lives = new Map<string, Upstream>()
-  /** Lives that ended before a later one of the same name began, with the time at which that was seen, on `Clock.now`. */
+  /**
+   * The current incarnation of each upstream, by its listed name. An incarnation is the time from one start of an
+   * upstream to its end.
+   */
+  readonly #incarnations = new Map<string, Upstream>()
+  /**
+   * Ids of incarnations that ended because a later one of the same name began, and when this was seen, on `Clock.now`.
+   */
   readonly #ended = new Map<string, number>()
   readonly #departures = new Map<string, Departure>()
   readonly #listeners = new Set<(changes: readonly RosterChange[]) => void>()
   readonly #endListeners = new Set<(upstream: Upstream) => void>()
-  /** Lives whose end the listeners have not heard of yet. */
-  #untold: Upstream[] = []
+  /** Ended incarnations of which the listeners are not notified yet. */
+  #pendingEnds: Upstream[] = []
   /** Data centres whose upstreams take no new requests. */
-  #dataCentres: ReadonlySet<string> = new Set()
-  /** Indexes for `available`, `heads` and `isEvacuated`, made when they are first asked for after a change. */
+  #evacuatedDataCentres: ReadonlySet<string> = new Set()
+  /** Indexes for `available`, `heads` and `isEvacuated`, built on first use after a change. */
   #byService: Map<string, Upstream[]> | undefined
   #heads: Map<string, Upstream[]> | undefined
-  #evacuated: ReadonlySet<string> | undefined
+  #evacuatedIds: ReadonlySet<string> | undefined
   #hasList = false
 
-  /** @param outage without it, an upstream that is not listed is gone at once */
+  /** @param outage if omitted, an upstream that is not listed is gone at once */
   constructor (clock: Clock, outage?: Outage) {
     this.#clock = clock
     this.#outage = outage
   }
 
-  /** Whether a list was ever taken. Until then the roster is empty because nothing was read yet. */
+  /** Whether a list was ever received. Until then the roster is empty because nothing was read yet. */
   get hasList (): boolean {
     return this.#hasList
   }
 
-  /** Every upstream that is not gone: also those that are leaving or whose record lapsed. */
+  /** Every upstream that is not gone, including those that are leaving or whose record has lapsed. */
   get upstreams (): Upstream[] {
     return [...this.#upstreams.values()]
   }
 
-  /** Ids of the upstreams whose records lapsed during an outage: each is listed again in time, or is gone. */
+  /**
+   * Ids of the upstreams whose records lapsed during an outage. Each is either listed again in time or counts as gone.
+   */
   get lapsed (): ReadonlySet<string> {
     return this.#lapsed
   }
@@ -81,7 +91,7 @@
     return this.#upstreams.get(id)
   }
 
-  /** Whether an upstream is listed, or its departure is not forgotten yet. */
+  /** Whether an upstream is listed, or its departure is still retained. */
   remembers (id: string): boolean {
     return this.find(id) !== undefined || this.departure(id) !== undefined
   }
@@ -91,127 +101,137 @@
     return this.#departures.get(id)
   }
 
-  /** Departures of upstreams that are not listed and whose end is not certain, in the order in which they were first seen. */
+  /**
+   * Departures of upstreams that are not listed and whose end is not certain, in the order in which they were first
+   * seen.
+   */
   get gone (): Departure[] {
     return [...this.#departures].filter(([id]) => !this.#upstreams.has(id) && !this.#ended.has(id)).map(([_id, departure]) => departure)
   }
 
-  /** Whether an upstream has certainly ended: a later life is listed under its name. */
+  /** Whether an upstream has certainly ended: a later incarnation is listed under its name. */
   hasEnded (id: string): boolean {
     return this.#ended.has(id)
   }
 
   /** Upstreams of a service that take new requests. */
   available (service: string): readonly Upstream[] {
-    this.#byService ??= groupBy(this.#open.filter(each => !each.leaving), each => each.service)
+    this.#byService ??= groupBy(this.#notEvacuated.filter(each => !each.leaving), each => each.service)
     return this.#byService.get(service) ?? []
   }
 
   /** Heads of open replicas of a model that take new requests. */
   heads (service: string, model: string): readonly Upstream[] {
-    this.#heads ??= groupBy(this.#open.filter(isOpenHead), each => headKey(each.service, each.loaded[0] ?? ''))
+    this.#heads ??= groupBy(this.#notEvacuated.filter(isOpenHead), each => headKey(each.service, each.loaded[0] ?? ''))
     return this.#heads.get(headKey(service, model)) ?? []
   }
 
-  /** Whether an upstream takes no new requests since its data centre, or that of a member of its replica, is evacuated. */
+  /**
+   * Whether an upstream takes no new requests because its data centre, or the data centre of a member of its replica,
+   * is evacuated.
+   */
   isEvacuated (id: string): boolean {
-    this.#evacuated ??= evacuatedUpstreams(this.upstreams, this.#dataCentres)
-    return this.#evacuated.has(id)
+    this.#evacuatedIds ??= evacuatedUpstreams(this.upstreams, this.#evacuatedDataCentres)
+    return this.#evacuatedIds.has(id)
   }
 
   /** The data centres that are evacuated. */
   get evacuatedDataCentres (): ReadonlySet<string> {
-    return this.#dataCentres
+    return this.#evacuatedDataCentres
   }
 
-  /** Takes the data centres that are evacuated from now on, all of them. */
+  /** Replaces the set of evacuated data centres. */
   evacuate (dataCentres: ReadonlySet<string>): void {
-    this.#dataCentres = dataCentres
-    this.#changed([])
+    this.#evacuatedDataCentres = dataCentres
+    this.#notifyChanges([])
   }
 
-  /** Upstreams in no data centre that is evacuated. */
-  get #open (): Upstream[] {
-    return this.#dataCentres.size === 0 ? this.upstreams : this.upstreams.filter(({ id }) => !this.isEvacuated(id))
+  /** Upstreams that are not closed to new requests by an evacuation. */
+  get #notEvacuated (): Upstream[] {
+    return this.#evacuatedDataCentres.size === 0 ? this.upstreams : this.upstreams.filter(({ id }) => !this.isEvacuated(id))
   }
 
-  /** Takes the whole list: an upstream that is not on it is no longer listed. */
+  /** Applies a whole list. An upstream that is missing from it is no longer listed. */
   replace (upstreams: readonly Upstream[], absence: Absence = 'judged'): void {
     const listed = new Set(upstreams.map(listedName))
-    const gone = [...this.#lives.keys()].filter(name => !listed.has(name)).map(name => ({ gone: name }))
+    const gone = [...this.#incarnations.keys()].filter(name => !listed.has(name)).map(name => ({ gone: name }))
     this.#hasList = true
     this.apply([...gone, ...upstreams.map(upstream => ({ upstream }))], absence)
   }
 
-  /** Takes changes, in the order in which the store made them. */
+  /** Applies changes, in the order in which the store made them. */
   apply (changes: readonly RosterChange[], absence: Absence = 'judged'): void {
-    this.#changed(changes.filter(change => 'gone' in change ? this.#remove(change.gone, change.certain === true ? 'certain' : absence) : this.#update(change.upstream)))
+    this.#notifyChanges(changes.filter(change => 'gone' in change ? this.#remove(change.gone, change.certain === true ? 'certain' : absence) : this.#update(change.upstream)))
   }
 
-  /** Tells the listeners what has changed. */
-  #changed (effective: readonly RosterChange[]): void {
+  /** Discards the indexes and the departures that are too old, then notifies the listeners. */
+  #notifyChanges (effective: readonly RosterChange[]): void {
     this.#byService = undefined
     this.#heads = undefined
-    this.#evacuated = undefined
+    this.#evacuatedIds = undefined
     this.#forgetDepartures()
-    this.#tellEnds()
+    this.#notifyEnds()
     for (const listener of this.#listeners) listener(effective)
   }
 
   /**
-   * Takes an upstream's own word that it is leaving: from now on it takes no new requests, whatever its record says, until a later life. Returns whether that
-   * is new. Some upstreams never say it in their record.
+   * Records that an upstream has announced that it is leaving. From now on it takes no new requests, whatever its
+   * record contains, until a later incarnation begins. Returns whether that is new. Some upstreams never announce it in
+   * their record.
    */
   leave (id: string): boolean {
-    // One that is gone may be listed again, after an outage.
+    // An upstream that is gone may be listed again after an outage.
     const latest = this.#upstreams.get(id) ?? this.#departures.get(id)?.upstream
     if (latest === undefined || latest.leaving) return false
     const upstream = { ...latest, leaving: true }
-    this.#depart(upstream)
+    this.#recordDeparture(upstream)
     if (!this.#upstreams.has(id)) return true
-    this.#keep(upstream)
-    this.#changed([{ upstream }])
+    this.#store(upstream)
+    this.#notifyChanges([{ upstream }])
     return true
   }
 
-  /** Calls `listener` after each change, with what changed here, until the returned function is called. */
+  /** Calls `listener` after each change, with the records that changed, until the returned function is called. */
   listen (listener: (changes: readonly RosterChange[]) => void): () => void {
     this.#listeners.add(listener)
     return () => { this.#listeners.delete(listener) }
   }
 
-  /** Calls `listener` with each life that has ended before a later one began, its last record, until the returned function is called. */
+  /**
+   * Calls `listener` with the last record of each incarnation that ended because a later one began, until the returned
+   * function is called.
+   */
   listenEnds (listener: (upstream: Upstream) => void): () => void {
     this.#endListeners.add(listener)
     return () => { this.#endListeners.delete(listener) }
   }
 
   /**
-   * Takes an upstream's record. One that was ever leaving stays so: a record that says otherwise is an older one that came
-   * late. That holds for one life: a later one begins anew, and a record of an earlier one is
-   * not taken. Returns whether the record says anything new.
+   * Applies an upstream's record. An upstream that was ever leaving stays so: a record without that is an older one
+   * that arrived late. This holds for one incarnation only. A later incarnation starts afresh, and a record of an
+   * earlier incarnation is ignored. Returns whether the record changes anything.
    */
   #update (record: Upstream): boolean {
-    const present = this.#lives.get(listedName(record))
+    const present = this.#incarnations.get(listedName(record))
     if (this.#ended.has(record.id) || (present !== undefined && isEarlier(record, present))) return false
-    if (present !== undefined && present.id !== record.id) this.#end(present)
+    if (present !== undefined && present.id !== record.id) this.#endLife(present)
     this.#lapsed.delete(record.id)
     const leaving = record.leaving || this.#departures.get(record.id)?.upstream.leaving === true
-    const known = withWeightsInUse(record, this.#upstreams.get(record.id))
-    const upstream = leaving ? { ...known, leaving } : known
+    const completed = withWeightsInUse(record, this.#upstreams.get(record.id))
+    const upstream = leaving ? { ...completed, leaving } : completed
     const isNew = !isDeepStrictEqual(upstream, this.#upstreams.get(record.id))
-    this.#keep(upstream)
-    if (leaving) this.#depart(upstream)
+    this.#store(upstream)
+    if (leaving) this.#recordDeparture(upstream)
     else this.#departures.delete(upstream.id)
     return isNew
   }
 
   /**
-   * Takes that an upstream is no longer listed: it is gone, unless its record may have lapsed during an outage. Returns whether it
-   * is gone now.
+   * Handles a record that is no longer listed. The upstream is gone, unless its record may have lapsed during an
+   * outage. Returns whether it is gone now.
    */
   #remove (name: string, absence: Absence): boolean {
-    const upstream = this.#lives.get(name)
+    const upstream = this.#incarnations.get(name)
     if (upstream === undefined) return false
     const grace = absence === 'certain' ? 0 : (this.#outage?.relistDeadline ?? -Infinity) - this.#clock.bootNow()
     if (grace > 0) {
@@ -222,28 +242,31 @@
     return true
   }
 
-  /** Takes that a life has ended, since a later one began. */
-  #end (upstream: Upstream): void {
+  /** Records that an incarnation has ended because a later one began. */
+  #endLife (upstream: Upstream): void {
     this.#forget(upstream)
     this.#ended.set(upstream.id, this.#clock.now())
-    this.#untold.push(upstream)
+    this.#pendingEnds.push(upstream)
   }
 
-  /** Listeners look things up, so they hear of it once all changes are taken. */
-  #tellEnds (): void {
-    const ends = this.#untold
-    this.#untold = []
+  /**
+   * Notifies the listeners of ended incarnations. Listeners do look-ups, so they are called after all changes are
+   * applied.
+   */
+  #notifyEnds (): void {
+    const ends = this.#pendingEnds
+    this.#pendingEnds = []
     for (const upstream of ends) for (const listener of this.#endListeners) listener(upstream)
   }
 
   #forget (upstream: Upstream): void {
     this.#lapsed.delete(upstream.id)
     this.#upstreams.delete(upstream.id)
-    this.#lives.delete(listedName(upstream))
-    this.#depart(upstream)
+    this.#incarnations.delete(listedName(upstream))
+    this.#recordDeparture(upstream)
   }
 
-  /** Keeps an upstream for `grace` ms; if it is not listed again by then, it is gone. */
+  /** Retains an upstream for `grace` ms. If it is not listed again by then, it is gone. */
   #lapse (upstream: Upstream, grace: number): void {
     const { id } = upstream
     if (this.#lapsed.has(id)) return
@@ -253,18 +276,18 @@
     })
   }
 
-  #keep (upstream: Upstream): void {
+  #store (upstream: Upstream): void {
     this.#upstreams.set(upstream.id, upstream)
-    this.#lives.set(listedName(upstream), upstream)
+    this.#incarnations.set(listedName(upstream), upstream)
   }
 
-  #depart (upstream: Upstream): void {
+  #recordDeparture (upstream: Upstream): void {
     const at = this.#departures.get(upstream.id)?.at ?? this.#clock.now()
     this.#departures.set(upstream.id, { upstream, at })
   }
 
   #forgetDepartures (): void {
-    const before = this.#clock.now() - departureMemory
+    const before = this.#clock.now() - departureRetention
     for (const [id, { at }] of this.#departures) {
       if (at < before && !this.#upstreams.has(id)) this.#departures.delete(id)
     }
@@ -272,9 +295,9 @@
   }
 }
 
-/** Whether a record is of an earlier life than another record of the same name. */
-function isEarlier (record: Upstream, than: Upstream): boolean {
-  return record.born !== undefined && than.born !== undefined && record.born < than.born
+/** Whether a record belongs to an earlier incarnation than another record of the same name. */
+function isEarlier (record: Upstream, other: Upstream): boolean {
+  return record.born !== undefined && other.born !== undefined && record.born < other.born
 }
 
 function isOpenHead ({ leaving, membership }: Upstream): boolean {
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -16,12 +16,12 @@
   {
     name: 'life-late-record',
     point: 1,
-    rule: 'a record of an earlier life is not taken after one of a later',
+    rule: 'a record of an earlier incarnation is not taken after one of a later',
     file: 'packages/roster/dist/src/roster.js',
     find: 'this.#ended.has(record.id) || ',
     replace: '',
-    test: 'packages/roster/dist/test/lives.test.js',
-    title: 'a record of an earlier life*'
+    test: 'packages/roster/dist/test/incarnations.test.js',
+    title: 'a record of an earlier incarnation*'
   },
   {
     name: 'grant-after-restart',
@@ -500,7 +500,7 @@
     point: 2,
     rule: 'loads stay under the rate of the weight store (CEILING)',
     file: 'packages/forming/dist/src/loadlimit.js',
-    find: '(!rated || this.#tokens >= 1) && others < engine.loadsAtOnce - keepFree',
+    find: '(!rated || this.#tokens >= 1) && otherNodes.size < engine.loadsAtOnce - keepFree',
     replace: 'true',
     test: 'packages/emulator/dist/test/forming.test.js',
     title: 'engines that hold nothing become*'
@@ -568,12 +568,12 @@
   {
     name: 'quiet-is-outage',
     point: 6,
-    rule: 'who is not listed after a quiet time is gone at once (DRAIN)',
+    rule: 'an upstream that is not listed after a quiet time is gone at once (DRAIN)',
     file: 'packages/roster/dist/src/outage.js',
     find: 'this.#failingSince !== undefined && this.#failures >= minimumFailures && ',
     replace: '',
     test: 'packages/roster/dist/test/roster.test.js',
-    title: 'who is not listed any more*'
+    title: 'an upstream that is not listed any more*'
   },
   {
     name: 'doubtful-used',
@@ -600,7 +600,7 @@
     point: 2,
     rule: 'an engine that loads is not told to load again (CEILING)',
     file: 'packages/forming/dist/src/permits.js',
-    find: 'loads.loading(order.node) === order.model && (loads.isOthers(order.node) || history.wasTaken(order))',
+    find: 'loads.loading(order.node) === order.model && (loads.isOrderedElsewhere(order.node) || history.wasTaken(order))',
     replace: 'false',
     test: 'packages/emulator/dist/test/forming.test.js',
     title: 'an engine that has taken an order to load*'
