--- a/packages/admit/src/index.ts
+++ b/packages/admit/src/index.ts
@@ -1,2 +1,2 @@
-/** A bounded admission queue, weighted by team priority. */
+/** A bounded admission queue in which teams share places by their priorities. */
 export { Queue, type Admission, type Bounds, type Request, type Ticket } from './queue.js'
--- a/packages/admit/src/queue.ts
+++ b/packages/admit/src/queue.ts
@@ -1,44 +1,47 @@
 /**
- * The queue before an engine: which request runs next, and which is refused. Owns the places that are taken and the requests
- * that wait; relies on its caller to return each ticket once. Order and bounds are decided here, the time at the engine is only
- * observed.
+ * The queue in front of an engine. It decides which request runs next and which is refused. Owns the places in use and
+ * the waiting requests; relies on the caller to return each ticket once. It measures how long a request holds a place,
+ * but does not limit that time.
  */
 import { Err, Ok, type Result } from 'ts-results-es'
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { Fault } from '@eiderwind/fault'
 
-/** What a request brings to the queue. */
+/** A request that enters the queue. */
 export interface Request {
   readonly team: string
-  /** When the caller gives up, on `Clock.now`. */
+  /** When the caller times out, on `Clock.now`. */
   readonly deadline: number
 }
 
-/** The right to run. It must be returned exactly once. */
+/** The right to run a request. It must be returned exactly once. */
 export interface Ticket {
-  /** Gives the place to the next in the queue. Calling it again does nothing. */
+  /** Returns the place, which goes to the next waiting request. Further calls have no effect. */
   done (): void
 }
 
-/** The outcome of an entry into the queue. */
+/** A ticket or a refusal. */
 export type Admission = Result<Ticket, Fault>
 
 /** The bounds of a queue. */
 export interface Bounds {
-  /** Requests that run at once. */
+  /** Maximum number of running requests. */
   readonly concurrency: number
-  /** Requests that wait. */
+  /** Maximum number of waiting requests. */
   readonly queue: number
 }
 
-/** One of how many the newest time is in the running mean of the time that a place is held. */
-const spellWeight = 16
+/** Inverse of the weight of the newest sample in the moving average of the hold time of a place. */
+const holdTimeSamples = 16
 
-/** The share of its time that a request may be expected to wait: the estimate is rough, and running takes time too. */
+/**
+ * Maximum expected wait as a share of the time until the deadline. It is well below 1 since the estimate is rough and
+ * the request also needs time to run.
+ */
 const waitShare = 0.5
 
-/** How long a place is taken to be held before one was returned, in ms. */
-const firstSpell = 1000
+/** Assumed hold time before the first place was returned, in ms. */
+const initialHoldTimeMs = 1000
 
 interface Waiter {
   readonly team: string
@@ -46,28 +49,30 @@
   readonly expiry: Subscription
 }
 
-/** A team's place in the weighing. */
-interface Share {
+/** The running and waiting requests of a team. */
+interface TeamState {
   running: number
   readonly waiting: Waiter[]
 }
 
 /**
- * Admission to one upstream: so many requests run, so many wait, the rest are refused at once. A free place goes to
- * the waiting team that has least running for its priority. When the queue is full, a team below its share of the
- * queue takes the place of the newest waiter of the team furthest above its own; that one is refused at once. So is
- * a request that would, by the time that places were held of late, wait for more than half of the time that it has.
+ * Admission to one upstream. Up to `concurrency` requests run and up to `queue` requests wait; others are refused at
+ * once. A free place goes to the waiting team with the fewest running requests relative to its priority.
+ *
+ * If the queue is full, a request of a team below its share of the queue replaces the newest waiting request of the
+ * team furthest above its share. The replaced request is refused at once. A request is also refused at once if its
+ * expected wait, by the recent hold times, exceeds half of the time until its deadline.
  */
 export class Queue {
   readonly #clock: Clock
-  readonly #shares = new Map<string, Share>()
+  readonly #teams = new Map<string, TeamState>()
   #bounds: Bounds
   #priorities: ReadonlyMap<string, number> = new Map()
   #running = 0
   #waiting = 0
   #closed: 'leaving' | 'not-serving' | undefined
-  /** Running mean of the time that a place is held, in ms; undefined until one was returned. */
-  #spell: number | undefined
+  /** Moving average of the hold time of a place, in ms. Undefined before the first place was returned. */
+  #meanHoldTimeMs: number | undefined
 
   constructor (clock: Clock, bounds: Bounds) {
     this.#clock = clock
@@ -82,47 +87,50 @@
     return this.#waiting
   }
 
-  /** Takes other bounds and priorities from now on. What runs or waits already is left alone. */
+  /** Sets new bounds and priorities. Running and waiting requests are not refused by this. */
   configure (bounds: Bounds, priorities: ReadonlyMap<string, number>): void {
     this.#bounds = bounds
     this.#priorities = priorities
-    this.#fill()
+    this.#admitWaiting()
   }
 
-  /** Refuses everything new from now on, and what waits as well; what runs goes on. */
+  /** Refuses all waiting and new requests. Running requests continue. */
   close (code: 'leaving' | 'not-serving'): void {
     this.#closed = code
-    for (const share of this.#shares.values()) {
-      for (const waiter of share.waiting.splice(0)) this.#refuse(waiter, new Fault(code))
+    for (const state of this.#teams.values()) {
+      for (const waiter of state.waiting.splice(0)) this.#refuse(waiter, new Fault(code))
     }
   }
 
-  /** Takes new work again after `close`. */
+  /** Accepts new requests again after `close`. */
   open (): void {
     this.#closed = undefined
   }
 
-  /** Asks for a place. Settles at once with a ticket or a refusal, or later when a place is free or the deadline passes. */
+  /**
+   * Requests a place. Settles at once with a ticket or a refusal, or later when a place is free or the deadline passes.
+   */
   enter (request: Request): Promise<Admission> {
     if (this.#closed !== undefined) return settled(Err(new Fault(this.#closed)))
     if (request.deadline <= this.#clock.now()) return settled(Err(new Fault('deadline')))
     if (this.#running < this.#bounds.concurrency && this.#waiting === 0) return settled(Ok(this.#admit(request.team)))
     if (this.#expectedWait(request.team) > waitShare * (request.deadline - this.#clock.now())) return settled(Err(this.#busy()))
-    if (this.#waiting >= this.#bounds.queue && !this.#displace(request.team)) return settled(Err(this.#busy()))
+    if (this.#waiting >= this.#bounds.queue && !this.#evict(request.team)) return settled(Err(this.#busy()))
     return this.#wait(request)
   }
 
   /**
-   * How long a request of `team` that comes now will wait, in ms: what waits before it, at the rate at which the team's
-   * share of the places comes free. 0 until a place has come free, since nothing is known then.
+   * Expected wait of a request of `team` that arrives now, in ms: the waiting requests of the team, divided by the rate
+   * at which the team's share of the places becomes free. 0 before the first place was returned, since no hold time is
+   * known.
    */
   #expectedWait (team: string): number {
-    if (this.#spell === undefined) return 0
-    const ahead = this.#shares.get(team)?.waiting.length ?? 0
-    const rivals = [...this.#shares].filter(([name, share]) => name === team || share.waiting.length > 0)
-    const sum = rivals.reduce((total, [name]) => total + this.#priority(name), 0)
+    if (this.#meanHoldTimeMs === undefined) return 0
+    const ahead = this.#teams.get(team)?.waiting.length ?? 0
+    const competing = [...this.#teams].filter(([name, state]) => name === team || state.waiting.length > 0)
+    const sum = competing.reduce((total, [name]) => total + this.#priority(name), 0)
     const places = this.#bounds.concurrency * this.#priority(team) / Math.max(sum, this.#priority(team))
-    return ahead * this.#spell / places
+    return ahead * this.#meanHoldTimeMs / places
   }
 
   #wait ({ team, deadline }: Request): Promise<Admission> {
@@ -132,34 +140,34 @@
         this.#refuse(waiter, new Fault('deadline'))
       })
       const waiter: Waiter = { team, settle: resolve, expiry }
-      this.#share(team).waiting.push(waiter)
+      this.#team(team).waiting.push(waiter)
       this.#waiting++
     })
   }
 
   #admit (team: string): Ticket {
-    const share = this.#share(team)
+    const state = this.#team(team)
     const since = this.#clock.now()
-    share.running++
+    state.running++
     this.#running++
     let returned = false
     return {
       done: () => {
         if (returned) return
         returned = true
-        share.running--
+        state.running--
         this.#running--
-        this.#measure(this.#clock.now() - since)
-        this.#fill()
+        this.#recordHoldTime(this.#clock.now() - since)
+        this.#admitWaiting()
       }
     }
   }
 
-  #measure (span: number): void {
-    this.#spell = this.#spell === undefined ? span : this.#spell + (span - this.#spell) / spellWeight
+  #recordHoldTime (holdTime: number): void {
+    this.#meanHoldTimeMs = this.#meanHoldTimeMs === undefined ? holdTime : this.#meanHoldTimeMs + (holdTime - this.#meanHoldTimeMs) / holdTimeSamples
   }
 
-  #fill (): void {
+  #admitWaiting (): void {
     while (this.#running < this.#bounds.concurrency && this.#waiting > 0) {
       const waiter = this.#next().waiting.shift() as Waiter
       this.#waiting--
@@ -168,23 +176,26 @@
     }
   }
 
-  /** The share with somebody waiting that has least running for its priority. */
-  #next (): Share {
-    const hungry = [...this.#shares].filter(([, share]) => share.waiting.length > 0)
-    hungry.sort(([a, x], [b, y]) => x.running / this.#priority(a) - y.running / this.#priority(b))
-    return hungry[0][1]
+  /** The team with waiting requests that has the fewest running requests relative to its priority. */
+  #next (): TeamState {
+    const candidates = [...this.#teams].filter(([, state]) => state.waiting.length > 0)
+    candidates.sort(([a, x], [b, y]) => x.running / this.#priority(a) - y.running / this.#priority(b))
+    return candidates[0][1]
   }
 
-  /** Makes room for `team` by refusing the newest waiter of the team furthest above its share, if `team` is below its own. */
-  #displace (team: string): boolean {
-    const excess = (name: string, more: number): number => ((this.#shares.get(name)?.waiting.length ?? 0) + more) / this.#priority(name)
+  /**
+   * If `team` is below its share, refuses the newest waiting request of the team furthest above its share. Returns
+   * whether it did.
+   */
+  #evict (team: string): boolean {
+    const excess = (name: string, more: number): number => ((this.#teams.get(name)?.waiting.length ?? 0) + more) / this.#priority(name)
     let worst: string | undefined
-    for (const [name, share] of this.#shares) {
-      if (share.waiting.length === 0) continue
+    for (const [name, state] of this.#teams) {
+      if (state.waiting.length === 0) continue
       if (worst === undefined || excess(name, 0) > excess(worst, 0)) worst = name
     }
     if (worst === undefined || worst === team || excess(team, 1) >= excess(worst, 0)) return false
-    const waiter = this.#share(worst).waiting.pop() as Waiter
+    const waiter = this.#team(worst).waiting.pop() as Waiter
     this.#refuse(waiter, this.#busy())
     return true
   }
@@ -196,24 +207,24 @@
   }
 
   #remove (waiter: Waiter): void {
-    const { waiting } = this.#share(waiter.team)
+    const { waiting } = this.#team(waiter.team)
     const index = waiting.indexOf(waiter)
     if (index >= 0) waiting.splice(index, 1)
   }
 
-  /** A refusal that says when the present queue should have run off. */
+  /** A refusal whose `Retry-After` is the expected time until the present queue is empty. */
   #busy (): Fault {
-    const off = (this.#waiting + 1) * (this.#spell ?? firstSpell) / this.#bounds.concurrency
-    return new Fault('busy', { retryAfter: Math.min(30, Math.max(1, Math.ceil(off / 1000))) })
+    const drainTimeMs = (this.#waiting + 1) * (this.#meanHoldTimeMs ?? initialHoldTimeMs) / this.#bounds.concurrency
+    return new Fault('busy', { retryAfter: Math.min(30, Math.max(1, Math.ceil(drainTimeMs / 1000))) })
   }
 
-  #share (team: string): Share {
-    let share = this.#shares.get(team)
-    if (share === undefined) {
-      share = { running: 0, waiting: [] }
-      this.#shares.set(team, share)
+  #team (team: string): TeamState {
+    let state = this.#teams.get(team)
+    if (state === undefined) {
+      state = { running: 0, waiting: [] }
+      this.#teams.set(team, state)
     }
-    return share
+    return state
   }
 
   #priority (team: string): number {
