--- a/packages/fairness/src/decaying.ts
+++ b/packages/fairness/src/decaying.ts
@@ -1,30 +1,34 @@
-/** A sum that halves with time, so that what is long past counts little. Times are on `Clock.now`, in ms. */
+/**
+ * Sums that decay exponentially, so that old values count little. Times are on `Clock.now`, in ms.
+ */
+
+/** A sum that halves in each half-life. */
 export class DecayingSum {
   readonly #halfLife: number
   #value: number
-  #at: number
+  #updatedAt: number
 
-  constructor (halfLife: number, value = 0, at = 0) {
+  constructor (halfLife: number, value = 0, updatedAt = 0) {
     this.#halfLife = halfLife
     this.#value = value
-    this.#at = at
+    this.#updatedAt = updatedAt
   }
 
   add (amount: number, now: number): void {
-    this.#value = this.at(now) + amount
-    this.#at = Math.max(now, this.#at)
+    this.#value = this.valueAt(now) + amount
+    this.#updatedAt = Math.max(now, this.#updatedAt)
   }
 
-  at (now: number): number {
-    return now <= this.#at ? this.#value : this.#value * 2 ** ((this.#at - now) / this.#halfLife)
+  valueAt (now: number): number {
+    return now <= this.#updatedAt ? this.#value : this.#value * 2 ** ((this.#updatedAt - now) / this.#halfLife)
   }
 
   copy (): DecayingSum {
-    return new DecayingSum(this.#halfLife, this.#value, this.#at)
+    return new DecayingSum(this.#halfLife, this.#value, this.#updatedAt)
   }
 }
 
-/** Decaying sums by name. */
+/** Decaying sums by name, and their total. */
 export class DecayingSums<Name> {
   readonly #halfLife: number
   readonly #sums: Map<Name, DecayingSum>
@@ -36,7 +40,7 @@
     this.#total = total
   }
 
-  /** How many names are known. */
+  /** The number of stored names. */
   get size (): number {
     return this.#sums.size
   }
@@ -52,18 +56,18 @@
     this.#total.add(amount, now)
   }
 
-  of (name: Name, now: number): number {
-    return this.#sums.get(name)?.at(now) ?? 0
+  valueAt (name: Name, now: number): number {
+    return this.#sums.get(name)?.valueAt(now) ?? 0
   }
 
-  total (now: number): number {
-    return this.#total.at(now)
+  totalAt (now: number): number {
+    return this.#total.valueAt(now)
   }
 
-  /** Forgets names of which less than `least` is left. The total keeps what they had. */
-  forget (now: number, least: number): void {
+  /** Removes names whose sum is below `min`. The total does not change. */
+  prune (now: number, min: number): void {
     for (const [name, sum] of this.#sums) {
-      if (sum.at(now) < least) this.#sums.delete(name)
+      if (sum.valueAt(now) < min) this.#sums.delete(name)
     }
   }
 
@@ -72,7 +76,7 @@
   }
 }
 
-/** The time over which a decaying sum counts that began so long ago. Times are in ms. */
-export function countedTime (halfLife: number, time: number): number {
+/** The length of the window that a decaying sum covers `time` ms after its start. A sum over this gives a rate. */
+export function effectiveWindow (halfLife: number, time: number): number {
   return halfLife / Math.LN2 * (1 - 2 ** (-time / halfLife))
 }
--- a/packages/fairness/src/expectation.ts
+++ b/packages/fairness/src/expectation.ts
@@ -1,34 +1,40 @@
-/** How long a request would wait for its place. Pure; what comes after it is not foreseen, so the true wait may be longer. */
-import { WaitingLine } from './line.js'
+/**
+ * Estimates how long a request waits for its place, by simulating the order in which requests are served. Pure.
+ * Requests that arrive later are not considered, so the real wait may be longer.
+ */
+import { WaitingLine } from './waitingqueue.js'
 import { kindOf, type Waiting } from './order.js'
 import { type TeamUsage } from './usage.js'
 
-/** In how many ms a request that came now would be served, if `rate` places come free a second; Infinity if never within its time. */
+/**
+ * The expected wait of a request that arrives now, in ms, if `rate` places become free per second. Infinity if the wait
+ * of the request ends before that.
+ */
 export function expectedWait (request: Waiting, waiting: readonly Waiting[], usage: TeamUsage, rate: number, now: number): number {
-  for (const { served, time } of servings([...waiting.filter(each => each !== request), request], usage, rate, now)) {
+  for (const { served, time } of simulateServing([...waiting.filter(each => each !== request), request], usage, rate, now)) {
     if (time > request.until) break
     if (served === request) return time - now
   }
   return Infinity
 }
 
-/** Those of some that wait that would be served within their time, if `rate` places come free a second. */
+/** The waiting requests that would be served before their wait ends, if `rate` places become free per second. */
 export function servedInTime<Each extends Waiting> (waiting: readonly Each[], usage: TeamUsage, rate: number, now: number): Set<Each> {
-  return new Set([...servings(waiting, usage, rate, now)].map(({ served }) => served))
+  return new Set([...simulateServing(waiting, usage, rate, now)].map(({ served }) => served))
 }
 
-/** Who would be served when, one after another, if `rate` places come free a second and nobody else came. */
-function * servings<Each extends Waiting> (waiting: readonly Each[], usage: TeamUsage, rate: number, now: number): Generator<{ readonly served: Each, readonly time: number }> {
+/** Simulates which request is served at which time, if `rate` places become free per second and no request arrives. */
+function * simulateServing<Each extends Waiting> (waiting: readonly Each[], usage: TeamUsage, rate: number, now: number): Generator<{ readonly served: Each, readonly time: number }> {
   if (rate <= 0) return
-  const ahead = usage.copy()
-  const line = new WaitingLine(waiting)
-  for (let place = 1; line.size > 0; place++) {
+  const simulatedUsage = usage.copy()
+  const queue = new WaitingLine(waiting)
+  for (let place = 1; queue.size > 0; place++) {
     const time = now + place * 1000 / rate
-    line.takeEnded(time)
-    const served = line.next(ahead, time)
+    queue.takeEnded(time)
+    const served = queue.next(simulatedUsage, time)
     if (served === undefined) return
     yield { served, time }
-    line.remove(served)
-    ahead.served(served.team, served.work, time, kindOf(served, time))
+    queue.remove(served)
+    simulatedUsage.served(served.team, served.work, time, kindOf(served, time))
   }
 }
--- a/packages/fairness/src/order.ts
+++ b/packages/fairness/src/order.ts
@@ -1,7 +1,9 @@
 /**
- * Which of the requests that wait gets the next place. Pure; relies on `TeamUsage` for what was served before.
+ * Decides which waiting request gets the next place, that is, the right to send one request to a head. Pure; relies on
+ * `TeamUsage` for the recent usage.
  *
- * Answers loads above what there is room for: a surge of one team, callers who come back after a refusal, urgent and less urgent requests together.
+ * The order matters when the load exceeds the room: on a surge of one team, when callers retry after a refusal, or when
+ * urgent and less urgent requests compete.
  */
 import { type TeamUsage } from './usage.js'
 
@@ -9,88 +11,94 @@
 export interface Waiting {
   /** 0 is the most urgent. */
   readonly priority: number
-  /** Empty where callers need no key. */
+  /** Empty if callers need no key. */
   readonly team: string
-  /** In units of the mean request of its service; 1 where it is not known. */
+  /** In units of the mean request of its service. 1 if unknown. */
   readonly work: number
   readonly arrivedAt: number
-  /** The latest start at which its first event still comes in time. */
+  /** The latest start at which its first event is still in time. */
   readonly inTimeUntil: number
-  /** When it waits no longer. */
+  /** The end of its wait. */
   readonly until: number
-  /** Whether its caller was refused before and came back. */
+  /** Whether its caller was refused before and retries. */
   readonly again?: boolean
-  /** Whether its caller came back sooner than it was told to. */
+  /** Whether its caller retries before the time in `Retry-After`. */
   readonly early?: boolean
 }
 
-/** Part of the room that each kind of requests has at least while some of it wait, of what it would have if nothing had an order. */
-export const leastPart = 0.05
+/**
+ * Minimum share of the room of each kind of requests while requests of that kind wait, as a part of the kind's share of
+ * the waiting requests. The order cannot starve a kind completely.
+ */
+export const minShare = 0.05
 
-/** What the order of a request depends on, worked out once for a decision. */
-export interface Standing<Each> {
+/** The values by which the rules order a request. Computed once per decision. */
+export interface SortKey<Each> {
   readonly request: Each
   readonly early: boolean
-  readonly above: boolean
+  readonly aboveShare: boolean
   readonly late: boolean
-  /** What its team was served lately, for its weight. */
-  readonly relative: number
+  /** Recent usage of its team, divided by the weight of the team. */
+  readonly weightedUsage: number
 }
 
-/** Why a request goes after another one. */
+/** Why a request is served after another one. The values appear in log fields and metric labels. */
 export type Rule = 'came back early' | 'team above its share' | 'late' | 'less urgent' | 'came back' | 'team was served more' | 'more time left' | 'came later'
 
-/** The rules, first to last: the first by which two requests differ decides. Negative: `a` goes first. */
-const rules: ReadonlyArray<readonly [Rule, (a: Standing<Waiting>, b: Standing<Waiting>) => number]> = [
+/** The rules by precedence: the first rule by which two requests differ decides. Negative: `a` is served first. */
+const rules: ReadonlyArray<readonly [Rule, (a: SortKey<Waiting>, b: SortKey<Waiting>) => number]> = [
   ['came back early', (a, b) => Number(a.early) - Number(b.early)],
-  ['team above its share', (a, b) => Number(a.above) - Number(b.above)],
+  ['team above its share', (a, b) => Number(a.aboveShare) - Number(b.aboveShare)],
   ['late', (a, b) => Number(a.late) - Number(b.late)],
   ['less urgent', (a, b) => a.request.priority - b.request.priority],
   ['came back', (a, b) => Number(a.request.again === true) - Number(b.request.again === true)],
-  ['team was served more', (a, b) => a.relative - b.relative],
+  ['team was served more', (a, b) => a.weightedUsage - b.weightedUsage],
   ['more time left', (a, b) => a.request.inTimeUntil - b.request.inTimeUntil],
   ['came later', (a, b) => a.request.arrivedAt - b.request.arrivedAt]
 ]
 
-/** The one that gets the next place: of a kind that had too little, else the first in order. */
+/** The request that gets the next place: the first of a starved kind, otherwise the first in order. */
 export function nextServed<Each extends Waiting> (waiting: readonly Each[], usage: TeamUsage, now: number): Each | undefined {
-  const present = standings(waiting, usage, now)
-  const among = neglected(present, usage, now) ?? present
-  return among.length === 0 ? undefined : among.reduce((first, each) => compare(each, first) < 0 ? each : first).request
+  const keys = sortKeys(waiting, usage, now)
+  const candidates = starved(keys, usage, now) ?? keys
+  return candidates.length === 0 ? undefined : candidates.reduce((first, each) => compare(each, first) < 0 ? each : first).request
 }
 
-/** All that wait, in the order in which they get places as long as none was served. */
+/** All waiting requests in the order in which they get places. The order holds until one of them is served. */
 export function servingOrder<Each extends Waiting> (waiting: readonly Each[], usage: TeamUsage, now: number): Each[] {
-  const present = standings(waiting, usage, now).sort(compare)
-  const before = neglected(present, usage, now) ?? []
-  return [...new Set([...before, ...present])].map(({ request }) => request)
+  const keys = sortKeys(waiting, usage, now).sort(compare)
+  const first = starved(keys, usage, now) ?? []
+  return [...new Set([...first, ...keys])].map(({ request }) => request)
 }
 
-/** The order of two requests that wait: negative where `a` goes first, 0 where no rule tells them apart. */
+/** Compares two waiting requests: negative if `a` is served first, 0 if no rule distinguishes them. */
 export function compareWaiting (a: Waiting, b: Waiting, usage: TeamUsage, now: number): number {
-  return compare(standing(a, usage, now), standing(b, usage, now))
+  return compare(sortKey(a, usage, now), sortKey(b, usage, now))
 }
 
-/** The rule by which a request goes after another one; undefined where it does not. */
+/** The rule by which a request is served after `ahead`. Undefined if it is not. */
 export function decidingRule (request: Waiting, ahead: Waiting, usage: TeamUsage, now: number): Rule | undefined {
-  const a = standing(request, usage, now)
-  const b = standing(ahead, usage, now)
+  const a = sortKey(request, usage, now)
+  const b = sortKey(ahead, usage, now)
   const deciding = rules.find(([, order]) => order(a, b) !== 0)
   return deciding !== undefined && deciding[1](a, b) > 0 ? deciding[0] : undefined
 }
 
-/** Whether its first event cannot be in time any more. */
+/** Whether the first event of a request can no longer be in time. */
 export function isLate ({ inTimeUntil }: Waiting, now: number): boolean {
   return inTimeUntil < now
 }
 
-/** The requests among which a part of the room is shared out: of one priority, late, come back in time, or first tries. */
+/**
+ * The kind of a request, for its minimum share of the room: its priority, and whether it is late, a retry or a first
+ * attempt.
+ */
 export function kindOf (request: Waiting, now: number): string {
   return `${request.priority} ${isLate(request, now) ? 'late' : request.again === true ? 'again' : 'first'}`
 }
 
-/** The order of two requests: negative where `a` goes first. */
-export function compare (a: Standing<Waiting>, b: Standing<Waiting>): number {
+/** Compares two requests: negative if `a` is served first. */
+export function compare (a: SortKey<Waiting>, b: SortKey<Waiting>): number {
   for (const [, order] of rules) {
     const difference = order(a, b)
     if (difference !== 0) return difference
@@ -98,35 +106,34 @@
   return 0
 }
 
-/** Those that still wait. */
-function standings<Each extends Waiting> (waiting: readonly Each[], usage: TeamUsage, now: number): Array<Standing<Each>> {
-  const teams = new Map<string, Standing<Each>>()
+/** The sort keys of the requests whose wait has not ended. The keys of a team are computed once. */
+function sortKeys<Each extends Waiting> (waiting: readonly Each[], usage: TeamUsage, now: number): Array<SortKey<Each>> {
+  const teams = new Map<string, SortKey<Each>>()
   return waiting.filter(each => each.until >= now).map(request => {
     const known = teams.get(request.team)
     if (known !== undefined) return { ...known, request, early: request.early === true, late: isLate(request, now) }
-    const made = standing(request, usage, now)
+    const made = sortKey(request, usage, now)
     teams.set(request.team, made)
     return made
   })
 }
 
-/** What the order of a request depends on. */
-export function standing<Each extends Waiting> (request: Each, usage: TeamUsage, now: number): Standing<Each> {
+export function sortKey<Each extends Waiting> (request: Each, usage: TeamUsage, now: number): SortKey<Each> {
   const { team, early } = request
-  return { request, early: early === true, above: usage.isAbove(team, now), late: isLate(request, now), relative: usage.relative(team, now) }
+  return { request, early: early === true, aboveShare: usage.isAboveShare(team, now), late: isLate(request, now), weightedUsage: usage.weightedUsage(team, now) }
 }
 
-/** Those of a kind that had less than its least part of the room, where there is one. */
-function neglected<Each extends Waiting> (waiting: ReadonlyArray<Standing<Each>>, usage: TeamUsage, now: number): Array<Standing<Each>> | undefined {
-  const kinds = new Map<string, Array<Standing<Each>>>()
+/** The requests of a kind that got less than its minimum share of the room. Undefined if there is no such kind. */
+function starved<Each extends Waiting> (waiting: ReadonlyArray<SortKey<Each>>, usage: TeamUsage, now: number): Array<SortKey<Each>> | undefined {
+  const kinds = new Map<string, Array<SortKey<Each>>>()
   for (const each of waiting) {
     const kind = kindOf(each.request, now)
-    const of = kinds.get(kind)
-    if (of === undefined) kinds.set(kind, [each])
-    else of.push(each)
+    const ofKind = kinds.get(kind)
+    if (ofKind === undefined) kinds.set(kind, [each])
+    else ofKind.push(each)
   }
-  for (const [kind, of] of kinds) {
-    if ((usage.partOf(kind, now) ?? 1) < leastPart * of.length / waiting.length) return of
+  for (const [kind, ofKind] of kinds) {
+    if ((usage.shareOfKind(kind, now) ?? 1) < minShare * ofKind.length / waiting.length) return ofKind
   }
   return undefined
 }
--- a/packages/fairness/src/placerate.ts
+++ b/packages/fairness/src/placerate.ts
@@ -1,49 +1,52 @@
-/** How many places come free a second while requests wait for them. Times are on `Clock.now`, in ms. */
-import { DecayingSum, countedTime } from './decaying.js'
+/**
+ * The rate at which places become free while requests wait for them. Owns a decaying count of taken places, in memory
+ * only. Times are on `Clock.now`, in ms.
+ */
+import { DecayingSum, effectiveWindow } from './decaying.js'
 
-/** Half-life of what was seen, in ms: engines that fail or join show within a second. */
+/** Half-life of the count, in ms. Engines that fail or join show in the rate within a second. */
 const halfLife = 1000
 
-/** Time for which requests have to have waited, one after another, until the rate is known, in ms. */
-const leastTime = 1000
+/** Time for which requests must have waited without a long gap before the rate is known, in ms. */
+const minObservationMs = 1000
 
-/** Time without a request that waits after which what was seen says nothing any more, in ms. */
-const longestGap = 1000
+/** Time without a waiting request after which the count is discarded, in ms. */
+const maxGapMs = 1000
 
-/** Places taken lately. */
+/** The rate of places that were taken recently. */
 export class PlaceRate {
   #taken = new DecayingSum(halfLife)
-  #since = Infinity
+  #observedSince = Infinity
   #contendedAt = -Infinity
 
-  /** Counts a place that was taken. @param contended whether other requests wait, or this one did */
-  taken (contended: boolean, now: number): void {
-    if (now - this.#contendedAt > longestGap) this.#reset()
+  /** Counts a place that was taken. @param contended whether other requests wait, or this one waited */
+  recordTaken (contended: boolean, now: number): void {
+    if (now - this.#contendedAt > maxGapMs) this.#reset()
     if (contended) {
       this.#contendedAt = now
-      this.#since = Math.min(this.#since, now)
+      this.#observedSince = Math.min(this.#observedSince, now)
     }
-    if (this.#since !== Infinity) this.#taken.add(1, now)
+    if (this.#observedSince !== Infinity) this.#taken.add(1, now)
   }
 
-  /** Places a second; undefined where too little was seen. */
-  of (now: number): number | undefined {
-    const time = now - this.#since
-    if (time < leastTime || now - this.#contendedAt > longestGap) return undefined
-    return this.#taken.at(now) * 1000 / countedTime(halfLife, time)
+  /** Places per second. Undefined if requests have not waited for long enough, or none waited lately. */
+  rateAt (now: number): number | undefined {
+    const time = now - this.#observedSince
+    if (time < minObservationMs || now - this.#contendedAt > maxGapMs) return undefined
+    return this.#taken.valueAt(now) * 1000 / effectiveWindow(halfLife, time)
   }
 
   #reset (): void {
     this.#taken = new DecayingSum(halfLife)
-    this.#since = Infinity
+    this.#observedSince = Infinity
   }
 }
 
-/** Standard deviations above the mean that a count exceeds in one case of twenty. */
-const oneInTwenty = 1.64
+/** The 95th percentile of the normal distribution, in standard deviations above the mean. */
+const z95 = 1.64
 
-/** The rate at which more places come free within a time in one case of twenty only. @param time in ms */
-export function mostRate (rate: number, time: number): number {
+/** Upper bound of the rate within a time: more places become free in only one case of twenty. @param time in ms */
+export function maxRate (rate: number, time: number): number {
   const expected = rate * time / 1000
-  return (expected + oneInTwenty * Math.sqrt(expected) + 1) * 1000 / time
+  return (expected + z95 * Math.sqrt(expected) + 1) * 1000 / time
 }
--- a/packages/fairness/src/usage.ts
+++ b/packages/fairness/src/usage.ts
@@ -1,82 +1,92 @@
 /**
- * What teams were served lately, and whether one is above its share. Owns its sums, in memory only.
- * Times are on `Clock.now`, in ms; work is in units of the mean request of its service.
+ * The recent usage of each team, and whether a team is above its share. Owns its sums, in memory only; relies on
+ * `BaselineDemand` for the weights. Times are on `Clock.now`, in ms. Work is in units of the mean request of its
+ * service.
  */
-import { DecayingSums, countedTime } from './decaying.js'
-import { UsualDemand } from './usual.js'
+import { DecayingSums, effectiveWindow } from './decaying.js'
+import { BaselineDemand } from './baseline.js'
 
-/** Half-life of what was served, in ms: longer than callers of a stream wait (6 to 8 s), so that a surge counts until its callers have given up. */
+/**
+ * Half-life of recent usage, in ms. It is longer than callers of a stream wait (6 to 8 s), so that a surge counts until
+ * its callers have timed out.
+ */
 const halfLife = 10_000
 
-/** Weight that each team has at least, as a part of the mean weight: one that seldom asks is served at once all the same. */
-const leastWeight = 0.25
+/**
+ * Minimum weight of a team, as a part of the mean weight. A team that rarely sends requests is still served at once.
+ */
+const minWeight = 0.25
 
-/** A team is above its share only by more than chance gives: this many standard deviations of a count of that size. */
-const chance = 2
+/** Standard deviations of a count by which a team may exceed its share by chance. Above that it is above its share. */
+const toleratedDeviations = 2
 
-/** Work served lately, by team, and what teams usually ask for. */
+/** Recent usage and usual demand by team. */
 export class TeamUsage {
   readonly #served: DecayingSums<string>
   readonly #kinds: DecayingSums<string>
-  readonly #usual: UsualDemand
+  readonly #demand: BaselineDemand
   #since: number | undefined
 
-  constructor (served = new DecayingSums<string>(halfLife), kinds = new DecayingSums<string>(halfLife), usual = new UsualDemand(), since?: number) {
+  constructor (served = new DecayingSums<string>(halfLife), kinds = new DecayingSums<string>(halfLife), demand = new BaselineDemand(), since?: number) {
     this.#served = served
     this.#kinds = kinds
-    this.#usual = usual
+    this.#demand = demand
     this.#since = since
   }
 
-  /** Counts a request that came, whether it is served or not. Where none is counted, all teams weigh the same. */
+  /**
+   * Counts an arriving request, whether it is served or not. Without counted requests all teams have the same weight.
+   */
   asked (team: string, work: number, now: number): void {
-    this.#usual.asked(team, work, now)
+    this.#demand.add(team, work, now)
   }
 
-  /** Counts a request that was served. @param kind of requests, each of which has a part of the room */
+  /**
+   * Counts a served request.
+   * @param kind the kind of the request (`kindOf`); each kind has a minimum share of the room
+   */
   served (team: string, work: number, now: number, kind?: string): void {
     this.#since ??= now
     this.#served.add(team, work, now)
     if (kind !== undefined) this.#kinds.add(kind, work, now)
   }
 
-  /** Work that a team was served lately. */
-  of (team: string, now: number): number {
-    return this.#served.of(team, now)
+  /** Recent usage of a team. */
+  servedTo (team: string, now: number): number {
+    return this.#served.valueAt(team, now)
   }
 
-  /** The part that a kind of requests had of all that was served lately; undefined where nothing was. */
-  partOf (kind: string, now: number): number | undefined {
-    const total = this.#kinds.total(now)
-    return total === 0 ? undefined : this.#kinds.of(kind, now) / total
+  /** Share of a kind of requests in the recent usage of all kinds. Undefined if no request with a kind was served. */
+  shareOfKind (kind: string, now: number): number | undefined {
+    const total = this.#kinds.totalAt(now)
+    return total === 0 ? undefined : this.#kinds.valueAt(kind, now) / total
   }
 
-  /** Weight of a team, by what it usually asks for; the mean weight is 1. */
+  /** Weight of a team, from its usual demand. The mean weight is 1. */
   weight (team: string): number {
-    const relative = this.#usual.relative(team)
-    return relative === undefined ? 1 : (1 - leastWeight) * relative + leastWeight
+    const relative = this.#demand.relative(team)
+    return relative === undefined ? 1 : (1 - minWeight) * relative + minWeight
   }
 
-  /** Work that a team was served lately, for its weight. */
-  relative (team: string, now: number): number {
-    return this.of(team, now) / this.weight(team)
+  /** Recent usage of a team, divided by its weight. */
+  weightedUsage (team: string, now: number): number {
+    return this.servedTo(team, now) / this.weight(team)
   }
 
-  /** Whether a team was served more than its share of the room and also more than it usually asks for. */
-  isAbove (team: string, now: number): boolean {
-    const fair = this.#served.total(now) * this.weight(team) / Math.max(this.#served.size, 1)
-    const usual = this.#usual.rate(team) * countedTime(halfLife, now - (this.#since ?? now))
+  /** Whether the recent usage of a team exceeds both its share of the room and its usual demand. */
+  isAboveShare (team: string, now: number): boolean {
+    const fair = this.#served.totalAt(now) * this.weight(team) / Math.max(this.#served.size, 1)
+    const usual = this.#demand.rate(team) * effectiveWindow(halfLife, now - (this.#since ?? now))
     const share = Math.max(fair, usual)
-    return this.of(team, now) > share + chance * Math.sqrt(share) + 1
+    return this.servedTo(team, now) > share + toleratedDeviations * Math.sqrt(share) + 1
   }
 
-  /** The teams that are above their share. */
-  above (now: number): string[] {
-    return this.#served.names.filter(team => this.isAbove(team, now))
+  teamsAboveShare (now: number): string[] {
+    return this.#served.names.filter(team => this.isAboveShare(team, now))
   }
 
-  /** A copy that counts what is served for itself. */
+  /** A copy with its own usage counts. The usual demand is shared with the original. */
   copy (): TeamUsage {
-    return new TeamUsage(this.#served.copy(), this.#kinds.copy(), this.#usual, this.#since)
+    return new TeamUsage(this.#served.copy(), this.#kinds.copy(), this.#demand, this.#since)
   }
 }
--- a/packages/fairness/test/expectation.test.ts
+++ b/packages/fairness/test/expectation.test.ts
@@ -1,7 +1,7 @@
-/** How long a request would wait, and when it is right to refuse it at once. */
+/** The expected wait of a request, and the rate of free places that it depends on. */
 import test from 'ava'
 import fc from 'fast-check'
-import { PlaceRate, TeamUsage, expectedWait, mostRate, nextServed, type Waiting } from '../src/index.js'
+import { PlaceRate, TeamUsage, expectedWait, maxRate, nextServed, type Waiting } from '../src/index.js'
 import { drawn } from './requests.js'
 
 const now = 50_000
@@ -11,21 +11,24 @@
 }
 
 const table: ReadonlyArray<readonly [string, Waiting[], number, number]> = [
-  ['the next place, where nobody waits', [], 100, 10],
-  ['its turn, behind those before it', [waiting({ arrivedAt: now - 2 }), waiting({ arrivedAt: now - 1 })], 100, 30],
-  ['not for those that are less urgent', [waiting({ priority: 2, arrivedAt: now - 50 })], 100, 10],
-  ['not for those that leave before their turn', [waiting({ priority: 0, until: now + 5 })], 100, 10],
-  ['in vain, where places come too late', [waiting({ arrivedAt: now - 1 })], 15, Infinity],
-  ['in vain, where none comes free', [], 0, Infinity]
+  ['the next place if no other request waits', [], 100, 10],
+  ['its place behind earlier requests', [waiting({ arrivedAt: now - 2 }), waiting({ arrivedAt: now - 1 })], 100, 30],
+  ['its place before less urgent requests', [waiting({ priority: 2, arrivedAt: now - 50 })], 100, 10],
+  ['its place if a request ahead leaves before it is served', [waiting({ priority: 0, until: now + 5 })], 100, 10],
+  ['an infinite time if places become free too late', [waiting({ arrivedAt: now - 1 })], 15, Infinity],
+  ['an infinite time if no place becomes free', [], 0, Infinity]
 ]
 
-for (const [what, others, rate, wait] of table) {
-  test(`a request waits for ${what}`, t => t.is(expectedWait(waiting(), others, new TeamUsage(), rate, now), wait))
+for (const [expectation, others, rate, wait] of table) {
+  test(`a request waits for ${expectation}`, t => t.is(expectedWait(waiting(), others, new TeamUsage(), rate, now), wait))
 }
 
 const any = drawn(now)
 
-/** Plays what comes: a place every `1 / rate` s, and nobody else. Returns when one request is served, if it is. */
+/**
+ * Simulates a free place every `1 / rate` s without new requests. Returns the time at which `request` is served, or
+ * Infinity.
+ */
 function served (request: Waiting, others: readonly Waiting[], rate: number): number {
   let left = [...others, request]
   for (let time = now + 1000 / rate; time <= now + 1000; time += 1000 / rate) {
@@ -36,41 +39,41 @@
   return Infinity
 }
 
-test('one that is refused at once would not have been served if nobody else came, and the time that is told is met', t => {
+test('without new requests, a request with an infinite expected wait is not served, and any other expected wait is exact', t => {
   const alike = any.map(each => ({ ...each, team: 'a', priority: 1, again: false, early: false, inTimeUntil: now + 1000 }))
   t.notThrows(() => fc.assert(fc.property(alike, fc.array(alike, { maxLength: 30 }), fc.integer({ min: 1, max: 300 }), (request, others, rate) => {
-    const told = expectedWait(request, others, new TeamUsage(), rate, now)
+    const expected = expectedWait(request, others, new TeamUsage(), rate, now)
     const at = served(request, others, rate)
-    return told === Infinity ? at === Infinity : Math.abs(at - now - told) < 1
+    return expected === Infinity ? at === Infinity : Math.abs(at - now - expected) < 1
   }), { seed: 13, numRuns: 500 }))
 })
 
-test('the wait is never beyond the time of the request, and what others were served is not changed by asking', t => {
+test('the expected wait never exceeds the wait of the request, and computing it does not change the usage', t => {
   t.notThrows(() => fc.assert(fc.property(any, fc.array(any, { maxLength: 30 }), fc.integer({ min: 1, max: 300 }), (request, others, rate) => {
     const usage = new TeamUsage()
     usage.served('a', 3, now, '1 first')
     const wait = expectedWait(request, others, usage, rate, now)
-    return (wait === Infinity || now + wait <= request.until) && usage.of('a', now) === 3 && usage.of('b', now) === 0
+    return (wait === Infinity || now + wait <= request.until) && usage.servedTo('a', now) === 3 && usage.servedTo('b', now) === 0
   }), { seed: 17, numRuns: 300 }))
 })
 
-test('the rate of places is known after a second in which requests waited, and forgotten after one in which none did', t => {
+test('the rate of places is known after a second with waiting requests, and unknown again after a second without', t => {
   const rate = new PlaceRate()
   let time = now
   const take = (count: number, contended: boolean): void => {
-    for (let index = 0; index < count; index++) rate.taken(contended, time += 10)
+    for (let index = 0; index < count; index++) rate.recordTaken(contended, time += 10)
   }
   take(200, false)
-  t.is(rate.of(time), undefined)
+  t.is(rate.rateAt(time), undefined)
   take(90, true)
-  t.is(rate.of(time), undefined)
+  t.is(rate.rateAt(time), undefined)
   take(400, true)
-  t.true(Math.abs((rate.of(time) ?? 0) - 100) < 5)
+  t.true(Math.abs((rate.rateAt(time) ?? 0) - 100) < 5)
   take(101, false)
-  t.is(rate.of(time), undefined)
+  t.is(rate.rateAt(time), undefined)
 })
 
-test('in a short time, more places than the rate gives are thought possible', t => {
-  t.is(Math.round(mostRate(100, 110) * 0.11), 17)
-  t.true(mostRate(0, 110) * 0.11 >= 0.99)
+test('the upper bound for a short time is higher than the expected number of places', t => {
+  t.is(Math.round(maxRate(100, 110) * 0.11), 17)
+  t.true(maxRate(0, 110) * 0.11 >= 0.99)
 })
--- a/packages/fairness/test/order.test.ts
+++ b/packages/fairness/test/order.test.ts
@@ -1,4 +1,4 @@
-/** The order of requests that wait: tables of the rules, and what holds for any of them. */
+/** The order of waiting requests: a table of the rules, and properties of random requests. */
 import test from 'ava'
 import fc from 'fast-check'
 import { TeamUsage, compareWaiting, decidingRule, kindOf as kind, nextServed, servingOrder, type Rule, type Waiting } from '../src/index.js'
@@ -10,7 +10,7 @@
   return { priority: 1, team: 'a', work: 1, arrivedAt: now - 50, inTimeUntil: now + 400, until: now + 60, ...change }
 }
 
-/** Of two teams, `b` was served ten times as much as `a`. */
+/** The usage of two teams, of which `b` was served ten times as much as `a`. */
 function unequal (): TeamUsage {
   const usage = new TeamUsage()
   for (let count = 0; count < 20; count++) usage.served('a', 1, now)
@@ -29,7 +29,7 @@
 ]
 
 for (const [rule, first, second] of pairs) {
-  test(`one goes after another: ${rule}`, t => {
+  test(`a request is served after another one by the rule: ${rule}`, t => {
     const [a, b] = [waiting(first), waiting(second)]
     const usage = unequal()
     t.is(decidingRule(b, a, usage, now), rule)
@@ -38,7 +38,7 @@
   })
 }
 
-test('of two teams within their shares, the one that was served less for what it usually asks for goes first', t => {
+test('of two teams within their shares, the one with less usage relative to its usual demand is served first', t => {
   const usage = new TeamUsage()
   for (let time = now - 60_000; time < now; time += 1000) {
     usage.asked('b', 3, time)
@@ -49,14 +49,14 @@
   t.is(decidingRule(waiting(), waiting({ team: 'b' }), usage, now), 'team was served more')
 })
 
-test('who waits no longer is not served', t => {
+test('a request whose wait has ended is not served', t => {
   t.is(nextServed([waiting({ until: now - 1 })], new TeamUsage(), now), undefined)
   t.deepEqual(servingOrder([waiting({ until: now - 1 })], new TeamUsage(), now), [])
 })
 
 const any = drawn(now)
 
-/** How much each of the teams was served. */
+/** The usage of each team. */
 const amounts = fc.tuple(...teams.map(() => fc.integer({ min: 0, max: 300 })))
 
 function usageOf (counts: readonly number[]): TeamUsage {
@@ -65,7 +65,7 @@
   return usage
 }
 
-test('the order is total: any two compare, the opposite way round if turned, and alike through a third', t => {
+test('the order of requests is antisymmetric and transitive', t => {
   t.notThrows(() => fc.assert(fc.property(any, any, any, amounts, (a, b, c, counts) => {
     const usage = usageOf(counts)
     const order = (x: Waiting, y: Waiting): number => Math.sign(compareWaiting(x, y, usage, now))
@@ -74,16 +74,16 @@
   }), { seed: 3, numRuns: 3000 }))
 })
 
-test('a team within its share never waits for one above it, but for places that are kept for a kind', t => {
+test('a request of a team within its share is served before one of a team above its share if both are of one kind', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(any, { minLength: 1, maxLength: 20 }), amounts, (some, counts) => {
     const usage = usageOf(counts)
     const present = some.map(each => ({ ...each, early: false, priority: 1, inTimeUntil: now, again: false }))
     const next = nextServed(present, usage, now)
-    return next !== undefined && (!usage.isAbove(next.team, now) || present.every(each => usage.isAbove(each.team, now)))
+    return next !== undefined && (!usage.isAboveShare(next.team, now) || present.every(each => usage.isAboveShare(each.team, now)))
   }), { seed: 5, numRuns: 1000 }))
 })
 
-/** Serves from full queues: each of some requests is there again as soon as it was served. Returns how often each was. */
+/** Serves requests that return to the queue as soon as they are served. Returns how often each was served. */
 function serveAlways (requests: readonly Waiting[], places: number, usage = new TeamUsage()): number[] {
   const counts = requests.map(() => 0)
   for (let place = 0; place < places; place++) {
@@ -97,7 +97,7 @@
   return counts
 }
 
-test('teams that always ask for more share room evenly in work, whatever the size of their requests', t => {
+test('teams with permanent demand get equal amounts of work, regardless of the size of their requests', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 8 }), { minLength: 2, maxLength: 6 }), sizes => {
     const counts = serveAlways(sizes.map((work, index) => waiting({ team: `t${index}`, work })), 400)
     const work = counts.map((count, index) => count * sizes[index])
@@ -105,7 +105,7 @@
   }), { seed: 7, numRuns: 50 }))
 })
 
-test('nothing starves: of requests that always wait, each kind is served within a bound of places', t => {
+test('no kind of permanently waiting requests starves: each is served at least once within 400 places', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(any, { minLength: 2, maxLength: 6 }), some => {
     const kinds = new Set(some.map(each => kind(each, now)))
     const counts = serveAlways(some, 400)
--- a/packages/fairness/test/requests.ts
+++ b/packages/fairness/test/requests.ts
@@ -1,10 +1,10 @@
-/** Requests that wait, for tests: drawn at random around a time. */
+/** Random waiting requests for property tests. */
 import fc from 'fast-check'
 
-/** The teams of drawn requests. */
+/** The teams of random requests. */
 export const teams = ['a', 'b', 'c']
 
-/** A request that waits at `now`, on `Clock.now`, in ms. */
+/** A random request that waits at `now`, on `Clock.now`, in ms. */
 export function drawn (now: number) {
   return fc.record({
     priority: fc.integer({ min: 0, max: 3 }),
