--- a/packages/dispatch/src/choice.ts
+++ b/packages/dispatch/src/choice.ts
@@ -1,14 +1,15 @@
 /**
- * Which upstream a request goes to: the replica head with most room for a model, or the plain upstream that should
- * answer soonest. Relies on the roster for the candidates, on `InFlight` and the peers' heartbeats for their load, and on
- * `Suspects` and `Intake` for upstreams to avoid. When none has room, `waiting.ts` says how long a request waits.
+ * Chooses the upstream of a request: the head with most room for a model, or the plain upstream with the shortest
+ * expected time. Relies on the roster for the candidates, on `InFlight` and the heartbeats of the other gateways for
+ * their load, and on `Suspects` and `availability.ts` for upstreams to avoid. If none has room, `waiting.ts` decides
+ * how long the request waits.
  */
 import { type Random } from '@eiderwind/clock'
 import { type InFlight, type Suspects } from '@eiderwind/detect'
 import { type Heartbeat, type Peers } from '@eiderwind/peers'
 import { type Roster, type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
-import { type Intake } from './intake.js'
+import { type Intake } from './availability.js'
 import { Observations } from './observations.js'
 
 /** Dependencies of `Choice`. */
@@ -18,30 +19,30 @@
   readonly peers: Peers
   readonly suspects: Suspects
   readonly intake: Intake
-  /** The data centre of this gateway. Among equals, an upstream there is chosen. */
+  /** The data centre of this gateway. Its upstreams are preferred among equally loaded ones. */
   readonly dataCentre: string
-  /** Breaks ties between upstreams that are equally good: one draw for each candidate. */
+  /** Breaks ties between equally good upstreams, with one draw for each candidate. */
   readonly random: Random
 }
 
 /**
- * Requests that a replica is sent beyond its slots, as a share of the slots; they wait there. What waits longer at a full
- * replica comes late.
+ * Requests that are sent to a replica beyond its slots, as a share of the slots. They queue at the replica. With a
+ * longer queue there, requests would be answered late.
  */
-const overhang = 0.1
+const queueShare = 0.1
 
-/** Requests in flight up to which a head has room. */
+/** Number of requests in flight at which a head is full. */
 export function capacity ({ slots }: Pick<Engine, 'slots'>): number {
-  return slots * (1 + overhang)
+  return slots * (1 + queueShare)
 }
 
 /** Added to the cost of an upstream in another data centre: half a request in flight, or half a ms. */
 const distanceCost = 0.5
 
-/** Greatest random part of a cost, so that gateways do not all choose the same one of several equals. */
-const tieBreak = 0.1
+/** Maximum random part of a cost. It keeps the gateways from all choosing the same one of several equal upstreams. */
+const maxTieBreak = 0.1
 
-/** Chooses upstreams by their load at all gateways. */
+/** Chooses upstreams by their load from all gateways. */
 export class Choice {
   readonly #options: ChoiceOptions
   readonly #observations = new Observations()
@@ -50,37 +51,40 @@
     this.#options = options
   }
 
-  /** The head with most room for a request of a model, or undefined if none has room. @param avoided ids of heads that it must not be */
+  /**
+   * The head with most room for a request of a model. Undefined if none has room.
+   * @param avoided ids of excluded heads
+   */
   head (service: string, model: string, engine: Engine, avoided: ReadonlySet<string>): Upstream | undefined {
     const { peers } = this.#options
     const heads = this.heads(service, model).filter(({ id }) => !avoided.has(id))
     const heartbeats = peers.live
     const load = ({ id }: Upstream): number => this.#load(id, heartbeats)
     const ordered = this.#byCost(heads, load).filter(each => load(each) < capacity(engine))
-    const among = Math.min(ordered.length, this.#herd(model, heads.length, heartbeats.length))
-    return among > 1 ? ordered[Math.floor(this.#options.random() * among)] : ordered[0]
+    const count = Math.min(ordered.length, this.#candidateCount(model, heads.length, heartbeats.length))
+    return count > 1 ? ordered[Math.floor(this.#options.random() * count)] : ordered[0]
   }
 
-  /** The heads of a model that take a request now, full or not. */
+  /** The heads of a model that take requests now, including full ones. */
   heads (service: string, model: string): Upstream[] {
     const { roster, suspects, intake } = this.#options
     return roster.heads(service, model).filter(({ id }) => intake.has(id) && suspects.mayTry(id))
   }
 
   /**
-   * Of how many of the least loaded heads one is drawn: as many as the requests that other gateways have sent since the heartbeats by which
-   * the load is known, at most half of all. If each took the least loaded one, all would send to the same head until they hear of it, and
-   * meet a head that is full already.
+   * The number of least loaded heads from which one is drawn at random: the number of requests that the other gateways
+   * have sent since their last heartbeats, at most half of the heads. If each gateway chose the least loaded head, all
+   * would choose the same one until the next heartbeats, and some requests would arrive at a head that is already full.
    */
-  #herd (model: string, heads: number, others: number): number {
+  #candidateCount (model: string, headCount: number, peerCount: number): number {
     const { inFlight, peers } = this.#options
-    const unseen = inFlight.rate(model) * others * peers.staleness / 1000
-    return Math.max(1, Math.min(Math.ceil(heads / 2), Math.round(unseen)))
+    const unreported = inFlight.rate(model) * peerCount * peers.staleness / 1000
+    return Math.max(1, Math.min(Math.ceil(headCount / 2), Math.round(unreported)))
   }
 
   /**
-   * The upstream of a plain service that should answer soonest, or undefined if all are avoided. Suspicions are not asked: failures
-   * raise its cost (`Observations`).
+   * The upstream of a plain service with the shortest expected time. Undefined if all are avoided. `Suspects` is not
+   * used here, since failures already raise the cost of an upstream (`Observations`).
    */
   plain (service: string, avoided: ReadonlySet<string>): Upstream | undefined {
     const { roster, inFlight, intake } = this.#options
@@ -88,12 +92,12 @@
     return this.#byCost(upstreams, ({ id }) => this.#observations.cost(id, inFlight.count(id)))[0]
   }
 
-  /** Takes in how a request at a plain upstream went. @param time until its end, in ms */
+  /** Records the result of a request at a plain upstream. @param time until its end, in ms */
   observe (id: string, time: number, failed: boolean): void {
     this.#observations.add(id, time, failed)
   }
 
-  /** Requests in flight at an upstream: from this gateway, and from the others by their last heartbeats. */
+  /** Requests in flight at an upstream: those of this gateway, and those of the others as of their last heartbeats. */
   load (id: string): number {
     return this.#load(id, this.#options.peers.live)
   }
@@ -103,12 +107,12 @@
     return this.#options.inFlight.count(id) + others
   }
 
-  /** Upstreams with the cheapest first; between equals, in the given order. */
+  /** Upstreams by ascending cost. Equal ones stay in the given order. */
   #byCost (upstreams: readonly Upstream[], cost: (upstream: Upstream) => number): Upstream[] {
     const { dataCentre, random } = this.#options
     const costs = upstreams.map(upstream => {
       const distance = upstream.dataCentre === dataCentre ? 0 : distanceCost
-      return { upstream, total: cost(upstream) + distance + random() * tieBreak }
+      return { upstream, total: cost(upstream) + distance + random() * maxTieBreak }
     })
     return costs.sort((a, b) => a.total - b.total).map(each => each.upstream)
   }
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -1,6 +1,9 @@
-/** The decisions about a request: where it goes, how long it waits for room, whether it is sent again, and how it is refused. */
+/**
+ * The decisions about a request: which upstream it goes to, how long it waits for room, whether it is retried, and how
+ * it is refused.
+ */
 export { Choice, capacity, type ChoiceOptions } from './choice.js'
-export { Intake, type Closure, type IntakeOptions } from './intake.js'
+export { Intake, type Closure, type AvailabilityOptions } from './availability.js'
 export { Queue, type Seeker, type Shortage, type WaitHandlers } from './queue.js'
 export { FairQueue } from './fairqueue.js'
 export { RetryBudget, type RetryBudgetOptions } from './budget.js'
--- a/packages/dispatch/src/moving.ts
+++ b/packages/dispatch/src/moving.ts
@@ -1,25 +1,30 @@
 /**
- * How streams leave upstreams that are to be emptied within a time: those that end soon are left to end, the others are spread over what remains, so that the upstreams to
- * which they go have room for new requests too. Pure. Whether a single stream may move is `mayMove`.
+ * Decides how many streams move away from upstreams that must be empty within a time. Streams may first end by
+ * themselves. The others move in equal parts over the remaining time, so that their new upstreams keep room for new
+ * requests. Pure. `mayMove` in `retry.ts` decides whether a single stream may move.
  */
 
-/** Part of the time in which streams are left to end by themselves: most run for less, and each that moves has its prompt read again. */
+/**
+ * Share of the time in which no stream moves. Most streams end within it, and each moved stream costs the processing of
+ * its prompt once more.
+ */
 const endingShare = 0.5
 
-/** What the number of streams that move now depends on. Times are in ms. */
+/** Inputs of `streamsToMove`. Times are in ms. */
 export interface MovingInputs {
-  /** Requests that still run there. */
+  /** Requests that still run at these upstreams. */
   readonly running: number
-  /** Time since it was decided that they leave, and the time within which they should have left. */
+  /** Time since the decision to empty the upstreams. */
   readonly time: number
+  /** Time within which the upstreams must be empty. */
   readonly span: number
-  /** Time until this is asked again. */
+  /** Time until the next call. */
   readonly interval: number
 }
 
-/** How many streams should move now: equal parts of those that still run at each time until the end. */
+/** The number of streams that move now: equal parts of the running ones at each remaining call. */
 export function streamsToMove ({ running, time, span, interval }: MovingInputs): number {
   if (time < span * endingShare) return 0
-  const times = Math.max(1, Math.ceil((span - time) / interval))
-  return Math.ceil(running / times)
+  const remainingCalls = Math.max(1, Math.ceil((span - time) / interval))
+  return Math.ceil(running / remainingCalls)
 }
--- a/packages/dispatch/src/observations.ts
+++ b/packages/dispatch/src/observations.ts
@@ -1,25 +1,25 @@
 /**
- * What this gateway has observed of plain upstreams: moving averages of the time until the answer and of the share of
- * failures. Owns these averages, in memory only; an upstream that was never observed is taken to be fast.
+ * Moving averages of the response time and the failure share of each plain upstream, as observed by this gateway. Owns
+ * these averages, in memory only. An upstream without observations is assumed to be fast.
  */
 
 /** Weight of the newest observation in the averages. */
-const weight = 0.2
+const newestWeight = 0.2
 
-/** Cost of an upstream whose every request fails, in parts of one that never fails, less one. */
+/** Factor by which the cost of an upstream rises if all its requests fail, less one. */
 const failureCost = 8
 
-/** Time that an upstream is taken to need before its first observation, and the least that is reckoned with, in ms. */
-const leastTime = 1
+/** Assumed response time of an upstream before its first observation, and the lower bound in all costs, in ms. */
+const minTimeMs = 1
 
 /**
- * Upstreams of which averages are kept. Those of upstreams that went away are never removed singly; beyond this number
- * all are forgotten: far above the plain upstreams of one service.
+ * Maximum number of upstreams with averages. Averages of removed upstreams are not deleted one by one; beyond this
+ * number all are deleted. It is far above the number of plain upstreams of one service.
  */
 const maxUpstreams = 1000
 
 interface Averages {
-  /** Time until an answer that is no failure, in ms. */
+  /** Mean time until an answer, without failures, in ms. */
   time: number
   /** Share of failures, 0 to 1. */
   failures: number
@@ -29,18 +29,20 @@
 export class Observations {
   readonly #averages = new Map<string, Averages>()
 
-  /** Takes in how a request went. @param time until its end, in ms */
+  /** Records the result of a request. @param time until its end, in ms */
   add (id: string, time: number, failed: boolean): void {
     const averages = this.#averages.get(id) ?? { time, failures: 0 }
-    if (!failed) averages.time += weight * (time - averages.time)
-    averages.failures += weight * (Number(failed) - averages.failures)
+    if (!failed) averages.time += newestWeight * (time - averages.time)
+    averages.failures += newestWeight * (Number(failed) - averages.failures)
     this.#averages.set(id, averages)
     if (this.#averages.size > maxUpstreams) this.#averages.clear()
   }
 
-  /** Expected time of one more request at an upstream with `inFlight` requests, in ms, raised by its share of failures. */
+  /**
+   * Expected time of one more request at an upstream with `inFlight` requests, in ms, increased by its failure share.
+   */
   cost (id: string, inFlight: number): number {
-    const { time, failures } = this.#averages.get(id) ?? { time: leastTime, failures: 0 }
-    return (inFlight + 1) * Math.max(time, leastTime) * (1 + failureCost * failures)
+    const { time, failures } = this.#averages.get(id) ?? { time: minTimeMs, failures: 0 }
+    return (inFlight + 1) * Math.max(time, minTimeMs) * (1 + failureCost * failures)
   }
 }
--- a/packages/dispatch/src/queue.ts
+++ b/packages/dispatch/src/queue.ts
@@ -1,35 +1,39 @@
 /**
- * Requests that wait for an upstream with room. Owns their order: the most urgent first, among equals the oldest.
- * Relies on `wake` being called whenever room may have appeared. How long a request may wait is decided in `waiting.ts`.
+ * The queue of requests that wait for an upstream with room. Owns the waiting requests and their order: the most urgent
+ * first, then the oldest. Relies on `wake` being called whenever room may have become free. `waiting.ts` decides how
+ * long a request may wait.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Rule, type Waiting } from '@eiderwind/fairness'
 
-/** A request that looks for room. */
+/** A request that needs room at an upstream. */
 export interface Seeker extends Waiting {
-  /** What it looks for room in: requests of other rooms do not compete with it. */
+  /** The key of the room that it competes for. Requests of different rooms do not compete. */
   readonly room: string
   /** Whether it was sent to an upstream before. */
   readonly offered: boolean
-  /** Whether the queue for all gateways decides when it is served, so that what waits here says nothing of its prospect. Absent: no. */
+  /**
+   * Whether the queue for all gateways decides when it is served. If so, the requests in this queue do not determine
+   * its wait. Absent: no.
+   */
   readonly orderedElsewhere?: boolean
 }
 
-/** Why a request found no room. */
+/** Why a request got no room. The values appear in log fields and metric labels. */
 export type Shortage = Rule | 'no room' | 'queue too long'
 
-/** What a request that waits is told. */
+/** Callbacks of a waiting request. */
 export interface WaitHandlers {
-  /** Called with a function that ends the wait early, unless something was found at once. */
+  /** Called with a function that cancels the wait. Not called if room was found at once. */
   readonly onWait?: (cancel: () => void) => void
-  /** Called where it ends with nothing, if the queue knows why. */
+  /** Called if the wait ends without room and the reason is known. */
   readonly onShortage?: (shortage: Shortage) => void
 }
 
-/** One that waits. */
+/** An entry of the queue. */
 interface Waiter {
   readonly seeker: Seeker
-  /** Looks for room again, and ends the wait if there is some. Returns whether it has ended. */
+  /** Searches for room again and ends the wait if there is some. Returns whether the wait has ended. */
   readonly retry: () => boolean
 }
 
@@ -46,19 +50,19 @@
     return this.waiters.length
   }
 
-  /** Teams that are above their share of a room. */
+  /** Number of teams that are above their share of a room. */
   get teamsAbove (): number {
     return 0
   }
 
-  /** Resolves with what `find` returns as soon as that is defined, or with undefined when the request waits no longer. */
+  /** Resolves with the result of `find` as soon as it is defined, or with undefined when the wait ends. */
   wait<Value> (seeker: Seeker, find: () => Value | undefined, handlers: WaitHandlers = {}): Promise<Value | undefined> {
     const found = find()
     if (found !== undefined || seeker.until <= this.clock.now()) return Promise.resolve(found)
     return this.enqueue(seeker, find, handlers)
   }
 
-  /** Looks for room again for every waiting request, in the order of the queue. */
+  /** Searches for room again for each waiting request, in the order of the queue. */
   wake (): void {
     for (const waiter of [...this.waiters]) waiter.retry()
   }
--- a/packages/dispatch/src/refusals.ts
+++ b/packages/dispatch/src/refusals.ts
@@ -1,55 +1,57 @@
 /**
- * Every refusal that a gateway itself answers, with its `Retry-After` and the reason for that number. Status, outcome and
- * the usual remedy of a code are in `kinds` of `@eiderwind/fault`; a remedy stands here where callers of a gateway need
- * another one. Two more refusals arise in `readBody` of `@eiderwind/wire` while the body is read: `too-large`, and
- * `bad-request` for a body that broke off; neither has a `Retry-After`.
+ * The refusals that a gateway sends, with the value of `Retry-After` and its reason. `kinds` of `@eiderwind/fault` has
+ * the status, the outcome and the default remedy of each code. A remedy is given here only if callers of a gateway need
+ * a different one. `readBody` of `@eiderwind/wire` creates two more refusals: `too-large`, and `bad-request` for a
+ * truncated body. Neither has a `Retry-After`.
  *
- * The numbers suit callers that heed `Retry-After` up to a third of the time that they have left, retry once, on a new
- * connection, and have deadlines of 1 to 1.5 s (plain requests) or 6 to 8 s (streams).
+ * The values of `Retry-After` suit these callers: they accept it up to a third of their remaining time, and retry once
+ * on a new connection. Their deadlines are 1 to 1.5 s for plain requests and 6 to 8 s for streams.
  */
 import { Fault, kinds } from '@eiderwind/fault'
 
 /**
- * After `behind` and `leaving`, in seconds. Another gateway can usually serve the request at once and the new connection
- * may reach it, so a longer wait would gain nothing.
+ * `Retry-After` of `behind` and `leaving`, in seconds. Another gateway can usually serve the request at once, and the
+ * new connection may reach it. A longer wait has no benefit.
  */
-const otherGateway = 0.2
+const otherGatewayRetryS = 0.2
 
 /**
- * After `upstream-down`, in seconds. Nearly the longest wait that a caller with a deadline of 1 s heeds (0.33 s): the
- * upstreams get as much time as possible to take connections again.
+ * `Retry-After` of `upstream-down`, in seconds. A caller with a deadline of 1 s accepts at most 0.33 s. The value is
+ * close to that, so that the upstreams get as much time as possible to accept connections again.
  */
-const upstreamReturn = 0.3
+const upstreamDownRetryS = 0.3
 
 /**
- * After `no-replica`, in seconds. Below the 2 s that a caller with a deadline of 6 s heeds, and as long as a replica needs
- * that is mended with weights from host memory (1.6 s and 0.2 s to join); where weights come from the weight store (12
- * to 16 s) the caller is refused again.
+ * `Retry-After` of `no-replica`, in seconds. A caller with a deadline of 6 s accepts at most 2 s. A replica that is
+ * repaired with weights from host memory needs 1.8 s: 1.6 s to load and 0.2 s to join. If the weights come from the
+ * weight store (12 to 16 s), the caller is refused again.
  */
-const replicaMended = 1.8
+const noReplicaRetryS = 1.8
 
 /**
- * After `busy`, in seconds. Some of the requests that run now will have ended by then, and a caller with a deadline of 6 s has
- * over 5 s left.
+ * `Retry-After` of `busy`, in seconds. Some of the running requests have ended by then, and a caller with a deadline of
+ * 6 s has more than 5 s left.
  */
-const roomFreed = 0.9
+const busyRetryS = 0.9
 
 /**
- * After `busy` where no upstream takes a request by its own word: callers are spread over this time after the first does, in seconds, so that they do not all
- * come back in the moment in which one upstream takes requests again.
+ * Spread of `Retry-After` of `busy` if all upstreams rest or are limited, in seconds. Retries are spread over this time
+ * after the first upstream takes requests again, so that they do not all arrive at once.
  */
-const returnSpread = 0.5
+const retrySpreadS = 0.5
 
-/** The refusals of a gateway. Those without a `Retry-After` of their own have that of their kind, if any. */
+/** The refusals of a gateway. One without `retryAfter` here has the default of its code, if any. */
 export const refusals = {
-  /** This gateway has no configuration yet, no list of upstreams yet, or no fresh confirmation of its configuration. */
+  /**
+   * This gateway has no configuration yet, no list of upstreams yet, or no recent confirmation of its configuration.
+   */
   behind (detail?: string): Fault {
-    return new Fault('behind', { detail, retryAfter: otherGateway, remedy: 'Send the request again; another gateway has the present configuration.' })
+    return new Fault('behind', { detail, retryAfter: otherGatewayRetryS, remedy: 'Send the request again; another gateway has the present configuration.' })
   },
 
-  /** This gateway is about to end. */
+  /** This gateway is shutting down. */
   leaving (): Fault {
-    return new Fault('leaving', { retryAfter: otherGateway })
+    return new Fault('leaving', { retryAfter: otherGatewayRetryS })
   },
 
   headerTooLarge (): Fault {
@@ -64,76 +66,86 @@
     return new Fault('unknown-path', { detail: 'No route fits the host and path.', remedy: 'Use the host and the path of a route in the configuration.' })
   },
 
-  /** @param keyHeader the header that should hold the key */
+  /** The key is missing or unknown. @param keyHeader name of the header with the key */
   badKey (keyHeader: string): Fault {
     return new Fault('bad-key', { remedy: `Send the key of a team in the configuration in the header ${keyHeader}.` })
   },
 
   /** No upstream of a plain service took the request. */
   upstreamDown (detail: string): Fault {
-    return new Fault('upstream-down', { detail, retryAfter: upstreamReturn })
+    return new Fault('upstream-down', { detail, retryAfter: upstreamDownRetryS })
   },
 
   /**
-   * No replica had room in time.
-   * @param replicas how many serve the model; with none, a replica has to be formed first, which takes longer
+   * No replica had room within the wait.
+   * @param replicas number of replicas that serve the model; with none, a replica must be formed first, which takes
+   *   longer
    */
   noRoom (replicas: number): Fault {
-    if (replicas === 0) return new Fault('no-replica', { retryAfter: replicaMended })
-    return new Fault('busy', { retryAfter: roomFreed, remedy: 'Come back after the time given; all replicas that could serve this are full.' })
+    if (replicas === 0) return new Fault('no-replica', { retryAfter: noReplicaRetryS })
+    return new Fault('busy', { retryAfter: busyRetryS, remedy: 'Come back after the time given; all replicas that could serve this are full.' })
   },
 
   /**
-   * All upstreams that could serve it rest, and the first to end its rest has asked for it.
-   * @param time until the first of them has rested, in ms
+   * All upstreams that could serve the request rest, and the one whose rest ends first asked for it.
+   * @param time until the first rest ends, in ms
    * @param random in [0, 1)
    */
   resting (time: number, random: number): Fault {
-    return new Fault('busy', { retryAfter: returnTime(time, random), remedy: 'Come back after the time given; all upstreams that could serve this turn requests away.' })
+    return new Fault('busy', { retryAfter: spreadRetryAfter(time, random), remedy: 'Come back after the time given; all upstreams that could serve this refuse requests for now.' })
   },
 
   /**
-   * All upstreams that could serve it name limits, and those are used up for longer than it may wait.
-   * @param time until the first of them has a token for it, in ms; undefined where the gateway that issues it has not said
+   * All upstreams that could serve the request have limits, and no token comes within its wait.
+   * @param time until the first token for the request, in ms; undefined if the gateway that owns the limit has not
+   *   reported it
    * @param random in [0, 1)
    */
   limited (time: number | undefined, random: number): Fault {
-    return new Fault('busy', { retryAfter: time === undefined ? roomFreed : returnTime(time, random), remedy: 'Come back after the time given; all upstreams that could serve this take only so many requests a second now.' })
+    return new Fault('busy', { retryAfter: time === undefined ? busyRetryS : spreadRetryAfter(time, random), remedy: 'Come back after the time given; all upstreams that could serve this have reached their limits of requests per second.' })
   },
 
   /**
-   * The queue for all gateways is so long that it would not be served in time.
-   * @param time until those that wait now are served, in ms
+   * The queue for all gateways is too long for the request to be served within its wait.
+   * @param time until the requests that wait now are served, in ms
    * @param random in [0, 1)
    */
   queued (time: number, random: number): Fault {
-    return new Fault('busy', { retryAfter: returnTime(time, random), remedy: 'Come back after the time given; more requests wait for the replicas that could serve this than they can serve in time.' })
+    return new Fault('busy', { retryAfter: spreadRetryAfter(time, random), remedy: 'Come back after the time given; more requests wait for the replicas that could serve this than they can serve in time.' })
   },
 
   /**
-   * Each upstream that began to run it has crashed. Its caller is refused for as long as it stays so: an earlier return would crash one more.
-   * @param time for which it stays blocked, in ms
+   * Each upstream that began to run the request has crashed, so the request is blocked. `Retry-After` is the whole time
+   * of the block: an earlier retry would crash one more upstream.
+   * @param time until the block ends, in ms
    */
   crashing (time: number): Fault {
     return new Fault('crashing', { retryAfter: Math.ceil(time / 1000) })
   },
 
-  /** It may have run, and its answer is lost. No `Retry-After`: whether to send it again is for the caller to find out. */
+  /**
+   * The request may have run, and its answer is lost. No `Retry-After`: the caller must decide whether to send it
+   * again.
+   */
   lost (why: string): Fault {
     return new Fault('lost', { detail: `${why}.` })
   },
 
   /**
-   * The deadline of the caller or the time limit of the route has passed. `Retry-After` is that of the kind, 1 s.
-   * @param offered whether an upstream may have begun to work on it
+   * The deadline of the caller or the time limit of the route has passed. `Retry-After` is the default of the code, 1
+   * s.
+   * @param mayHaveRun whether an upstream may have begun to run the request
    */
-  deadline (offered: boolean): Fault {
-    if (offered) return new Fault('deadline', { outcome: 'unknown', remedy: kinds.lost.remedy })
+  deadline (mayHaveRun: boolean): Fault {
+    if (mayHaveRun) return new Fault('deadline', { outcome: 'unknown', remedy: kinds.lost.remedy })
     return new Fault('deadline', { remedy: 'Give a later deadline, as far as the time limit of the route allows, or come back when there is less load.' })
   }
 }
 
-/** `Retry-After` of callers that are spread after the time at which an upstream takes requests again, in seconds. @param time in ms */
-function returnTime (time: number, random: number): number {
-  return Math.ceil(time + random * returnSpread * 1000) / 1000
+/**
+ * `Retry-After` in seconds: `time` and a random part of the spread.
+ * @param time until an upstream takes requests again, in ms
+ */
+function spreadRetryAfter (time: number, random: number): number {
+  return Math.ceil(time + random * retrySpreadS * 1000) / 1000
 }
--- a/packages/dispatch/src/result.ts
+++ b/packages/dispatch/src/result.ts
@@ -1,7 +1,7 @@
 /**
- * How one attempt to have a request served by an upstream ended. `@eiderwind/forward` produces these results; the rules
- * of this package and the answer to the caller follow from them. The kinds appear in log lines (`attempts`) and as
- * values of the metric label `ending`, so they must stay as they are.
+ * The result of one attempt to send a request to an upstream. `@eiderwind/forward` produces these results. The retry
+ * decisions of this package and the answer to the caller depend on them. The kinds appear in log lines (`attempts`) and
+ * as values of the metric label `ending`, so they must not change.
  */
 import { type AnswerHeaders } from '@eiderwind/wire'
 
@@ -13,27 +13,35 @@
   readonly body: Buffer
 }
 
-/** How an attempt ended. */
+/** The result of an attempt. */
 export type AttemptResult =
   | Answered
-  /** Its answer was passed on to the caller while it arrived, and was complete. */
+  /** The complete answer was forwarded to the caller while it arrived. */
   | { readonly kind: 'passed' }
-  /** It certainly did not run. `sent` is false if nothing left this process, true if the upstream itself said so. */
+  /**
+   * The request certainly did not run. `sent`: false if nothing left this process, true if the upstream reported it.
+   */
   | { readonly kind: 'not-run', readonly why: string, readonly sent: boolean }
-  /** It may have run, but there is no complete answer. `broken`: its connection broke off at the upstream's side, which may have crashed. */
+  /**
+   * The request may have run, but there is no complete answer. `broken`: the upstream closed the connection, so it may
+   * have crashed.
+   */
   | { readonly kind: 'lost', readonly why: string, readonly broken?: true | undefined }
 
-/** Lowest HTTP status by which an upstream reports a failure of its own (RFC 9110, section 15.6). */
+/** Lowest HTTP status of a server error (RFC 9110, section 15.6). */
 const serverError = 500
 
-/** Whether an upstream answered, and not with a failure of its own. A 4xx is the right answer to a bad request. */
+/**
+ * Whether an upstream answered without a server error. A 4xx counts as success: it is the right answer to a bad
+ * request.
+ */
 export function isSuccess (result: AttemptResult): boolean {
   return result.kind === 'passed' || (result.kind === 'answered' && result.status < serverError)
 }
 
 /**
- * Of the result so far and that of the latest attempt, the one that the caller of a plain request gets. An answer is
- * better than none, and a later attempt that did not run must not hide that an earlier one may have.
+ * The result that the caller of a plain request gets: that of the earlier attempts or that of the latest one. An answer
+ * is preferred to none. A latest attempt that did not run must not hide that an earlier one may have run.
  */
 export function preferredResult (before: AttemptResult | undefined, latest: AttemptResult): AttemptResult {
   if (before === undefined || latest.kind === 'answered') return latest
--- a/packages/dispatch/test/intake.test.ts
+++ b/packages/dispatch/test/availability.test.ts
@@ -1,18 +1,18 @@
-/** What upstreams take: nothing while they rest, and as many requests as there are tokens where they name a limit. */
+/** Availability of upstreams: a resting upstream takes no request, and one with a limit takes one request per token. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Rests } from '@eiderwind/detect'
 import { Issuer, Limits, Tokens } from '@eiderwind/limits'
 import { Intake } from '../src/index.js'
 
-const least = 1
+const priority = 1
 const none = new Set<string>()
 
 function upstreams (...ids: string[]): Array<{ id: string }> {
   return ids.map(id => ({ id }))
 }
 
-/** An intake at the only gateway. */
+/** The availability of upstreams, with the tokens of a single gateway. */
 class Fixture {
   readonly clock = new ManualClock()
   readonly rests = new Rests({ clock: this.clock, begun: () => {}, ended: () => {} })
@@ -22,9 +22,9 @@
   readonly intake = new Intake({ clock: this.clock, rests: this.rests, tokens: this.tokens })
 }
 
-test('the first end is that of upstreams all of which rest', t => {
+test('if all upstreams rest, the first end of a rest is returned, and none if one of them does not rest', t => {
   const { rests, intake } = new Fixture()
-  const first = (...ids: string[]): unknown => intake.first(upstreams(...ids), none, least)
+  const first = (...ids: string[]): unknown => intake.first(upstreams(...ids), none, priority)
   rests.ask('a', 3000)
   rests.ask('b', 1000)
   t.deepEqual(first('a', 'b'), { end: 1000, cause: 'rest' })
@@ -33,10 +33,10 @@
   t.is(first(), undefined)
   rests.pause('c', 500)
   t.deepEqual(first('a', 'b', 'c'), { end: 500, cause: 'pause' })
-  t.deepEqual(intake.first(upstreams('a', 'b'), new Set(['b']), least), { end: 3000, cause: 'rest' })
+  t.deepEqual(intake.first(upstreams('a', 'b'), new Set(['b']), priority), { end: 3000, cause: 'rest' })
 })
 
-test('a limited upstream takes a request for each token, and rests where it asks for that as well', t => {
+test('a limited upstream takes one request per token, and none while it rests as well', t => {
   const { clock, rests, limits, intake } = new Fixture()
   limits.named('a', 2)
   t.false(intake.has('a'))
@@ -52,21 +52,21 @@
   t.false(intake.rests('a'))
 })
 
-test('where all limits are used up, the first token that is known of ends the wait; nothing is known before an ask was answered', t => {
+test('if all limits are used up, the time of the first expected token is returned, and it is unknown before a token request was answered', t => {
   const { clock, limits, intake } = new Fixture()
   limits.named('a', 2)
   limits.named('b', 1)
-  t.deepEqual(intake.first(upstreams('a', 'b'), none, least), { end: 0, cause: 'limit' })
-  const claim = intake.claim(least, 100)
+  t.deepEqual(intake.first(upstreams('a', 'b'), none, priority), { end: 0, cause: 'limit' })
+  const claim = intake.claim(priority, 100)
   intake.pursue(claim, upstreams('a', 'b'), none)
   t.deepEqual(claim?.refused, new Set(['a', 'b']))
-  t.deepEqual(intake.first(upstreams('a', 'b'), none, least), { end: 500, cause: 'limit' })
-  t.is(intake.first(upstreams('a', 'b', 'c'), none, least), undefined)
+  t.deepEqual(intake.first(upstreams('a', 'b'), none, priority), { end: 500, cause: 'limit' })
+  t.is(intake.first(upstreams('a', 'b', 'c'), none, priority), undefined)
   clock.advance(500)
-  t.is(intake.first(upstreams('a', 'b'), none, least), undefined)
+  t.is(intake.first(upstreams('a', 'b'), none, priority), undefined)
 })
 
-test('a more urgent request asks for itself, whatever a less urgent one was told', t => {
+test('the reported wait of a less urgent request is not used for a more urgent one', t => {
   const { limits, intake } = new Fixture()
   limits.named('a', 2)
   intake.pursue(intake.claim(5, 100), upstreams('a'), none)
--- a/packages/dispatch/test/decisions.test.ts
+++ b/packages/dispatch/test/decisions.test.ts
@@ -1,26 +1,26 @@
-/** How long a request waits, whether a stalled stream may be moved, and each refusal as it is sent. */
+/** The maximum wait of a request, the decision to move a stalled stream, and the content of each refusal. */
 import test from 'ava'
 import { mayMove, preferredResult, refusals, waitForRoom, type AttemptResult } from '../src/index.js'
 
-test('a request waits for 0.22 of its objective before its first attempt, never past its deadline', t => {
+test('before its first attempt a request waits for at most 0.22 of its objective and never past its deadline', t => {
   for (const path of ['plain', 'stream'] as const) {
     t.is(waitForRoom({ path, offered: false, upstreams: 2, closed: 0, objective: 500, timeLeft: 6000 }), 110)
     t.is(waitForRoom({ path, offered: false, upstreams: 2, closed: 0, objective: 500, timeLeft: 30 }), 30)
   }
 })
 
-test('a request for which nothing serves is refused at once, and one that was offered before is not', t => {
+test('without upstreams a request does not wait for its first attempt, and a stream that was sent before still waits', t => {
   for (const path of ['plain', 'stream'] as const) t.is(waitForRoom({ path, offered: false, upstreams: 0, closed: 0, objective: 500, timeLeft: 6000 }), 0)
   t.is(waitForRoom({ path: 'stream', offered: true, upstreams: 0, closed: 0, objective: 500, timeLeft: 6000 }), 1500)
 })
 
-test('once offered, a plain request does not wait, and a stream waits for 1500 ms, never past its deadline', t => {
+test('after an attempt a plain request does not wait, and a stream waits for at most 1500 ms and never past its deadline', t => {
   t.is(waitForRoom({ path: 'plain', offered: true, upstreams: 2, closed: 0, objective: 500, timeLeft: 6000 }), 0)
   t.is(waitForRoom({ path: 'stream', offered: true, upstreams: 2, closed: 0, objective: 500, timeLeft: 6000 }), 1500)
   t.is(waitForRoom({ path: 'stream', offered: true, upstreams: 2, closed: 0, objective: 500, timeLeft: 30 }), 30)
 })
 
-test('where all upstreams rest, a request waits for the end of the first rest or not at all', t => {
+test('if all upstreams rest, a request waits only if the first rest ends within its maximum wait', t => {
   const first = { path: 'plain', offered: false, upstreams: 2, objective: 500, timeLeft: 6000 } as const
   t.is(waitForRoom({ ...first, closed: 100 }), 110)
   t.is(waitForRoom({ ...first, closed: 111 }), 0)
@@ -29,7 +29,7 @@
   t.is(waitForRoom({ ...first, path: 'stream', offered: true, closed: 1501 }), 0)
 })
 
-test('where all upstreams rest, callers come back from the end of the first rest on, spread over half a second', t => {
+test('if all upstreams rest or are limited, Retry-After is spread over half a second from the end of the first rest or limit on', t => {
   t.is(refusals.resting(1500, 0).retryAfter, 1.5)
   t.is(refusals.resting(1500, 0.5).retryAfter, 1.75)
   t.true((refusals.resting(1, 0.999).retryAfter ?? 9) <= 0.501)
@@ -40,14 +40,14 @@
   t.is(refusals.limited(1500, 0).outcome, 'not-run')
 })
 
-test('a stalled stream may be moved only if it may run again, and attempts and retries are left', t => {
+test('a stalled stream may be moved only if its request may run again and attempts and retries are left', t => {
   t.true(mayMove({ repeatable: true, hasAttemptsLeft: true, retriesLeft: 1 }))
   t.false(mayMove({ repeatable: false, hasAttemptsLeft: true, retriesLeft: 1 }))
   t.false(mayMove({ repeatable: true, hasAttemptsLeft: false, retriesLeft: 1 }))
   t.false(mayMove({ repeatable: true, hasAttemptsLeft: true, retriesLeft: 0 }))
 })
 
-test('an answer is preferred to none, and that a request may have run is not hidden by a later attempt', t => {
+test('the preferred result is the latest answer, and a later attempt without an answer does not hide that a request may have run', t => {
   const answered: AttemptResult = { kind: 'answered', status: 503, headers: {}, body: Buffer.alloc(0) }
   const lost: AttemptResult = { kind: 'lost', why: '' }
   const notRun: AttemptResult = { kind: 'not-run', why: '', sent: true }
@@ -63,7 +63,7 @@
   }
 })
 
-test('each refusal has its code, status, outcome, Retry-After and a remedy that is true at a gateway', t => {
+test('each refusal has the expected code, status, outcome, Retry-After and remedy', t => {
   const all = [
     refusals.behind(),
     refusals.behind('Why.'),
--- a/packages/dispatch/test/fairqueue.test.ts
+++ b/packages/dispatch/test/fairqueue.test.ts
@@ -1,4 +1,4 @@
-/** The queue that shares room out: who is served, and who is refused at once. */
+/** The fair queue: which requests are served, and which are refused at once. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { FairQueue, type Seeker, type Shortage } from '../src/index.js'
@@ -10,7 +10,7 @@
   readonly ended: string[] = []
   readonly shortages: Shortage[] = []
 
-  /** Frees places, as if requests had ended. */
+  /** Frees `count` places, as if requests had ended. */
   release (count: number): void {
     for (let index = 0; index < count; index++) this.free.push({})
     this.queue.wake()
@@ -24,7 +24,7 @@
     })
   }
 
-  /** Two seconds in which a place comes free every 50 ms, and others always wait. */
+  /** Runs two seconds in which a place becomes free every 50 ms and other requests always wait. */
   async contend (): Promise<void> {
     const waits: Array<Promise<void>> = []
     for (let time = 0; time < 2000; time += 50) {
@@ -39,7 +39,7 @@
   }
 }
 
-test('whoever waits is served by the rules, and one that is not is told which', async t => {
+test('waiting requests are served by the rules, and one that is not served gets the deciding rule', async t => {
   const fixture = new Fixture()
   const all = [fixture.wait('late', { inTimeUntil: -1 }), fixture.wait('less urgent', { priority: 2 }), fixture.wait('again', { again: true }), fixture.wait('urgent')]
   fixture.release(2)
@@ -49,7 +49,7 @@
   t.deepEqual(fixture.shortages, ['late', 'no room'])
 })
 
-test('one that comes takes no place past those that go before it', async t => {
+test('a new request does not take a free place that a waiting request with precedence can use', async t => {
   const fixture = new Fixture()
   const all = [fixture.wait('first')]
   fixture.free.push({})
@@ -59,7 +59,7 @@
   t.deepEqual(fixture.ended, ['first place', 'less urgent nothing'])
 })
 
-test('requests of one room do not wait for those of another', async t => {
+test('requests of one room do not wait for requests of another room', async t => {
   const fixture = new Fixture()
   const all = [fixture.wait('here', { priority: 0, until: 1e6 })]
   fixture.free.push({})
@@ -68,10 +68,10 @@
   t.deepEqual(fixture.ended, ['there place'])
 })
 
-test('a request whose queue is too long is refused at once, and one for which a place may come free is not', async t => {
+test('a request for which the queue is too long is refused at once, and one that may still get a place is not', async t => {
   const fixture = new Fixture()
   await fixture.contend()
-  // Places come free 20 a second: two in 110 ms, and more than seven less than once in twenty times.
+  // 20 places per second become free: two within 110 ms, and more than seven in fewer than one case of twenty.
   const all = Array.from({ length: 9 }, (_each, index) => fixture.wait(String(index)))
   await Promise.resolve()
   await Promise.resolve()
@@ -83,7 +83,7 @@
   await Promise.all(all)
 })
 
-test('without a rate that is known nobody is refused before its time', async t => {
+test('as long as the rate of free places is unknown, no request is refused before its wait ends', async t => {
   const fixture = new Fixture()
   const all = Array.from({ length: 50 }, (_each, index) => fixture.wait(String(index)))
   await Promise.resolve()
@@ -93,13 +93,13 @@
   t.is(fixture.queue.count, 0)
 })
 
-test('one whose caller leaves waits no longer and counts for nothing', async t => {
+test('a request whose caller leaves is removed from the queue and takes no place', async t => {
   const fixture = new Fixture()
   let cancel = (): void => {}
   const seeker = { room: 's', offered: false, priority: 1, team: 'a', work: 1, arrivedAt: 0, inTimeUntil: 500, until: 110 }
-  const left = fixture.queue.wait(seeker, () => fixture.free.shift(), { onWait: stop => { cancel = stop } })
+  const cancelled = fixture.queue.wait(seeker, () => fixture.free.shift(), { onWait: stop => { cancel = stop } })
   cancel()
-  t.is(await left, undefined)
+  t.is(await cancelled, undefined)
   t.is(fixture.queue.count, 0)
   fixture.release(1)
   t.is(fixture.free.length, 1)
--- a/packages/dispatch/test/offered.test.ts
+++ b/packages/dispatch/test/offered.test.ts
@@ -1,4 +1,4 @@
-/** What callers offer to each model where a part of it is refused. */
+/** The offered load of each model if a part of the requests is refused. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { OfferedLoad } from '../src/index.js'
@@ -16,25 +16,25 @@
   return { load, clock }
 }
 
-test('without refusals it is what is in flight', t => {
+test('without refusals the offered load equals the requests in flight', t => {
   const { load } = offered({ large: { inFlight: 12, rate: 4 }, small: { inFlight: 30, rate: 30 } })
   t.deepEqual(load.models, { large: 12, small: 30 })
 })
 
-test('of two models with the same room the one of which more is refused is offered more', t => {
+test('of two models with equal requests in flight, the one with more refusals has the higher offered load', t => {
   const { load } = offered({ large: { inFlight: 12, rate: 4 }, small: { inFlight: 12, rate: 4 } })
-  for (let each = 0; each < 8; each++) load.refused('large')
+  for (let index = 0; index < 8; index++) load.refused('large')
   load.refused('small')
   t.deepEqual(load.models, { large: 36, small: 15 })
 })
 
-test('a model that nothing serves counts by its refusals', t => {
+test('a model without replicas has an offered load from its refusals', t => {
   const { load } = offered({ small: { inFlight: 5, rate: 5 } })
-  for (let each = 0; each < 40; each++) load.refused('large')
+  for (let index = 0; index < 40; index++) load.refused('large')
   t.deepEqual(load.models, { small: 5, large: 40 })
 })
 
-test('refusals count for a second', t => {
+test('a refusal counts for one second', t => {
   const { load, clock } = offered({ small: { inFlight: 10, rate: 5 } })
   load.refused('small')
   clock.advance(999)
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -548,12 +548,12 @@
   {
     name: 'repeats-at-will',
     point: 4,
-    rule: 'repeats stay within ratio and slack (BUDGET)',
+    rule: 'retries stay within ratio and slack (BUDGET)',
     file: 'packages/dispatch/dist/src/budget.js',
     find: 'if (this.left < 1)',
     replace: 'if (this.left < -20)',
     test: 'packages/dispatch/dist/test/dispatch.test.js',
-    title: 'repeats are a share*'
+    title: 'retries are limited to a share*'
   },
   {
     name: 'resume-what-may-not',
