--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -650,8 +650,8 @@
     point: 3,
     rule: 'an upstream that says in an answer that it is leaving gets no new request (DRAIN)',
     file: 'platform/dist/src/conditions.js',
-    find: 'includes(isLeaving)',
-    replace: 'includes(isLeaving) && false',
+    find: 'includes(leavingValue)',
+    replace: 'includes(leavingValue) && false',
     test: 'platform/dist/test/leaving.test.js',
     title: 'a plain worker that says in an answer*'
   },
