--- a/packages/gateway/src/blocklist.ts
+++ b/packages/gateway/src/blocklist.ts
@@ -1,7 +1,9 @@
 /**
- * Keeps the blocked requests of all gateways alike: one that has just started knows of none, and a report of a crash may have been lost. Each heartbeat
- * carries a digest of the sender's list; where it differs from this gateway's, the list is asked for. All gateways give the same verdicts, and one of
- * them stores each, for the case that all are killed. Owns the question under way; the requests are kept by `Crashes`.
+ * Keeps the list of blocked requests the same at all gateways. A gateway that has just started has an empty list, and a
+ * report of a crash may have been lost. Each heartbeat carries a digest of the sender's list; if it differs from the
+ * local digest, the sender's list is requested.
+ * All gateways reach the same decisions. One of them stores each blocked request, in case all gateways are killed. Owns
+ * the request in progress; `Crashes` holds the blocked requests.
  */
 import { createHash } from 'node:crypto'
 import { type Clock } from '@eiderwind/clock'
@@ -24,21 +26,21 @@
 }
 
 /** How long an answer may take, in ms. */
-const answerTime = 500
+const answerTimeout = 500
 
-/** Digits of a digest, in hexadecimal. */
+/** Length of a digest, in hexadecimal digits. */
 const digestDigits = 16
 
-/** The list of blocked requests, kept like those of the other gateways. */
+/** The list of blocked requests, synchronized with the other gateways. */
 export class Blocklist {
   readonly #options: BlocklistOptions
-  #asking = false
+  #isRequesting = false
 
   constructor (options: BlocklistOptions) {
     this.#options = options
   }
 
-  /** Digest of the blocked requests; undefined where there are none. */
+  /** Digest of the blocked requests; undefined if there are none. */
   get digest (): string | undefined {
     const { blocked } = this.#options.crashes
     if (blocked.length === 0) return undefined
@@ -46,31 +48,34 @@
     return createHash('sha256').update(names.join()).digest('hex').slice(0, digestDigits)
   }
 
-  /** Takes the requests that were stored before this process began. */
+  /** Loads the requests that were stored before this process began. */
   start (): void {
     this.#options.blocks.read(blocked => this.#options.crashes.block(blocked))
   }
 
-  /** Records that a request was blocked by a verdict given here. */
+  /**
+   * Stores a request that was blocked by a decision of this gateway, unless another gateway is responsible for storing
+   * it.
+   */
   add (request: string): void {
     const { id, peers, blocks } = this.#options
     const [writer] = ranked(request, [id, ...peers.live.map(each => each.id)])
     if (writer === id) blocks.write(request)
   }
 
-  /** Takes the digest of another gateway: where it has others blocked than this one, its list is asked for. */
-  heard (digest: string | undefined, peer: PeerAddress): void {
-    if (digest === undefined || this.#asking || digest === this.digest) return
-    this.#asking = true
-    this.#ask(peer).then(blocked => this.#options.crashes.block(blocked), () => {
-      // The next heartbeat of any gateway brings the digest again.
-    }).finally(() => { this.#asking = false })
+  /** Compares another gateway's digest with the local one. If they differ, that gateway's list is requested. */
+  receiveDigest (digest: string | undefined, peer: PeerAddress): void {
+    if (digest === undefined || this.#isRequesting || digest === this.digest) return
+    this.#isRequesting = true
+    this.#requestBlocked(peer).then(blocked => this.#options.crashes.block(blocked), () => {
+      // On failure, the next heartbeat of any gateway brings a digest again.
+    }).finally(() => { this.#isRequesting = false })
   }
 
-  async #ask ({ address }: PeerAddress): Promise<BlockedRequest[]> {
+  async #requestBlocked ({ address }: PeerAddress): Promise<BlockedRequest[]> {
     const { clock, connections } = this.#options
     const call = { origin: `http://${address}`, path: paths.blocked, method: 'GET', headers: {}, body: undefined }
-    const { body } = await ask(connections, clock, call, answerTime)
+    const { body } = await ask(connections, clock, call, answerTimeout)
     return decodeBlocked(body.toString())
   }
 }
--- a/packages/gateway/src/blocks.ts
+++ b/packages/gateway/src/blocks.ts
@@ -1,13 +1,13 @@
 /**
- * The blocked requests, as the gateways need them of a store: what all of them forget when all are killed at once is read there again. Owns the type
- * only; the adapter of the platform keeps the records.
+ * The interface to the store of blocked requests. If all gateways are killed at once, they load their blocked requests
+ * from it. Owns the type only; the platform's adapter stores the records.
  */
 import { type BlockedRequest } from '@eiderwind/crashes'
 
 /** The store of blocked requests. */
 export abstract class Blocks {
-  /** Delivers all that are stored, once the store can be read; later ones are not delivered. */
+  /** Delivers all stored requests, once the store can be read. Requests stored later are not delivered. */
   abstract read (deliver: (blocked: readonly BlockedRequest[]) => void): void
-  /** Stores a request that was blocked just now, by its fingerprint. Tries again until that is done. */
+  /** Stores a request that has just been blocked, by its fingerprint. Retries until that succeeds. */
   abstract write (request: string): void
 }
--- a/packages/gateway/src/budgets.ts
+++ b/packages/gateway/src/budgets.ts
@@ -1,6 +1,6 @@
 /**
- * The retry budgets of all services: one each, made when the service is first seen. Owns them; relies on the list of
- * gateways to know how many share the slack.
+ * The retry budgets of all services. The budget of a service is created when it is first needed. Owns the budgets.
+ * Relies on the list of gateways for how many share the slack.
  */
 import { type Clock } from '@eiderwind/clock'
 import { RetryBudget } from '@eiderwind/dispatch'
@@ -9,8 +9,8 @@
 import { type GatewaySettings } from './settings.js'
 
 /**
- * Gateways that are assumed until the list of them is known, so that a fleet that starts together stays within the slack. More than
- * small sites have.
+ * Number of gateways that is assumed until their list is known, so that a fleet whose gateways start together stays
+ * within the slack. It is more than small sites have.
  */
 const assumedGateways = 8
 
@@ -32,12 +32,17 @@
   }
 
   of (service: string): RetryBudget {
-    const known = this.#budgets.get(service)
-    if (known !== undefined) return known
+    const existing = this.#budgets.get(service)
+    if (existing !== undefined) return existing
     const { clock, settings } = this.#options
-    const made = new RetryBudget(clock, { ratio: settings.retryRatio, slack: settings.retrySlack, window: settings.retryWindow, gateways: () => this.#gateways })
-    this.#budgets.set(service, made)
-    return made
+    const created = new RetryBudget(clock, {
+      ratio: settings.retryRatio,
+      slack: settings.retrySlack,
+      window: settings.retryWindow,
+      gateways: () => this.#gateways
+    })
+    this.#budgets.set(service, created)
+    return created
   }
 
   /** Retries that are left now, by service. */
--- a/packages/gateway/src/callers.ts
+++ b/packages/gateway/src/callers.ts
@@ -1,7 +1,7 @@
 /**
- * The callers' side: listens, reads each request with its body, has it admitted or refused, and hands it to its path.
- * Owns the HTTP server and the set of requests that are not answered yet. Relies on the board for the configuration in
- * force; who is admitted is decided in `admission.ts`, everything after that in `forward` and `dispatch`.
+ * Serves callers: listens, reads each request with its body, admits or refuses it, and passes admitted requests to
+ * their path. Owns the HTTP server and the set of requests that are not answered yet. Relies on the board for the
+ * configuration in force. Admission is decided in `admission.ts`; everything after it in `forward` and `dispatch`.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { type Random } from '@eiderwind/clock'
@@ -12,37 +12,42 @@
 import { pickShare } from '@eiderwind/traffic'
 import { header, listen, readBody, refuse } from '@eiderwind/wire'
 import { admit, type Admission } from './admission.js'
-import { type GatewayBoard, type InForce } from './facts.js'
+import { type GatewayBoard, type ConfigurationInForce } from './facts.js'
 
 /** Dependencies of `Callers`. */
 export interface CallersOptions {
   readonly context: Context
   readonly board: GatewayBoard
-  /** `host:port` for callers. */
+  /** `host:port` on which callers connect. */
   readonly address: string
-  /** How old the newest confirmation of the configuration may be where a fresh one is needed, in ms. */
+  /** Maximum age of the newest confirmation of the configuration where a recent one is needed, in ms. */
   readonly freshness: number
-  /** Whether requests with keys need a fresh confirmation. */
+  /** Whether requests with known keys need a recent confirmation. */
   readonly strictKeys: boolean
-  /** Draws the service of a request whose route is split between several. */
+  /** Chooses the service of a request if its route is split between several. */
   readonly random: Random
-  /** What callers of each route usually say they wait; absent where it does not matter who came back. */
+  /**
+   * How long callers of each route usually say they wait. Absent if it does not matter whether a caller has come back.
+   */
   readonly patience: UsualPatience | undefined
-  /** What brings answers to callers as they read. */
+  /** Writes answers to callers as fast as they read. */
   readonly deliveries: Deliveries
-  /** Called with the code of each request that is refused before anything is chosen for it. */
+  /** Called with the code of each request that is refused before a service is chosen for it. */
   readonly refused: (code: string) => void
   /** Called once for each admitted request, with its outcome. */
   readonly ended: (request: CallerRequest, outcome: string) => void
 }
 
-/** Longest head of a request that is read at all, in bytes: far above the configuration's limit, which then names the refusal. */
-const headLimit = 64 * 1024
+/**
+ * Maximum size of a header section that is read at all, in bytes. It is far above the configuration's limit, so the
+ * configuration's limit determines the refusal.
+ */
+const maxHeadBytes = 64 * 1024
 
-/** Time between two checks of connections that are slow to send, in ms: their limits are seconds. */
+/** Interval between checks for connections that send slowly, in ms. The limits of these connections are in seconds. */
 const checkInterval = 500
 
-/** Bytes that each raw header name or value takes beside itself: `: ` or the line break. */
+/** Bytes that each raw header name or value takes in addition to its own length: `: ` or the line break. */
 const headerSeparator = 2
 
 /** Serves callers. */
@@ -51,41 +56,46 @@
   readonly #server: Server
   readonly #open = new Set<CallerRequest>()
   #connections = 0
-  #refusing = false
+  #isRefusing = false
   #served = false
 
   constructor (options: CallersOptions) {
     this.#options = options
-    this.#server = createServer({ maxHeaderSize: headLimit, connectionsCheckingInterval: checkInterval, requestTimeout: 0, noDelay: true })
-    this.#server.on('request', (request, response) => this.#take(request, response))
+    this.#server = createServer({
+      maxHeaderSize: maxHeadBytes,
+      connectionsCheckingInterval: checkInterval,
+      requestTimeout: 0,
+      noDelay: true
+    })
+    this.#server.on('request', (request, response) => this.#accept(request, response))
     this.#server.on('connection', socket => {
       this.#connections++
       socket.once('close', () => { this.#connections-- })
     })
-    options.board.listen('inForce', inForce => { if (inForce !== undefined) this.#limit(inForce) })
+    options.board.listen('inForce', inForce => { if (inForce !== undefined) this.#applyLimits(inForce) })
   }
 
-  /** Whether a request ever came. */
+  /** Whether any request has arrived yet. */
   get served (): boolean {
     return this.#served
   }
 
-  /** How many admitted requests are not answered yet. */
+  /** Number of admitted requests that are not answered yet. */
   get open (): number {
     return this.#open.size
   }
 
-  /** Callers' connections. */
+  /** Number of callers' connections. */
   get connections (): number {
     return this.#connections
   }
 
   /** Whether requests with keys are served now. */
   get servesKeys (): boolean {
-    return !this.#options.strictKeys || this.#fresh
+    return !this.#options.strictKeys || this.#isFresh
   }
 
-  get #fresh (): boolean {
+  get #isFresh (): boolean {
     const { context, board, freshness } = this.#options
     return context.clock.bootNow() - board.read('confirmedAt') <= freshness
   }
@@ -96,22 +106,22 @@
 
   /** Refuses new requests from now on. */
   refuse (): void {
-    this.#refusing = true
+    this.#isRefusing = true
     this.#server.closeIdleConnections()
   }
 
-  /** Takes no new connections and ends the idle ones. */
+  /** Accepts no new connections, and closes idle ones. */
   close (): void {
     this.#server.close()
     this.#server.closeIdleConnections()
   }
 
-  #limit ({ traffic }: InForce): void {
+  #applyLimits ({ traffic }: ConfigurationInForce): void {
     this.#server.keepAliveTimeout = traffic.limits.idleTime
     this.#server.headersTimeout = traffic.limits.headerTime
   }
 
-  #take (incoming: IncomingMessage, response: ServerResponse): void {
+  #accept (incoming: IncomingMessage, response: ServerResponse): void {
     this.#handle(incoming, response).catch(error => {
       this.#options.context.log.write('request-failed', { cause: String((error as Error).stack) })
       response.destroy()
@@ -137,8 +147,8 @@
     await this.#serve(request, inForce)
   }
 
-  /** @param inForce the configuration of the moment at which the request arrived */
-  #admit (incoming: IncomingMessage, inForce: InForce): Admission | Fault {
+  /** @param inForce the configuration that was in force when the request arrived */
+  #admit (incoming: IncomingMessage, inForce: ConfigurationInForce): Admission | Fault {
     const { context, strictKeys } = this.#options
     const arrival = {
       host: incoming.headers.host ?? '',
@@ -146,18 +156,25 @@
       headSize: headSize(incoming),
       key: header(incoming, context.names.key) ?? ''
     }
-    return admit(arrival, { inForce, listed: context.roster.hasList, fresh: this.#fresh, strictKeys, refusing: this.#refusing, keyHeader: context.names.key })
+    return admit(arrival, {
+      inForce,
+      listed: context.roster.hasList,
+      fresh: this.#isFresh,
+      strictKeys,
+      refusing: this.#isRefusing,
+      keyHeader: context.names.key
+    })
   }
 
-  /** The request of an admitted caller; a fault where its own headers are not in order. */
+  /** Makes the request of an admitted caller, or returns a fault if its headers are invalid. */
   #request (incoming: IncomingMessage, response: ServerResponse, body: Buffer, { route, team }: Admission, arrivedAt: number): CallerRequest | Fault {
     const { context, random, ended, patience, deliveries } = this.#options
     const { names, clock } = context
     const id = header(incoming, names.request)
     if (id === undefined) return refusals.badRequest(`The header ${names.request} is missing.`)
-    const given = header(incoming, names.deadline)
-    const span = given === undefined ? route.timeout : Number(given)
-    if (!Number.isFinite(span) || span <= 0) return refusals.badRequest(`The header ${names.deadline} takes milliseconds above 0.`)
+    const deadlineHeader = header(incoming, names.deadline)
+    const allowedTime = deadlineHeader === undefined ? route.timeout : Number(deadlineHeader)
+    if (!Number.isFinite(allowedTime) || allowedTime <= 0) return refusals.badRequest(`The header ${names.deadline} must be a number of milliseconds above 0.`)
     return new CallerRequest({
       clock,
       id,
@@ -168,8 +185,8 @@
       service: pickShare(route.shares, random()),
       team,
       arrivedAt,
-      endsAt: arrivedAt + Math.min(span, route.timeout),
-      spent: patience?.spent(route.name, span, arrivedAt),
+      endsAt: arrivedAt + Math.min(allowedTime, route.timeout),
+      spent: patience?.spent(route.name, allowedTime, arrivedAt),
       idHeader: names.request,
       deliveries,
       onEnd: (request, outcome) => {
@@ -179,7 +196,7 @@
     })
   }
 
-  async #serve (request: CallerRequest, { traffic }: InForce): Promise<void> {
+  async #serve (request: CallerRequest, { traffic }: ConfigurationInForce): Promise<void> {
     const { context } = this.#options
     const engine = traffic.services.find(each => each.name === request.service)?.engine
     const model = header(request.incoming, context.names.model) ?? ''
--- a/packages/gateway/src/coldstarts.ts
+++ b/packages/gateway/src/coldstarts.ts
@@ -1,6 +1,8 @@
 /**
- * When this gateway itself reads that an upstream is cold: in its record, each time that says something new of it; in an answer; and at its first listing, since one that starts during
- * traffic is cold whether or not its record says so yet. A record that said it and says it no longer ends it. Owns what the records said last, by the identity of an upstream's life.
+ * Determines from an upstream's own data whether it is cold: from its record, each time the record gives a new time;
+ * from an answer; and from its first listing. An upstream that starts during traffic is cold whether or not its record
+ * says so yet. A record that no longer gives a time ends the cold state.
+ * Owns the time that each upstream's record gave last, by the id of the upstream's incarnation.
  */
 import { type ColdUpstreams } from '@eiderwind/limits'
 import { type Roster, type RosterChange, type Upstream } from '@eiderwind/roster'
@@ -9,37 +11,40 @@
 export interface ColdStartsOptions {
   readonly roster: Roster
   readonly cold: ColdUpstreams
-  /** How long an upstream of a service is cold after its start, in ms; 0 where that is not known. */
+  /** How long an upstream of a service is cold after its start, in ms; 0 if unknown. */
   readonly startTime: (service: string) => number
-  /** Called with the upstreams that are cold now and were not before. */
+  /** Called with the upstreams that have just become cold. */
   readonly began: (ids: readonly string[]) => void
 }
 
-/** Reads which upstreams are cold. */
+/** Determines which upstreams are cold. */
 export class ColdStarts {
   readonly #options: ColdStartsOptions
-  /** Time left by the last record of each upstream; 0 where that did not say that it is cold. */
-  readonly #said = new Map<string, number>()
+  /** Remaining cold time in the last record of each upstream, in ms; 0 if the record did not give one. */
+  readonly #lastRemaining = new Map<string, number>()
   #hasList = false
 
   constructor (options: ColdStartsOptions) {
     this.#options = options
-    options.roster.listen(changes => this.#take(changes))
+    options.roster.listen(changes => this.#applyChanges(changes))
   }
 
-  /** Takes that an upstream is cold by an answer of its own. */
+  /** Takes the remaining cold time from an upstream's answer, in ms. */
   answered (id: string, remaining: number): void {
     const { cold, began } = this.#options
     if (cold.read(id, remaining)) began([id])
   }
 
-  /** Forgets the upstreams that are not remembered any more. */
+  /** Removes the upstreams that the roster no longer remembers. */
   forget (): void {
-    for (const id of this.#said.keys()) if (!this.#options.roster.remembers(id)) this.#said.delete(id)
+    for (const id of this.#lastRemaining.keys()) if (!this.#options.roster.remembers(id)) this.#lastRemaining.delete(id)
   }
 
-  /** What a gateway finds when it starts has not started just now, as far as it does not say so. */
-  #take (changes: readonly RosterChange[]): void {
+  /**
+   * Reads the records. Upstreams in the first list were running before this gateway started, so they count as cold only
+   * if their records say so.
+   */
+  #applyChanges (changes: readonly RosterChange[]): void {
     const { cold, began } = this.#options
     const isFirst = !this.#hasList
     this.#hasList = true
@@ -49,13 +54,13 @@
   }
 
   /** How much longer an upstream is cold by its record, in ms. */
-  #remaining ({ id, service, cold: says = 0 }: Upstream, isFirst: boolean): number {
+  #remaining ({ id, service, cold: reported = 0 }: Upstream, isFirst: boolean): number {
     const { cold, startTime } = this.#options
-    const before = this.#said.get(id)
-    this.#said.set(id, says)
-    if (before === undefined) return isFirst ? says : Math.max(says, startTime(service))
-    if (says === 0 && before > 0) cold.end(id)
-    // Another field of the record may have changed; the worker writes the time left anew with each.
-    return says
+    const before = this.#lastRemaining.get(id)
+    this.#lastRemaining.set(id, reported)
+    if (before === undefined) return isFirst ? reported : Math.max(reported, startTime(service))
+    if (reported === 0 && before > 0) cold.end(id)
+    // Another field of the record may have changed: the worker writes the remaining time anew with every change.
+    return reported
   }
 }
--- a/packages/gateway/src/conditions.ts
+++ b/packages/gateway/src/conditions.ts
@@ -1,8 +1,10 @@
 /**
- * What upstreams say of themselves in their answers, and what follows from it: one that asks for rest gets nothing until its end, one that only refuses is
- * left out for a while, one that names a limit gets no more than that, one that is leaving gets no new request in this life, whatever the store's list says. Owns the rests and the upstreams that told
- * this gateway itself that they are leaving; the other gateways hear of those by heartbeat. A rest is asked of one gateway and told to no other;
- * a limit is for all together (`limiting.ts`).
+ * Handles what upstreams report about themselves in their answers. An upstream that asks for rest gets no request until
+ * the rest ends. One that only refuses is skipped for a while. One that names a limit gets no more requests than that.
+ * One that is leaving gets no new request in this incarnation, whatever the store's list says.
+ * Owns the rests, and the set of upstreams that announced to this gateway that they are leaving. Heartbeats carry that
+ * set to the other gateways. A rest is asked of one gateway and is not forwarded; a limit is for all gateways together
+ * (`limiting.ts`).
  */
 import { type Clock } from '@eiderwind/clock'
 import { Backoff, Rests, type InFlight } from '@eiderwind/detect'
@@ -19,41 +21,42 @@
   readonly roster: Roster
   readonly inFlight: InFlight
   readonly queue: Queue
-  /** Called when the other gateways should hear at once that an upstream is leaving. */
+  /** Called when a heartbeat should be sent at once, because an upstream is leaving. */
   readonly tell: () => void
-  /** Takes the limit that an upstream's answer to this gateway names. */
+  /** Takes the limit named in an upstream's answer to this gateway. */
   readonly limited: (id: string, rate: number) => void
-  /** Takes that an upstream is cold for so many ms by its answer to this gateway. */
+  /** Takes the time for which an upstream is still cold, in ms, from its answer to this gateway. */
   readonly cold: (id: string, remaining: number) => void
   /** Called when an upstream has asked for rest. */
   readonly rested: () => void
 }
 
-/** The conditions of upstreams by their own word. */
+/** The conditions that upstreams report about themselves. */
 export class Conditions {
   readonly rests: Rests
   readonly #options: ConditionsOptions
   readonly #backoff = new Backoff()
-  /** Ids of the upstreams that said in an answer to this gateway that they are leaving. */
+  /** Ids of the upstreams that announced in an answer to this gateway that they are leaving. */
   readonly #leaving = new Set<string>()
 
   constructor (options: ConditionsOptions) {
     const { clock, queue } = options
     this.#options = options
-    this.rests = new Rests({ clock, begun: id => this.#rest(id), ended: () => queue.wake() })
+    this.rests = new Rests({ clock, begun: id => this.#restStarted(id), ended: () => queue.wake() })
   }
 
-  /** Takes the condition of an upstream by any of its answers. */
+  /** Takes the condition of an upstream from any of its answers. */
   take (id: string, { leaving, rest, limit, cold }: Condition): void {
-    if (rest > 0) this.#asked(id, rest)
+    if (rest > 0) this.#startRest(id, rest)
     if (limit !== undefined) this.#options.limited(id, limit)
     if (cold !== undefined) this.#options.cold(id, cold)
-    if (leaving) this.#leave(id)
+    if (leaving) this.#markLeaving(id)
   }
 
   /**
-   * Takes an upstream's answer to a request. A refusal for a time that the upstream names itself needs no other pause. Plain upstreams have none either: averages that
-   * learn from refusals already lead requests elsewhere (`Observations`), and where there is no other, one that refused twice may take the next request.
+   * Takes an upstream's answer to a request. A refusal that names a rest needs no other pause. Plain upstreams get no
+   * pause either: averages that learn from refusals already direct requests elsewhere (`Observations`), and if there is
+   * no other upstream, one that refused twice may accept the next request.
    */
   answered ({ id, membership }: Upstream, { refused, sentAt }: AnswerHead, condition: Condition): void {
     this.take(id, condition)
@@ -62,27 +65,30 @@
     else if (condition.rest === 0) this.rests.pause(id, this.#backoff.refused(id, sentAt, this.#options.clock.now()))
   }
 
-  /** What the heartbeats to other gateways say. */
+  /** This module's fields of the heartbeats to other gateways. */
   get news (): Pick<Heartbeat, 'leaving'> {
     const { roster } = this.#options
     for (const id of this.#leaving) if (!roster.remembers(id)) this.#leaving.delete(id)
     return { leaving: [...this.#leaving] }
   }
 
-  /** Takes what the heartbeat of another gateway says. It is said again with each, so one that came before the list of upstreams is not lost. */
+  /**
+   * Takes the leaving upstreams from another gateway's heartbeat. Every heartbeat repeats them, so an announcement that
+   * arrives before the list of upstreams is not lost.
+   */
   hear ({ id: from, leaving = [] }: Heartbeat): void {
     const { log, roster } = this.#options
     for (const id of leaving) if (roster.leave(id)) log.write('upstream-leaving', { upstream: id, from })
   }
 
-  #asked (id: string, rest: number): void {
+  #startRest (id: string, rest: number): void {
     const { log, rested } = this.#options
     if (!this.rests.ask(id, rest)) return
     rested()
     log.write('upstream-resting', { upstream: id, rest: Math.round(rest) })
   }
 
-  #leave (id: string): void {
+  #markLeaving (id: string): void {
     const { log, roster, tell } = this.#options
     if (this.#leaving.has(id)) return
     this.#leaving.add(id)
@@ -90,8 +96,11 @@
     tell()
   }
 
-  /** What has not left yet is withdrawn, and who waits looks again, since it may wait in vain now. */
-  #rest (id: string): void {
+  /**
+   * Withdraws requests that have not been sent yet. Waiting requests search again, since they might otherwise wait in
+   * vain.
+   */
+  #restStarted (id: string): void {
     const { inFlight, queue } = this.#options
     inFlight.withdraw(id, 'the upstream asked for rest')
     queue.wake()
--- a/packages/gateway/src/crashwatch.ts
+++ b/packages/gateway/src/crashwatch.ts
@@ -1,6 +1,7 @@
 /**
- * Connects what is known of requests that crash upstreams with the rest of the gateway: the roster, heartbeats in both directions, the log, and the list of
- * blocked requests that the gateways share. It makes `Crashes` and `Blocklist` and owns nothing else.
+ * Connects the detection of requests that crash upstreams with the rest of the gateway: the roster, heartbeats in both
+ * directions, the log, and the list of blocked requests that the gateways share. Creates `Crashes` and `Blocklist`, and
+ * owns nothing else.
  */
 import { type Clock } from '@eiderwind/clock'
 import { Crashes, type Crash } from '@eiderwind/crashes'
@@ -23,11 +24,11 @@
   readonly blocks: Blocks
   /** How long a new connection to an upstream may take, in ms. */
   readonly connectTime: number
-  /** Called when requests that wait should look for an upstream again. */
+  /** Called when waiting requests should search for an upstream again. */
   readonly changed: () => void
 }
 
-/** Crashes of upstreams, and the requests behind them. */
+/** Crashes of upstreams, and the requests that caused them. */
 export class CrashWatch {
   readonly crashes: Crashes
   readonly #options: CrashWatchOptions
@@ -49,20 +50,20 @@
     this.#blocklist = new Blocklist({ ...options, crashes: this.crashes })
   }
 
-  /** Takes the blocked requests that were stored before this process began. */
+  /** Loads the blocked requests that were stored before this process began. */
   start (): void {
     this.#blocklist.start()
   }
 
-  /** What the heartbeats to other gateways say. */
-  get news (): Pick<Heartbeat, 'crashes' | 'cleared' | 'trials' | 'blocked'> {
+  /** This module's fields of the heartbeats to other gateways. */
+  get heartbeatFields (): Pick<Heartbeat, 'crashes' | 'cleared' | 'trials' | 'blocked'> {
     return { ...this.crashes.news, blocked: this.#blocklist.digest }
   }
 
-  /** Takes what the heartbeat of another gateway says. */
-  hear ({ crashes = [], cleared = [], blocked }: Heartbeat, from: PeerAddress): void {
+  /** Takes the crashes, cleared requests and digest from another gateway's heartbeat. */
+  receiveHeartbeat ({ crashes = [], cleared = [], blocked }: Heartbeat, from: PeerAddress): void {
     this.crashes.hear({ crashes, cleared })
-    this.#blocklist.heard(blocked, from)
+    this.#blocklist.receiveDigest(blocked, from)
   }
 
   #crashed ({ upstream, requests }: Crash): void {
--- a/packages/gateway/src/demand.ts
+++ b/packages/gateway/src/demand.ts
@@ -1,20 +1,23 @@
 /**
- * How much work callers ask for of each model, smoothed: what the planner composes replicas by. Owns the smoothed counts;
- * relies on being sampled at a steady interval (`sampling.ts`).
+ * The smoothed load that callers offer to each model. The planner assigns models to replicas by it. Owns the smoothed
+ * counts. Relies on being sampled at a steady interval (`sampling.ts`).
  */
 import { type Demand } from '@eiderwind/forming'
 
-/** Weight of the newest of two samples a second, so that a change counts by two thirds after 5 s. */
+/** Weight of the newest sample, at two samples a second: after 5 s a change has taken effect by two thirds. */
 const newestWeight = 0.1
 
-/** Offered requests, over all gateways, below which shares by model say nothing. */
-const fewestRequests = 8
+/** Minimum number of offered requests, over all gateways, for the shares of the models to be meaningful. */
+const minRequests = 8
 
-/** The load that callers offer to each model, at all gateways, smoothed. */
+/** The load that callers offer to each model over all gateways, smoothed. */
 export class ModelLoad {
   readonly #smoothed = new Map<string, number>()
 
-  /** Takes a sample: the load offered to each model, one record a gateway. Requests without a model ('') are left out. */
+  /**
+   * Takes a sample: the load offered to each model, with one record for each gateway. Requests without a model ('') are
+   * ignored.
+   */
   sample (gateways: ReadonlyArray<Readonly<Record<string, number>>>): void {
     const sums = new Map<string, number>()
     for (const models of gateways) {
@@ -29,6 +32,6 @@
   /** Each model's share of the work, from 0 to 1; empty while there are too few requests. */
   get demand (): Demand {
     const total = [...this.#smoothed.values()].reduce((sum, each) => sum + each, 0)
-    return total < fewestRequests ? new Map() : new Map([...this.#smoothed].map(([model, count]) => [model, count / total]))
+    return total < minRequests ? new Map() : new Map([...this.#smoothed].map(([model, count]) => [model, count / total]))
   }
 }
--- a/packages/gateway/src/election.ts
+++ b/packages/gateway/src/election.ts
@@ -1,15 +1,16 @@
 /**
- * Which gateway plans the replicas of one service. The leader is recorded in the store under a term that rises with each election, so
- * two gateways cannot be elected at once, however little they know of each other: after a restart of all, or an outage of the store,
- * a fleet has heard next to nothing. Between elections the record is not read: the leader says in its heartbeats that it leads.
- * A leader that is replaced unnoticed goes on until it hears of the later term, or one of its own writes meets another's; that is safe, because
- * placements are written under their version and engines refuse lower epochs.
- * Owns the term of this gateway. Relies on `Leadership` for who may stand, and on heartbeats for who leads.
+ * Elects the gateway that plans the replicas of one service. The store records the leader under a term that rises with
+ * each election, so two gateways cannot be elected at once. This holds even if they know little of each other: after a
+ * restart of all gateways, or an outage of the store, hardly any heartbeat has arrived.
+ * Between elections the record is not read. The leader announces in its heartbeats that it leads. A leader that is
+ * replaced without noticing continues until it receives the later term, or until one of its writes conflicts with a
+ * write of the new leader. That is safe: placements are written under their version, and engines refuse lower epochs.
+ * Owns this gateway's term. Relies on `Leadership` for who may stand, and on heartbeats for who leads.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Leaders } from './leaders.js'
 
-/** What a gateway hears of the leader: it lives and may plan; it lives and may not; or none lives. */
+/** The leader's state by its heartbeats: live and allowed to plan, live but not allowed to plan, or no live leader. */
 type LeaderState = 'able' | 'unable' | 'none'
 
 /** Dependencies of `Election`. */
@@ -21,81 +22,87 @@
   readonly id: string
   /** Whether this gateway may plan now. */
   readonly eligible: () => boolean
-  /** This gateway's place among those that may stand, as far as it knows: 0 is the first. */
+  /** This gateway's position among the candidates that it knows: 0 stands first. */
   readonly place: () => number
   /** The terms in which other live gateways lead, and whether each may plan. */
   readonly others: () => ReadonlyArray<{ readonly term: number, readonly able: boolean }>
-  /** Called when this gateway was elected or leads no more. */
+  /** Called when this gateway was elected, or no longer leads. */
   readonly changed: () => void
 }
 
-/** Time between the moments at which two candidates stand, in ms: above the two calls of an election, 8 ms. */
-const placeTime = 100
+/**
+ * Delay between one candidate and the next, in ms. It exceeds the 8 ms that the two store calls of an election take.
+ */
+const candidateDelay = 100
 
 /**
- * How long a leader that lives may be unable to plan before another one is elected, in ms. An outage of the store ends for all at about
- * the same time, but each notices at its own: the old leader should go on, since it knows what it was about.
+ * How long a live leader may be unable to plan before another one is elected, in ms. After an outage of the store all
+ * gateways recover at about the same time, but each notices separately. The old leader should continue, since it has
+ * the state of its unfinished work.
  */
-const unablePatience = 1000
+const unableTimeout = 1000
 
-/** Pause after an election that failed, or that another gateway won, in ms: its heartbeats arrive meanwhile. */
+/** Pause after an election that failed or that another gateway won, in ms. The winner's heartbeats arrive meanwhile. */
 const retryPause = 500
 
 /** Elects the leader of one service. */
 export class Election {
   readonly #options: ElectionOptions
-  /** The term in which this gateway leads; undefined where it does not. */
+  /** The term in which this gateway leads; undefined if it does not lead. */
   #term: number | undefined
-  /** Since when this gateway might stand, on `Clock.now`. */
+  /** The time since which this gateway has been allowed to stand, on `Clock.now`. */
   #vacantSince: number | undefined
-  #standing = false
+  #isStanding = false
   #pausedUntil = -Infinity
 
   constructor (options: ElectionOptions) {
     this.#options = options
   }
 
-  /** The term in which this gateway leads; undefined where it does not. */
+  /** The term in which this gateway leads; undefined if it does not lead. */
   get term (): number | undefined {
     return this.#term
   }
 
-  /** Looks whether this gateway should stand, or has been replaced. */
+  /** Stands for election if there is no leader, and stops leading if another gateway has a later term. */
   look (): void {
-    this.#giveWay()
-    const wait = this.#wait
-    if (this.#term !== undefined || this.#standing || wait === undefined) {
+    this.#yieldToLaterTerm()
+    const wait = this.#startDelay
+    if (this.#term !== undefined || this.#isStanding || wait === undefined) {
       this.#vacantSince = undefined
       return
     }
     const { clock, place } = this.#options
     this.#vacantSince ??= clock.now()
-    if (clock.now() < Math.max(this.#pausedUntil, this.#vacantSince + wait + place() * placeTime)) return
-    this.#standing = true
-    this.#stand().finally(() => { this.#standing = false }).catch(() => { /* Never rejects: `Leaders` returns its errors. */ })
+    if (clock.now() < Math.max(this.#pausedUntil, this.#vacantSince + wait + place() * candidateDelay)) return
+    this.#isStanding = true
+    this.#stand().finally(() => { this.#isStanding = false }).catch(() => { /* Never rejects: `Leaders` returns its errors. */ })
   }
 
-  /** Gives the office up, at a planned stop. */
+  /** Stops leading, at a planned stop. */
   resign (): void {
-    this.#lead(undefined)
+    this.#setTerm(undefined)
   }
 
-  /** Reads the record again: a write of this gateway has met that of another one. */
+  /** Reads the record again after a write of this gateway has conflicted with another gateway's write. */
   async check (): Promise<void> {
     const { leaders, service, id } = this.#options
     const term = this.#term
     if (term === undefined) return
     const record = await leaders.read(service)
     if (this.#term !== term || record.isErr()) return
-    if (record.value.id !== id || record.value.term !== term) this.#lead(undefined)
+    if (record.value.id !== id || record.value.term !== term) this.#setTerm(undefined)
   }
 
-  /** How long this gateway waits before it stands, beside its place, in ms; undefined where it should not stand. */
-  get #wait (): number | undefined {
+  /**
+   * How long this gateway waits before it stands, in ms, apart from the delay of its position; undefined if it should
+   * not stand.
+   */
+  get #startDelay (): number | undefined {
     const { eligible } = this.#options
     const state = this.#state
     if (!eligible() || state === 'able') return undefined
-    return state === 'unable' ? unablePatience : 0
+    return state === 'unable' ? unableTimeout : 0
   }
 
   get #state (): LeaderState {
@@ -104,24 +111,24 @@
     return others.length > 0 ? 'unable' : 'none'
   }
 
-  /** A later term than its own ends that. */
-  #giveWay (): void {
+  /** Stops leading if another gateway announces a later term. */
+  #yieldToLaterTerm (): void {
     const own = this.#term
-    if (own !== undefined && this.#options.others().some(({ term }) => term > own)) this.#lead(undefined)
+    if (own !== undefined && this.#options.others().some(({ term }) => term > own)) this.#setTerm(undefined)
   }
 
   async #stand (): Promise<void> {
     const { clock, leaders, service, id } = this.#options
     const record = await leaders.read(service)
-    // What was heard meanwhile counts: another gateway may have been elected.
-    if (record.isOk() && this.#wait !== undefined) {
+    // Check again: heartbeats that arrived during the read may have announced a new leader.
+    if (record.isOk() && this.#startDelay !== undefined) {
       const elected = await leaders.elect(service, id, record.value)
-      if (elected.isOk()) return this.#lead(elected.value)
+      if (elected.isOk()) return this.#setTerm(elected.value)
     }
     this.#pausedUntil = clock.now() + retryPause
   }
 
-  #lead (term: number | undefined): void {
+  #setTerm (term: number | undefined): void {
     if (term === this.#term) return
     this.#term = term
     this.#options.changed()
--- a/packages/gateway/src/elections.ts
+++ b/packages/gateway/src/elections.ts
@@ -1,6 +1,6 @@
 /**
- * The elections of this gateway, one for each service whose replicas it may plan. Owns them, and which services it leads, for the log.
- * Relies on `Leadership` for who may stand.
+ * The elections of this gateway, one for each service whose replicas it may plan. Owns the elections, and for the log
+ * the set of services that this gateway leads. Relies on `Leadership` for who may stand.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Log } from '@eiderwind/log'
@@ -19,9 +19,9 @@
   readonly eligible: () => boolean
   /** Ids of the gateways that may plan, in the order in which they stand. */
   readonly candidates: () => readonly string[]
-  /** The gateways that say that they lead a service. */
+  /** The gateways that announce that they lead a service. */
   readonly others: () => readonly KnownLeader[]
-  /** Called when this gateway was elected, or has lost an election. */
+  /** Called when this gateway was elected, or no longer leads. */
   readonly changed: () => void
 }
 
@@ -29,16 +29,16 @@
 export class Elections {
   readonly #options: ElectionsOptions
   readonly #elections = new Map<string, Election>()
-  /** Services that this gateway led when they were last asked for. */
-  readonly #led = new Set<string>()
+  /** Services that this gateway led at the last call of `leads`. */
+  readonly #ledServices = new Set<string>()
 
   constructor (options: ElectionsOptions) {
     this.#options = options
   }
 
-  /** Whether this gateway led any service when that was last asked. */
+  /** Whether this gateway led any service at the last call of `leads`. */
   get leading (): boolean {
-    return this.#led.size > 0
+    return this.#ledServices.size > 0
   }
 
   /** Whether this gateway was elected for any service. */
@@ -46,40 +46,43 @@
     return [...this.#elections.values()].some(each => each.term !== undefined)
   }
 
-  /** The services for which this gateway was elected, each with its term. */
+  /** The services for which this gateway is elected, each with its term. */
   get terms (): Record<string, number> {
     const terms: Record<string, number> = {}
     for (const [service, { term }] of this.#elections) if (term !== undefined) terms[service] = term
     return terms
   }
 
-  /** Whether this gateway leads a service now. Logs each change. */
+  /** Whether this gateway leads a service now. Updates the election, and logs each change. */
   leads (service: string): boolean {
     const { eligible } = this.#options
     const election = this.#of(service)
     election.look()
     const leads = election.term !== undefined && eligible()
-    if (leads !== this.#led.has(service)) this.#changed(service, leads, election.term)
+    if (leads !== this.#ledServices.has(service)) this.#recordLeading(service, leads, election.term)
     return leads
   }
 
-  /** Another gateway has changed what this one plans: it may have been replaced. */
+  /**
+   * Checks the record after another gateway has changed a placement of this service: this gateway may have been
+   * replaced.
+   */
   async contested (service: string): Promise<void> {
     await this.#of(service).check()
   }
 
-  /** Gives up every service, at a planned stop. */
+  /** Stops leading every service, at a planned stop. */
   resign (): void {
     for (const election of this.#elections.values()) election.resign()
   }
 
-  #changed (service: string, leads: boolean, term: number | undefined): void {
+  #recordLeading (service: string, leads: boolean, term: number | undefined): void {
     const { log, candidates } = this.#options
     const able = candidates().length
     if (leads) log.write('planner-acts', { service, able, term })
     else log.write('planner-rests', { service, able })
-    if (leads) this.#led.add(service)
-    else this.#led.delete(service)
+    if (leads) this.#ledServices.add(service)
+    else this.#ledServices.delete(service)
   }
 
   #of (service: string): Election {
--- a/packages/gateway/src/evacuating.ts
+++ b/packages/gateway/src/evacuating.ts
@@ -1,8 +1,10 @@
 /**
- * Data centres that the operator evacuates, at this gateway: from the moment at which it knows, no request goes to an upstream there (`Roster.evacuate`), requests that wait
- * for a connection are withdrawn, and streams that run there for long go on elsewhere where another upstream has room.
- * What is known lies on the board, with the store's revision: the later word holds, be it the store's or that of another gateway. Owns when each evacuation
- * became known here, and the timer by which streams move.
+ * Carries out the operator's evacuations of data centres at this gateway. Once an evacuation is known, no request goes
+ * to an upstream there (`Roster.evacuate`), and requests that wait for a connection are withdrawn. Long-running streams
+ * are resumed elsewhere, where another upstream has room.
+ * The board holds the set of evacuated data centres with the store's revision. The later revision wins, whether it
+ * comes from the store or from another gateway. Owns the time at which each evacuation became known here, and the timer
+ * that moves streams.
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type InFlight, type InFlightRequest } from '@eiderwind/detect'
@@ -19,23 +21,23 @@
   readonly board: GatewayBoard
   readonly roster: Roster
   readonly inFlight: InFlight
-  /** Time within which streams leave a data centre, in ms; undefined where evacuations are not looked for. */
+  /** Time within which streams leave a data centre, in ms; undefined if evacuations are disabled. */
   readonly span: number | undefined
 }
 
-/** Time between two times that streams are moved, in ms: small beside the span over which they are spread. */
+/** Interval at which streams are moved, in ms: short compared with the span over which the moves are spread. */
 const moveInterval = 100
 
 /**
- * How long the other gateways are told that no data centre is evacuated any more, in ms: far above the time for which one that still believes otherwise
- * can be without the store and without their heartbeats, and still serve.
+ * How long heartbeats still announce that no data centre is evacuated any more, in ms. It is far above the time for
+ * which another gateway can serve without the store and without heartbeats while it still has the old state.
  */
-const toldTime = 60_000
+const endAnnouncementTime = 60_000
 
-/** Why what runs in an evacuated data centre ends there, for the log. */
+/** Reason for the log, with which work in an evacuated data centre ends. */
 const reason = 'its data centre is evacuated'
 
-/** Empties the data centres that are evacuated. */
+/** Empties evacuated data centres. */
 export class Evacuating {
   readonly #options: EvacuatingOptions
   /** When the evacuation of each data centre became known here, on `Clock.now`. */
@@ -51,14 +53,14 @@
 
   start (): void {
     const { clock, span } = this.#options
-    if (span !== undefined) this.#timer = clock.every(moveInterval, () => this.#move(span))
+    if (span !== undefined) this.#timer = clock.every(moveInterval, () => this.#moveStreams(span))
   }
 
   stop (): void {
     this.#timer?.cancel()
   }
 
-  /** Data centres that are evacuated, by what is known here. */
+  /** Data centres that this gateway knows to be evacuated. */
   get dataCentres (): readonly string[] {
     return this.#options.board.read('evacuation')?.dataCentres ?? []
   }
@@ -73,32 +75,35 @@
     return this.dataCentres.reduce((sum, each) => sum + this.#runningIn(each).length, 0)
   }
 
-  /** Takes which data centres are evacuated, unless something as new is known. @param from the gateway that says so; by default it is the store */
+  /**
+   * Applies the set of evacuated data centres, unless the known set is at least as new. @param from the gateway that
+   * sent it; undefined if it comes from the store
+   */
   take (evacuation: Evacuation, from?: string): void {
     const { board, clock, span, roster } = this.#options
     const known = board.read('evacuation')
     if (span === undefined || (known !== undefined && evacuation.revision <= known.revision)) return
     board.write('evacuation', evacuation)
-    const now = new Set(evacuation.dataCentres)
-    const begun = [...now].filter(each => !this.#since.has(each))
-    const ended = [...this.#since.keys()].filter(each => !now.has(each))
+    const current = new Set(evacuation.dataCentres)
+    const begun = [...current].filter(each => !this.#since.has(each))
+    const ended = [...this.#since.keys()].filter(each => !current.has(each))
     if (begun.length === 0 && ended.length === 0) return
     this.#changedAt = clock.now()
-    roster.evacuate(now)
+    roster.evacuate(current)
     for (const each of begun) this.#begin(each, from)
     for (const each of ended) this.#end(each, from)
   }
 
-  /** Takes what the heartbeat of another gateway says. */
+  /** Takes the evacuations from another gateway's heartbeat. */
   hear ({ id: from, evacuation }: Heartbeat): void {
     if (evacuation !== undefined) this.take(evacuation, from)
   }
 
-  /** What the heartbeats to other gateways say. */
+  /** This module's fields of the heartbeats to other gateways. */
   get news (): Pick<Heartbeat, 'evacuation'> {
     const evacuation = this.#options.board.read('evacuation')
-    const isNews = this.#since.size > 0 || this.#options.clock.now() - this.#changedAt < toldTime
-    return evacuation !== undefined && isNews ? { evacuation } : {}
+    const isAnnounced = this.#since.size > 0 || this.#options.clock.now() - this.#changedAt < endAnnouncementTime
+    return evacuation !== undefined && isAnnounced ? { evacuation } : {}
   }
 
   #begin (dataCentre: string, from: string | undefined): void {
@@ -113,16 +118,19 @@
     this.#options.log.write('evacuation-ended', { dataCentre, ...from === undefined ? {} : { from } })
   }
 
-  /** Moves as many streams as are due, the oldest first; those that may not go elsewhere, or find no room there, stay. */
-  #move (span: number): void {
+  /**
+   * Moves the number of streams that are due, the oldest first. Streams that may not be resumed, or find no room
+   * elsewhere, stay.
+   */
+  #moveStreams (span: number): void {
     const now = this.#options.clock.now()
     for (const [dataCentre, since] of this.#since) {
       const running = this.#runningIn(dataCentre)
-      let due = streamsToMove({ running: running.length, time: now - since, span, interval: moveInterval })
+      let quota = streamsToMove({ running: running.length, time: now - since, span, interval: moveInterval })
       for (const { handlers } of running) {
-        if (due <= 0) break
+        if (quota <= 0) break
         if (handlers.moved?.(reason) !== true) continue
-        due--
+        quota--
         this.#moved++
       }
     }
--- a/packages/gateway/src/fleetview.ts
+++ b/packages/gateway/src/fleetview.ts
@@ -1,11 +1,12 @@
 /**
- * What one gateway sees of the others in their heartbeats: how many there are, who leads, and who could watch the store. Owns the ranking of
- * those, and keeps what it found until the next heartbeat, since it is asked for many times meanwhile.
+ * This gateway's view of the fleet by the heartbeats of the others: how many gateways there are, which lead, and which
+ * could watch the store. Owns the ranking of possible watchers. The view is cached until the next heartbeat, since it
+ * is read many times in between.
  */
 import { Ranking } from '@eiderwind/hash'
 import { type Heartbeat, type Peers } from '@eiderwind/peers'
 
-/** A gateway that says that it leads a service. */
+/** A gateway that announces that it leads a service. */
 export interface KnownLeader {
   readonly id: string
   readonly service: string
@@ -14,57 +15,60 @@
   readonly able: boolean
 }
 
-/** What is seen at one moment. */
-export interface View {
-  /** Ids of those that could watch the store, in the order of their ranking. */
+/** The view at one moment. */
+export interface FleetState {
+  /** Ids of the gateways that could watch the store, in the order of their ranking. */
   readonly watchCandidates: readonly string[]
   readonly leaders: readonly KnownLeader[]
-  /** Gateways that were heard lately, this one included. */
+  /** Number of gateways whose heartbeats arrived recently, this one included. */
   readonly fleet: number
 }
 
 /**
- * How long a gateway that is no longer heard counts for the size of the fleet, in ms: a fleet is not small because many restart, or because
- * this process was paused.
+ * How long a gateway still counts towards the size of the fleet after its last heartbeat, in ms. A fleet is not small
+ * because many gateways restart, or because this process was paused.
  */
-const fleetMemory = 10_000
+const fleetRetention = 10_000
 
-/** The key under which gateways are ranked for polling. Part of the behaviour: gateways of all builds must rank alike. */
+/**
+ * The key under which gateways are ranked for polling. It must not change: gateways of all builds must compute the same
+ * ranking.
+ */
 const pollingKey = 'confirmers'
 
-/** The view of one gateway. */
+/** One gateway's view of the fleet. */
 export class FleetView {
   readonly #peers: Peers
   readonly #ranking = new Ranking(pollingKey)
-  #last: { readonly of: readonly Heartbeat[], readonly self: string | undefined, readonly view: View } | undefined
+  #last: { readonly of: readonly Heartbeat[], readonly self: string | undefined, readonly view: FleetState } | undefined
 
   constructor (peers: Peers) {
     this.#peers = peers
   }
 
-  /** What is seen now. @param self id of this gateway where it could watch the store */
-  now (self: string | undefined): View {
+  /** The current view. @param self id of this gateway if it could watch the store */
+  now (self: string | undefined): FleetState {
     const { live } = this.#peers
-    if (this.#last?.of !== live || this.#last.self !== self) this.#last = { of: live, self, view: this.#look(live, self) }
+    if (this.#last?.of !== live || this.#last.self !== self) this.#last = { of: live, self, view: this.#compute(live, self) }
     return this.#last.view
   }
 
-  /** Ids in the order of the ranking. */
-  order (ids: readonly string[]): string[] {
+  /** The ids in the order of their ranking. */
+  rank (ids: readonly string[]): string[] {
     return this.#ranking.order(ids)
   }
 
-  #look (live: readonly Heartbeat[], self: string | undefined): View {
+  #compute (live: readonly Heartbeat[], self: string | undefined): FleetState {
     const others = this.#peers.watchCandidates
     return {
-      watchCandidates: this.order(self === undefined ? others : [self, ...others]),
+      watchCandidates: this.rank(self === undefined ? others : [self, ...others]),
       leaders: live.flatMap(leadersOf),
-      fleet: this.#peers.heardWithin(fleetMemory).length + 1
+      fleet: this.#peers.heardWithin(fleetRetention).length + 1
     }
   }
 }
 
-/** What a gateway says that it leads. */
+/** The services that a gateway announces to lead. */
 function leadersOf ({ id, canPlan: able, terms = {} }: Heartbeat): KnownLeader[] {
   return Object.entries(terms).map(([service, term]) => ({ id, service, term, able }))
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,7 +1,7 @@
 /**
- * The gateway process: makes the parts, connects them, starts and stops them. It holds no rule of its own but "ready" and
- * the steps of a planned stop; which part holds which rule is in the README.
- * Owns every part and the board that they share. Relies on `Platform` for all that the users' platform says and keeps.
+ * The gateway process: creates the parts, connects them, starts and stops them. The only rules here are the definition
+ * of "ready" and the steps of a planned stop. The README lists which part holds which rule. Owns every part and the
+ * board that they share. Relies on `Platform` for everything that the platform provides and stores.
  */
 import { randomUUID } from 'node:crypto'
 import { InFlight, Pauses, Stalls, Suspects } from '@eiderwind/detect'
@@ -36,24 +36,24 @@
 import { type GatewayOptions } from './settings.js'
 import { UpstreamFeed } from './upstreamfeed.js'
 
-/** Time between two heartbeats to other gateways, and silence after which one counts as gone, in ms. */
+/** Interval between heartbeats to other gateways, and the silence after which a gateway counts as gone, in ms. */
 const heartbeatInterval = 250
 const heartbeatTimeout = 1000
 
-/** How long a new connection to an upstream may take, in ms: over 100 times the way there and back (1.4 ms each). */
+/** How long a new connection to an upstream may take, in ms: over 100 times the round trip (1.4 ms each way). */
 const connectTime = 350
 
 /**
- * How long a gateway that follows this one waits for a change of the upstreams: a share of the age that it accepts, so that it hears
- * several times within that time, and at most this long, in ms.
+ * How long a follower's request waits here for a change of the upstreams: a share of the age that followers accept, so
+ * that they get several answers within that time, and at most `maxChangeWait` ms.
  */
 const changeWaitShare = 0.2
-const longestChangeWait = 1000
+const maxChangeWait = 1000
 
-/** Time between two looks whether all requests have ended, at a stop, in ms. */
-const stopInterval = 50
+/** Interval between checks whether all requests have ended, at a stop, in ms. */
+const stopCheckInterval = 50
 
-/** A gateway: it serves callers, and plans the replicas of services where it leads. */
+/** A gateway: it serves callers, and plans the replicas of the services that it leads. */
 export class Gateway {
   readonly #options: GatewayOptions
   readonly #board = gatewayBoard()
@@ -70,7 +70,7 @@
   readonly #evacuating: Evacuating
   readonly #intake: Intake
   readonly #choice: Choice
-  /** Undefined where each gateway looks for room alone. */
+  /** Undefined if each gateway searches for room alone. */
   readonly #rooms: Rooms | undefined
   readonly #queue: Queue
   readonly #inFlight: InFlight
@@ -103,24 +103,123 @@
       this.#queue.wake()
     })
     this.#offered = new OfferedLoad(clock, { models: () => this.#inFlight.models, rate: model => this.#inFlight.rate(model) })
-    this.#peers = new Peers({ clock, id: settings.id, address: settings.peers, heartbeat: () => this.#heartbeat(), heard: (heartbeat, from) => this.#hear(heartbeat, from), other: (datagram, from) => this.#receive(datagram, from), interval: heartbeatInterval, timeout: heartbeatTimeout, urgent: () => this.#leadership.isUrgent })
+    this.#peers = new Peers({
+      clock,
+      id: settings.id,
+      address: settings.peers,
+      heartbeat: () => this.#heartbeat(),
+      heard: (heartbeat, from) => this.#receiveHeartbeat(heartbeat, from),
+      other: (datagram, from) => this.#receiveDatagram(datagram, from),
+      interval: heartbeatInterval,
+      timeout: heartbeatTimeout,
+      urgent: () => this.#leadership.isUrgent
+    })
     const peers = this.#peers
-    this.#leadership = new Leadership({ clock, log, board, outage: this.#outage, pauses: this.#pauses, peers, leaders: platform.leaders, id: settings.id, firstStart: settings.first })
+    this.#leadership = new Leadership({
+      clock,
+      log,
+      board,
+      outage: this.#outage,
+      pauses: this.#pauses,
+      peers,
+      leaders: platform.leaders,
+      id: settings.id,
+      firstStart: settings.first
+    })
     this.#budgets = new Budgets({ clock, board, peers, settings })
-    this.#crashWatch = new CrashWatch({ clock, log, id: settings.id, roster: this.#roster, peers, connections: this.#connections, blocks: platform.blocks, connectTime, changed: () => this.#queue.wake() })
-    this.#limiting = new Limiting({ clock, log, id: settings.id, roster: this.#roster, peers, inFlight: this.#inFlight, queue: this.#queue, random: Math.random, coldBound: settings.coldBound, service: name => board.read('inForce')?.traffic.services.find(each => each.name === name) })
-    this.#conditions = new Conditions({ clock, log, roster: this.#roster, inFlight: this.#inFlight, queue: this.#queue, tell: () => peers.send(), limited: (id, rate) => this.#limiting.named(id, rate), cold: (id, remaining) => this.#limiting.coldAnswer(id, remaining), rested: () => this.#metrics.rested() })
+    this.#crashWatch = new CrashWatch({
+      clock,
+      log,
+      id: settings.id,
+      roster: this.#roster,
+      peers,
+      connections: this.#connections,
+      blocks: platform.blocks,
+      connectTime,
+      changed: () => this.#queue.wake()
+    })
+    this.#limiting = new Limiting({
+      clock,
+      log,
+      id: settings.id,
+      roster: this.#roster,
+      peers,
+      inFlight: this.#inFlight,
+      queue: this.#queue,
+      random: Math.random,
+      coldBound: settings.coldBound,
+      service: name => board.read('inForce')?.traffic.services.find(each => each.name === name)
+    })
+    this.#conditions = new Conditions({
+      clock,
+      log,
+      roster: this.#roster,
+      inFlight: this.#inFlight,
+      queue: this.#queue,
+      tell: () => peers.send(),
+      limited: (id, rate) => this.#limiting.named(id, rate),
+      cold: (id, remaining) => this.#limiting.coldAnswer(id, remaining),
+      rested: () => this.#metrics.rested()
+    })
     this.#intake = new Intake({ clock, rests: this.#conditions.rests, tokens: this.#limiting.tokens })
-    this.#choice = new Choice({ roster: this.#roster, inFlight: this.#inFlight, suspects: this.#suspects, intake: this.#intake, random: Math.random, peers, dataCentre: settings.dataCentre })
+    this.#choice = new Choice({
+      roster: this.#roster,
+      inFlight: this.#inFlight,
+      suspects: this.#suspects,
+      intake: this.#intake,
+      random: Math.random,
+      peers,
+      dataCentre: settings.dataCentre
+    })
     this.#rooms = settings.sharedRoom === true ? this.#makeRooms() : undefined
     this.#evacuating = new Evacuating({ clock, log, board, roster: this.#roster, inFlight: this.#inFlight, span: settings.evacuation })
     this.#deliveries = new Deliveries({ clock, log, bounds: settings.unread })
-    this.#metrics = new Metrics({ clock, board, deliveries: this.#deliveries, away: () => this.#readiness.cause !== undefined, roster: this.#roster, inFlight: this.#inFlight, queue: this.#queue, connections: this.#connections, budgets: this.#budgets, rests: this.#conditions.rests, limiting: this.#limiting, evacuating: this.#evacuating, rooms: this.#rooms })
+    this.#metrics = new Metrics({
+      clock,
+      board,
+      deliveries: this.#deliveries,
+      away: () => this.#readiness.cause !== undefined,
+      roster: this.#roster,
+      inFlight: this.#inFlight,
+      queue: this.#queue,
+      connections: this.#connections,
+      budgets: this.#budgets,
+      rests: this.#conditions.rests,
+      limiting: this.#limiting,
+      evacuating: this.#evacuating,
+      rooms: this.#rooms
+    })
     this.#callers = this.#makeCallers()
-    this.#confirmations = new Confirmations({ clock, board, peers, connections: this.#connections, informed: () => this.#leadership.informed })
+    this.#confirmations = new Confirmations({
+      clock,
+      board,
+      peers,
+      connections: this.#connections,
+      storeReaders: () => this.#leadership.storeReaders
+    })
     this.#upstreamFeed = this.#makeUpstreamFeed()
-    this.#peerServer = new PeerServer({ clock, board, changes: new ChangeLog({ clock, board, roster: this.#roster, life: randomUUID(), wait: Math.min(longestChangeWait, changeWaitShare * settings.patience) }), crashes: this.#crashWatch.crashes, address: settings.peers, orders: platform.orders })
-    this.#readiness = new Readiness({ clock, log, limits: settings.readiness, memory: () => process.memoryUsage.rss(), connections: () => this.#callers.connections + this.#connections.count, others: () => this.#peers.live })
+    this.#peerServer = new PeerServer({
+      clock,
+      board,
+      changes: new ChangeLog({
+        clock,
+        board,
+        roster: this.#roster,
+        life: randomUUID(),
+        wait: Math.min(maxChangeWait, changeWaitShare * settings.patience)
+      }),
+      crashes: this.#crashWatch.crashes,
+      address: settings.peers,
+      orders: platform.orders
+    })
+    this.#readiness = new Readiness({
+      clock,
+      log,
+      limits: settings.readiness,
+      memory: () => process.memoryUsage.rss(),
+      connections: () => this.#callers.connections + this.#connections.count,
+      others: () => this.#peers.live
+    })
     this.#health = new Health(settings.health, () => this.ready)
     this.#stalls = this.#makeStalls()
     this.#reconciler = makeReconciler({
@@ -137,7 +236,17 @@
       metrics: this.#metrics,
       served: () => this.#callers.served
     })
-    this.#sampling = new Sampling({ clock, log, board, platform, peers, offered: this.#offered, modelLoad: this.#modelLoad, leadership: this.#leadership, servesKeys: () => this.#callers.servesKeys })
+    this.#sampling = new Sampling({
+      clock,
+      log,
+      board,
+      platform,
+      peers,
+      offered: this.#offered,
+      modelLoad: this.#modelLoad,
+      leadership: this.#leadership,
+      servesKeys: () => this.#callers.servesKeys
+    })
     this.#followRoster()
   }
 
@@ -146,14 +255,23 @@
     return this.#board.read('inForce') !== undefined && this.#roster.hasList && !this.#board.read('stopping') && this.#callers.servesKeys && this.#readiness.cause === undefined
   }
 
-  /** Listens everywhere, then follows the platform. Rejects where an address cannot be taken. */
+  /** Listens on all addresses, then watches the platform. Rejects if an address cannot be used. */
   async start (): Promise<void> {
     const { clock, log, platform, settings } = this.#options
     await Promise.all([this.#callers.start(), this.#health.start(), this.#peerServer.start(), this.#peers.start()])
     this.#confirmations.start()
     this.#upstreamFeed.start()
     if (settings.metrics !== '') await this.#metrics.start(settings.metrics)
-    platform.watch(platformListener({ clock, log, board: this.#board, roster: this.#roster, outage: this.#outage, peers: this.#peers, conditions: this.#conditions, evacuating: this.#evacuating }))
+    platform.watch(platformListener({
+      clock,
+      log,
+      board: this.#board,
+      roster: this.#roster,
+      outage: this.#outage,
+      peers: this.#peers,
+      conditions: this.#conditions,
+      evacuating: this.#evacuating
+    }))
     platform.register({ id: settings.id, address: settings.peers })
     if (!settings.first) this.#crashWatch.start()
     this.#pauses.start()
@@ -166,18 +284,19 @@
   }
 
   /**
-   * Stops as planned: says "not ready", waits until the balancer has noticed, finishes what is in flight, refuses what
-   * still comes after `refuseAfter`, and closes everything once all answers are delivered or the grace is over.
+   * Performs a planned stop. It reports "not ready", waits until the balancer has noticed, and finishes the requests in
+   * flight. After `refuseAfter` it refuses new requests. It closes everything once all answers are delivered, or when
+   * the grace period ends.
    */
   async stop (): Promise<void> {
     const { clock, settings } = this.#options
-    const begun = clock.now()
+    const startedAt = clock.now()
     this.#board.write('stopping', true)
     this.#leadership.resign()
     await clock.wait(settings.notice)
-    while (this.#callers.open + this.#deliveries.waiting > 0 && clock.now() - begun < settings.grace) {
-      if (clock.now() - begun > settings.refuseAfter) this.#callers.refuse()
-      await clock.wait(stopInterval)
+    while (this.#callers.open + this.#deliveries.waiting > 0 && clock.now() - startedAt < settings.grace) {
+      if (clock.now() - startedAt > settings.refuseAfter) this.#callers.refuse()
+      await clock.wait(stopCheckInterval)
     }
     this.#callers.close()
     this.#rooms?.stop()
@@ -187,7 +306,8 @@
 
   #followRoster (): void {
     this.#roster.listen(() => this.#queue.wake())
-    // The answers of an upstream that has ended never come: behind a cut link nothing else would show that for as long as the requests last.
+    // An upstream that has ended sends no more answers. Behind a cut link nothing else would show that until the
+    // requests time out.
     this.#roster.listenEnds(({ id }) => { for (const each of this.#inFlight.at(id)) each.handlers.lost?.() })
   }
 
@@ -284,21 +404,21 @@
     })
   }
 
-  /** Takes what another gateway says. */
-  #hear (heartbeat: Heartbeat, from: PeerAddress): void {
-    this.#crashWatch.hear(heartbeat, from)
+  /** Passes another gateway's heartbeat to the parts that read it. */
+  #receiveHeartbeat (heartbeat: Heartbeat, from: PeerAddress): void {
+    this.#crashWatch.receiveHeartbeat(heartbeat, from)
     this.#conditions.hear(heartbeat)
     this.#limiting.hear(heartbeat)
     this.#evacuating.hear(heartbeat)
     this.#rooms?.hear(heartbeat, from)
   }
 
-  /** Takes a datagram that is no heartbeat. */
-  #receive (datagram: Buffer, from: string): void {
+  /** Takes a datagram that is not a heartbeat. */
+  #receiveDatagram (datagram: Buffer, from: string): void {
     if (this.#rooms?.receive(datagram, from) !== true) this.#limiting.receive(datagram, from)
   }
 
-  /** What other gateways hear of this one. */
+  /** The heartbeat of this gateway. */
   #heartbeat (): Heartbeat {
     return {
       id: this.#options.settings.id,
@@ -311,7 +431,7 @@
       served: this.#callers.served,
       loads: this.#reconciler.loads,
       terms: this.#leadership.terms,
-      ...this.#crashWatch.news,
+      ...this.#crashWatch.heartbeatFields,
       ...this.#conditions.news,
       ...this.#limiting.news,
       ...this.#evacuating.news,
--- a/packages/gateway/src/health.ts
+++ b/packages/gateway/src/health.ts
@@ -1,6 +1,6 @@
 /**
- * The balancer's health check: 200 while this gateway takes requests, else 503. Owns the listener; what "ready" means is
- * decided in `gateway.ts`.
+ * The balancer's health check: answers 200 while this gateway takes requests, and 503 otherwise. Owns the listener. The
+ * definition of "ready" is in `gateway.ts`.
  */
 import { createServer, type Server } from 'node:http'
 import { listen } from '@eiderwind/wire'
--- a/packages/gateway/src/leaders.ts
+++ b/packages/gateway/src/leaders.ts
@@ -1,15 +1,15 @@
 /**
- * The record of which gateway plans the replicas of a service, as the gateways need it of a store. Owns the types only; the adapter of the
- * platform keeps the record.
+ * The interface to the store's record of which gateway plans the replicas of a service. Owns the types only; the
+ * platform's adapter stores the record.
  */
 import { type WriteFailure } from '@eiderwind/forming'
 import { type Result } from 'ts-results-es'
 
-/** Who leads a service. */
+/** The leader of a service. */
 export interface Leader {
-  /** Id of the gateway; empty where nobody ever led. */
+  /** Id of the gateway; empty if no gateway ever led. */
   readonly id: string
-  /** Rises with each election; 0 where there was none. */
+  /** Rises with each election; 0 before the first one. */
   readonly term: number
 }
 
@@ -18,8 +18,11 @@
 
 /** The store of the records, one for each service. */
 export abstract class Leaders {
-  /** Who leads. An error says why it can't be read. */
+  /** Reads the leader. An error says why the record could not be read. */
   abstract read (service: string): Promise<Result<Leader, string>>
-  /** Makes a gateway the leader, if the record is still as it was read. Returns its term. */
+  /**
+   * Makes a gateway the leader, provided that the record has not changed since it was read as `read`. Returns the new
+   * term.
+   */
   abstract elect (service: string, id: string, read: Leader): Promise<Result<number, WriteFailure>>
 }
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -1,8 +1,10 @@
 /**
- * Which gateway plans the replicas of a service, which ones poll the store for confirmations of the configuration, and, in
- * a large fleet, which two watch the store's upstreams for all others.
- * Who plans is elected (`election.ts`). The rest is not agreed: each gateway ranks the ids it has heard lately by rendezvous hashing, so
- * for a moment more may watch or poll while their views differ, which costs calls of the store.
+ * Decides what this gateway does for the fleet: whether it plans the replicas of a service, whether it polls the store
+ * for confirmations of the configuration, and whether, in a large fleet, it is one of the two that watch the store's
+ * upstreams for all others.
+ * The planner of a service is elected (`election.ts`). The other duties are not agreed upon: each gateway ranks the ids
+ * whose heartbeats arrived recently by rendezvous hashing. While the views differ, more gateways than intended may
+ * watch or poll for a moment, which only costs calls to the store.
  * Owns the elections (`elections.ts`). Relies on heartbeats (`Peers`) and on the board.
  */
 import { type Clock } from '@eiderwind/clock'
@@ -13,7 +15,7 @@
 import { type Outage } from '@eiderwind/roster'
 import { Elections } from './elections.js'
 import { type GatewayBoard } from './facts.js'
-import { FleetView, type View } from './fleetview.js'
+import { FleetView, type FleetState } from './fleetview.js'
 import { type Leaders } from './leaders.js'
 
 /** Dependencies of `Leadership`. */
@@ -32,29 +34,32 @@
 }
 
 /**
- * A gateway that has started, or resumed after a pause, plans once it has heard every other one: after `Peers.settleTime`, and this
- * margin, in ms. A gateway that has heard few others takes the fleet for small and itself for the one to watch.
+ * Margin added to `Peers.settleTime`, in ms. A gateway that has started, or resumed after a pause, plans only once both
+ * are over and every other gateway has had time to send a heartbeat. Otherwise it would take the fleet for small, and
+ * itself for the gateway that should watch.
  */
 const settleMargin = 100
 
 /**
- * Gateways that poll the store for confirmations, and in a large fleet also watch its upstreams; the others ask these. Two, so that the
- * loss of one delays nothing. Calls to confirm stay at two a second for the whole fleet (docs/design/platform.md, "Freshness").
+ * Number of gateways that poll the store for confirmations, and in a large fleet also watch its upstreams. The others
+ * ask these. There are two, so that the loss of one delays nothing. Calls to confirm stay at two a second for the whole
+ * fleet (docs/design/platform.md, "Freshness").
  */
-const pollers = 2
+const pollerCount = 2
 
 /**
- * Gateways that would take the place of those that watch. Like these they send heartbeats at the full rate, so that one that is gone
- * already is not taken for the next.
+ * Number of gateways that are next in line for those that watch. Like the watchers, they send heartbeats at the full
+ * rate, so that a successor that has gone is noticed before it would be chosen.
  */
-const successors = 2
+const successorCount = 2
 
 /**
- * Gateways up to which each watches the store's upstreams for itself. In larger fleets two watch, and the others follow them. Two
- * watchers have to ask some 5 to 10 times a second each, so that followers know soon that the watchers' own way to the store has
- * failed; a gateway for itself asks 0.7 to 3 times. So up to about 6 gateways following saves no calls.
+ * Largest fleet in which each gateway watches the store's upstreams for itself. In larger fleets two gateways watch,
+ * and the others follow them. Two watchers must call the store some 5 to 10 times a second each, so that followers
+ * learn soon that the watchers have lost the store. A gateway that watches for itself calls 0.7 to 3 times a second. Up
+ * to about 6 gateways, following therefore saves no calls.
  */
-const smallFleet = 6
+const maxSmallFleet = 6
 
 /** Decides what this gateway does for the whole fleet. */
 export class Leadership {
@@ -80,32 +85,35 @@
     })
   }
 
-  /** Whether this gateway may plan at all; other gateways read it in its heartbeat. */
+  /** Whether this gateway may plan at all. Other gateways read it in its heartbeat. */
   get eligible (): boolean {
     const { board, outage, firstStart } = this.#options
     if (!board.read('store') || !board.read('listed') || board.read('stopping')) return false
-    // It cannot know whether an outage of the store has just ended: upstreams that lapsed may still be missing from its first list.
+    // The gateway cannot know whether an outage of the store has just ended. Upstreams that lapsed may still be missing
+    // from its first list.
     const isFirstList = firstStart && !outage.resumed
     if (!isFirstList && !outage.listComplete) return false
     return this.#isSettled && !this.follows
   }
 
   /**
-   * Whether this gateway could watch the store for others, as far as it knows; other gateways read it in its heartbeat. It need not have
-   * heard all others for that: if each said so only once it had, all would do so at the same moment, and each would take itself for the only one.
+   * Whether this gateway could watch the store for others, as far as it knows. Other gateways read it in its heartbeat.
+   * It must not wait until it has received all heartbeats since its start. If each gateway announced itself only then,
+   * all would do so at the same moment, and each would take itself for the only one.
    */
   get canWatch (): boolean {
     const { board, pauses } = this.#options
-    return this.#hasHeardAll(pauses.resumedAt) && board.read('store') && board.read('listed') && !board.read('stopping')
+    return this.#hasSettledSince(pauses.resumedAt) && board.read('store') && board.read('listed') && !board.read('stopping')
   }
 
   /**
-   * Whether this gateway takes the upstreams from those that watch the store, although it reaches the store itself. A pause of its own
-   * does not end that: only one that watched and may be behind leaves it to the others for a while.
+   * Whether this gateway takes the upstreams from the watchers although it can reach the store. A pause of this process
+   * does not end that. After a pause, only a gateway that watched, and may now be behind, leaves watching to the others
+   * for a while.
    */
   get follows (): boolean {
     const { board, id } = this.#options
-    if (!this.#isLarge || !this.#hasHeardAll(this.#startedAt)) return false
+    if (!this.#isLarge || !this.#hasSettledSince(this.#startedAt)) return false
     if (!board.read('store') || !board.read('listed') || board.read('upstreamsFrom') === undefined) return false
     return !(this.canWatch && this.#watchers.includes(id))
   }
@@ -115,25 +123,31 @@
     return this.#isLarge && this.canWatch && this.#watchers.includes(this.#options.id)
   }
 
-  /** Whether the others have to know soon that this gateway is gone: it watches the store for them, or would if those that do were gone. */
+  /**
+   * Whether the others must learn quickly that this gateway is gone: it watches the store for them, or is next in line
+   * to do so.
+   */
   get isUrgent (): boolean {
-    return this.#isLarge && this.canWatch && this.#watchCandidates.slice(0, pollers + successors).includes(this.#options.id)
+    return this.#isLarge && this.canWatch && this.#watchCandidates.slice(0, pollerCount + successorCount).includes(this.#options.id)
   }
 
-  /** Whether others watch the store for this gateway, be it that it follows them or that it cannot reach the store. */
+  /**
+   * Whether others watch the store for this gateway, either because it follows them or because it cannot reach the
+   * store.
+   */
   get isSpared (): boolean {
-    if (!this.#isLarge || !this.#hasHeardAll(this.#startedAt)) return false
+    if (!this.#isLarge || !this.#hasSettledSince(this.#startedAt)) return false
     return this.#options.board.read('listed') && !this.isFollowed
   }
 
-  /** Gateways that were heard lately, this one included. */
+  /** Number of gateways whose heartbeats arrived recently, this one included. */
   get fleet (): number {
     return this.#view.fleet
   }
 
-  /** Ids of the gateways that other ones should ask first: they learn from the store itself what is new. */
-  get informed (): readonly string[] {
-    return this.#isLarge ? this.#watchers : this.#fleetView.order(this.#options.peers.planners).slice(0, pollers)
+  /** Ids of the gateways that others should ask first, because they read changes from the store themselves. */
+  get storeReaders (): readonly string[] {
+    return this.#isLarge ? this.#watchers : this.#fleetView.rank(this.#options.peers.planners).slice(0, pollerCount)
   }
 
   /** Whether this gateway plans any service now. */
@@ -141,7 +155,9 @@
     return this.#elections.leading
   }
 
-  /** Whether this gateway plans the replicas of a service now: it leads, and has the store's own list. */
+  /**
+   * Whether this gateway plans the replicas of a service now: it leads, and its list of upstreams comes from the store.
+   */
   plans (service: string): boolean {
     return this.#elections.leads(service) && this.#options.board.read('upstreamsFrom') === 'store'
   }
@@ -151,61 +167,65 @@
     return this.#elections.terms
   }
 
-  /** Another gateway has changed what this one plans: it may have been replaced. */
+  /**
+   * Checks the election after another gateway has changed a placement of this service: this gateway may have been
+   * replaced.
+   */
   async contested (service: string): Promise<void> {
     await this.#elections.contested(service)
   }
 
-  /** Gives up every service, at a planned stop. */
+  /** Stops leading every service, at a planned stop. */
   resign (): void {
     this.#elections.resign()
   }
 
   /**
-   * The gateways whose changes of the upstreams this one takes, the best first: those that watch or poll the store, or any that lives
-   * where this one has no list yet. None in a small fleet where it reaches the store itself, and none where it watches for others.
+   * The gateways from which this one takes changes of the upstreams, the best first. These are the gateways that watch
+   * or poll the store, and also any live gateway while this one has no list yet. Empty in a small fleet if this gateway
+   * reaches the store itself, and empty if it watches for others.
    */
   get sources (): PeerAddress[] {
     const { id, board, peers } = this.#options
     if (board.read('store') && !this.follows) return []
-    const informed = this.informed.filter(each => each !== id)
-    const sources = board.read('upstreamsFrom') === undefined ? [...informed, ...peers.live.map(each => each.id)] : informed
+    const storeReaders = this.storeReaders.filter(each => each !== id)
+    const sources = board.read('upstreamsFrom') === undefined ? [...storeReaders, ...peers.live.map(each => each.id)] : storeReaders
     const addresses = new Map(peers.liveAddresses.map(each => [each.id, each]))
     return ranked(id, [...new Set(sources)].filter(each => addresses.has(each))).map(each => addresses.get(each) as PeerAddress)
   }
 
   /**
-   * Whether this gateway polls the store for confirmations. One that is not eligible is in no ranking, so it polls for itself, unless
-   * others watch the store for it.
+   * Whether this gateway polls the store for confirmations. A gateway that is not eligible is in no ranking, so it
+   * polls for itself unless others watch the store for it.
    */
-  get polls (): boolean {
+  get isPolling (): boolean {
     if (this.#isLarge) return !this.isSpared
-    return !this.eligible || this.#candidates.slice(0, pollers).includes(this.#options.id)
+    return !this.eligible || this.#candidates.slice(0, pollerCount).includes(this.#options.id)
   }
 
   get #isLarge (): boolean {
-    return this.fleet > smallFleet
+    return this.fleet > maxSmallFleet
   }
 
-  /** Whether this gateway has heard every other one since it started or resumed after a pause. */
+  /** Whether every other gateway has had time to send a heartbeat since this one started or resumed after a pause. */
   get #isSettled (): boolean {
-    return this.#hasHeardAll(Math.max(this.#startedAt, this.#options.pauses.resumedAt))
+    return this.#hasSettledSince(Math.max(this.#startedAt, this.#options.pauses.resumedAt))
   }
 
-  /** Whether there was time to hear every other gateway since a moment. @param since on `Clock.now` */
-  #hasHeardAll (since: number): boolean {
+  /** Whether every other gateway has had time to send a heartbeat since a moment. @param since on `Clock.now` */
+  #hasSettledSince (since: number): boolean {
     const { clock, peers } = this.#options
     return clock.now() - since > peers.settleTime + settleMargin
   }
 
-  /** Ids of the gateways that watch the store for all others, this one included where it is one of them. */
+  /** Ids of the gateways that watch the store for all others. Includes this gateway if it is one of them. */
   get #watchers (): readonly string[] {
-    return this.#watchCandidates.slice(0, pollers)
+    return this.#watchCandidates.slice(0, pollerCount)
   }
 
   /**
-   * Ids of the gateways that could watch the store for all others, the first ones before those that would follow them. Those that lead come
-   * first: they have to watch anyway.
+   * Ids of the gateways that could watch the store for all others, in the order in which they would be chosen. Leaders
+   * come first, since they have to watch anyway.
    */
   get #watchCandidates (): readonly string[] {
     const { watchCandidates, leaders } = this.#view
@@ -215,14 +235,14 @@
     return [...watchCandidates.filter(each => leading.has(each)), ...watchCandidates.filter(each => !leading.has(each))]
   }
 
-  get #view (): View {
+  get #view (): FleetState {
     return this.#fleetView.now(this.canWatch ? this.#options.id : undefined)
   }
 
-  /** Ids of the gateways that may plan, as far as this one has heard lately, in the order of their ranking. */
+  /** Ids of the gateways that may plan, by the latest heartbeats, in the order of their ranking. */
   get #candidates (): readonly string[] {
     if (this.#isLarge) return this.#watchers
     const { id, peers } = this.#options
-    return this.#fleetView.order(this.eligible ? [id, ...peers.planners] : peers.planners)
+    return this.#fleetView.rank(this.eligible ? [id, ...peers.planners] : peers.planners)
   }
 }
--- a/packages/gateway/src/limiting.ts
+++ b/packages/gateway/src/limiting.ts
@@ -1,6 +1,8 @@
 /**
- * The limits of upstreams, those that they name and those of cold ones, between this gateway and the others: what one reads goes to all by heartbeat, at once where it is new; the
- * tokens of each limited upstream are issued by one gateway, which the others ask by datagram. Owns the limits, the issuer and the tokens. Relies on `Peers` for who lives.
+ * Keeps the request limits of upstreams together with the other gateways: limits that upstreams name, and limits of
+ * cold upstreams. A limit that one gateway reads goes to all others by heartbeat, at once if it is new. The tokens of
+ * each limited upstream are issued by one gateway, its owner, and the others request them by datagram.
+ * Owns the limits, the issuer and the tokens. Relies on `Peers` for which gateways are live.
  */
 import { type Clock, type Random } from '@eiderwind/clock'
 import { type InFlight } from '@eiderwind/detect'
@@ -23,34 +25,38 @@
   readonly inFlight: InFlight
   readonly queue: Queue
   readonly random: Random
-  /** Undefined where upstreams do not count as cold. */
+  /** Undefined if upstreams do not count as cold. */
   readonly coldBound?: ColdBound | undefined
-  /** A service of the configuration in force. Absent: there is none. */
+  /** Finds a service of the configuration in force. Absent: there are no services. */
   readonly service?: (name: string) => Service | undefined
 }
 
-/** Most requests that a cold upstream may get in a second: the rate that it bears times `overshoot`, and `slack`. */
+/**
+ * Bound on the requests that a cold upstream may get in a second: the rate that it can bear times `overshoot`, plus
+ * `slack`.
+ */
 export interface ColdBound {
   readonly overshoot: number
   readonly slack: number
 }
 
 /**
- * How long after it takes over an upstream's tokens a gateway issues none, in ms: as long as another one that was cut off, or does not know yet that it has been
- * replaced, may still issue some. So two issue at once for a moment at the most.
+ * Pause before a gateway issues tokens of an upstream that it has taken over, in ms. The previous owner may still issue
+ * tokens for that long, because it was cut off or does not know yet that it has been replaced. So two gateways issue at
+ * the same time for a moment at most.
  */
-const takeover = 1000
+const takeoverPause = 1000
 
 /**
- * How long a gateway that is no longer heard keeps its part of each limit, in ms: it may have been cut off. One that has ended for good leaves that much unused for so
- * long.
+ * How long a gateway keeps its part of each limit after its last heartbeat, in ms: it may only have been cut off. The
+ * part of a gateway that has ended for good stays unused for that long.
  */
-const partMemory = 10_000
+const partRetention = 10_000
 
-/** Shortest time between two lines about the limit of one upstream, in ms: it may name another one in each answer. */
-const lineInterval = 1000
+/** Minimum time between two log lines about the limit of one upstream, in ms: each answer may name another limit. */
+const logInterval = 1000
 
-/** Limits of upstreams, kept by all gateways together. */
+/** Limits of upstreams, shared by all gateways. */
 export class Limiting {
   readonly limits: Limits
   readonly tokens: Tokens
@@ -58,8 +64,8 @@
   readonly #options: LimitingOptions
   readonly #issuer: Issuer
   readonly #owners: Owners
-  /** Undefined where upstreams do not count as cold. */
-  readonly #starts: ColdStarts | undefined
+  /** Undefined if upstreams do not count as cold. */
+  readonly #coldStarts: ColdStarts | undefined
   /** The limit that was logged last, and when, by upstream. */
   readonly #logged = new Map<string, { readonly rate: number, readonly at: number }>()
 
@@ -67,10 +73,27 @@
     const { clock, id, roster, peers, queue, random, coldBound } = options
     this.#options = options
     this.cold = new ColdUpstreams({ clock, rate: upstream => this.#coldRate(upstream), ended: () => queue.wake() })
-    this.#starts = coldBound === undefined ? undefined : new ColdStarts({ roster, cold: this.cold, startTime: service => this.#startTime(service), began: ids => this.#began(ids) })
+    this.#coldStarts = coldBound === undefined
+      ? undefined
+      : new ColdStarts({
+        roster,
+        cold: this.cold,
+        startTime: service => this.#startTime(service),
+        began: ids => this.#coldBegan(ids)
+      })
     this.limits = new Limits(clock, this.cold)
-    this.#owners = new Owners({ clock, live: () => [id, ...peers.live.map(each => each.id)], fleet: () => peers.heardWithin(partMemory).length + 1, settleTime: takeover })
-    this.#issuer = new Issuer({ clock, rate: upstream => this.limits.rate(upstream) * this.#owners.part, begin: upstream => this.#begin(upstream), deliver: (to, reply) => this.#deliver(to, reply) })
+    this.#owners = new Owners({
+      clock,
+      live: () => [id, ...peers.live.map(each => each.id)],
+      fleet: () => peers.heardWithin(partRetention).length + 1,
+      settleTime: takeoverPause
+    })
+    this.#issuer = new Issuer({
+      clock,
+      rate: upstream => this.limits.rate(upstream) * this.#owners.part,
+      begin: upstream => this.#begin(upstream),
+      deliver: (to, reply) => this.#deliver(to, reply)
+    })
     this.tokens = new Tokens({
       clock,
       limits: this.limits,
@@ -83,98 +106,107 @@
     })
   }
 
-  /** Takes the limit that an upstream's answer to this gateway names; Infinity where it names none. */
+  /** Takes the limit named in an upstream's answer to this gateway; Infinity if it names none. */
   named (id: string, rate: number): void {
     const isNew = !this.limits.isLimited(id)
-    if (this.limits.named(id, rate)) this.#changed(id, isNew)
+    if (this.limits.named(id, rate)) this.#limitChanged(id, isNew)
     if (isNew && this.limits.isLimited(id)) this.#options.peers.send()
   }
 
-  /** Takes that an upstream is cold by an answer to this gateway. */
+  /** Takes the time for which an upstream is still cold, in ms, from its answer to this gateway. */
   coldAnswer (id: string, remaining: number): void {
-    this.#starts?.answered(id, remaining)
+    this.#coldStarts?.answered(id, remaining)
   }
 
-  /** What the heartbeats to other gateways say. */
+  /** This module's fields of the heartbeats to other gateways. */
   get news (): Pick<Heartbeat, 'limits' | 'cold'> {
     this.#owners.look()
     this.#forget()
-    const issues = (id: string): boolean => this.#otherOwner(id) === undefined
-    return { limits: this.limits.reports(issues), cold: this.cold.reports(issues) }
+    const isIssuedHere = (id: string): boolean => this.#otherOwner(id) === undefined
+    return { limits: this.limits.reports(isIssuedHere), cold: this.cold.reports(isIssuedHere) }
   }
 
-  /** Forgets the upstreams that are not remembered any more, and those whose tokens this gateway no longer issues. */
+  /**
+   * Removes the upstreams that the roster no longer remembers, and those whose tokens this gateway no longer issues.
+   */
   #forget (): void {
     const { roster } = this.#options
     this.limits.keepOnly(id => roster.remembers(id))
-    this.#starts?.forget()
+    this.#coldStarts?.forget()
     for (const id of this.#logged.keys()) if (!roster.remembers(id)) this.#logged.delete(id)
     for (const id of this.#issuer.upstreams) if (!this.limits.isLimited(id) || this.#otherOwner(id) !== undefined) this.#issuer.end(id)
     this.tokens.forget()
   }
 
-  /** Takes what the heartbeat of another gateway says. */
+  /** Takes the limits and cold upstreams from another gateway's heartbeat. */
   hear ({ id: from, limits = {}, cold = {} }: Heartbeat): void {
-    for (const [id, report] of Object.entries(limits)) this.#hear(id, report, from)
-    this.#hearCold(cold)
+    for (const [id, report] of Object.entries(limits)) this.#receiveLimit(id, report, from)
+    this.#receiveCold(cold)
   }
 
-  /** Takes a datagram that is no heartbeat. One that is no message either is dropped, as any other that is foreign. */
+  /**
+   * Takes a datagram that is not a heartbeat. A datagram that is no token message either is foreign, and is dropped.
+   */
   receive (datagram: Buffer, from: string): void {
     const message = decodeMessage(datagram)
-    if (message !== undefined) this.#take(message, from)
+    if (message !== undefined) this.#receiveMessage(message, from)
   }
 
-  #take (message: TokenMessage, from: string): void {
+  #receiveMessage (message: TokenMessage, from: string): void {
     switch (message.token) {
-      case 'ask': return this.#asked(message, from)
+      case 'ask': return this.#answerRequest(message, from)
       case 'drop': return this.#issuer.drop(message.upstream, from, message.number)
       default: if (this.tokens.answered(message)) this.#options.queue.wake()
     }
   }
 
-  /** An ask for an upstream that another gateway seems to own is left without an answer: its asker counts it as refused. */
-  #asked ({ upstream, limit, cold, ...ask }: Extract<TokenMessage, { token: 'ask' }>, from: string): void {
-    this.#hear(upstream, limit, from)
-    if (cold !== undefined) this.#hearCold({ [upstream]: cold })
+  /**
+   * Passes a request for a token to the issuer. If another gateway seems to own the upstream, the request gets no
+   * answer, and the requester counts it as refused.
+   */
+  #answerRequest ({ upstream, limit, cold, ...ask }: Extract<TokenMessage, { token: 'ask' }>, from: string): void {
+    this.#receiveLimit(upstream, limit, from)
+    if (cold !== undefined) this.#receiveCold({ [upstream]: cold })
     if (this.#otherOwner(upstream) === undefined) this.#issuer.ask(upstream, { ...ask, from })
   }
 
   #deliver (to: string, reply: Reply): void {
     if (to !== ownAsk) return this.#options.peers.post(to, encodeMessage(reply))
-    // A token for a request of this gateway comes by a timer; that there is none in time, within its own look for an upstream.
+    // A token for a local request arrives by a timer, so the queue must be woken. A refusal arrives while the request
+    // is still searching for an upstream.
     if (this.tokens.answered(reply) && reply.token === 'grant') this.#options.queue.wake()
   }
 
-  #hear (id: string, report: LimitReport, from: string): void {
+  #receiveLimit (id: string, report: LimitReport, from: string): void {
     const isNew = !this.limits.isLimited(id)
-    if (this.limits.heard(id, report)) this.#changed(id, isNew, from)
+    if (this.limits.heard(id, report)) this.#limitChanged(id, isNew, from)
   }
 
-  #hearCold (reports: Readonly<Record<string, ColdReport>>): void {
+  #receiveCold (reports: Readonly<Record<string, ColdReport>>): void {
     const begun = Object.entries(reports).filter(([id, report]) => this.cold.heard(id, report)).map(([id]) => id)
-    if (begun.length > 0) this.#began(begun)
+    if (begun.length > 0) this.#coldBegan(begun)
   }
 
   /**
-   * Upstreams are cold now. What has not left yet for them is withdrawn, since it has no token, and who waits looks again. The gateway that issues the tokens says so at once: one
-   * that cannot reach the store hears of it by that alone.
+   * Handles upstreams that have become cold. Requests to them that have not been sent yet have no token and are
+   * withdrawn, and waiting requests search again. The gateway that issues the tokens sends a heartbeat at once: a
+   * gateway that cannot reach the store learns of it only that way.
    */
-  #began (ids: readonly string[]): void {
+  #coldBegan (ids: readonly string[]): void {
     const { log, inFlight, queue, peers } = this.#options
     const limited = ids.filter(id => this.limits.isLimited(id))
-    const own = limited.filter(id => this.#otherOwner(id) === undefined)
+    const issuedHere = limited.filter(id => this.#otherOwner(id) === undefined)
     for (const id of limited) inFlight.withdraw(id, 'the upstream is cold')
-    for (const id of own) {
-      // Its bucket begins to fill now, and not only with the first request.
+    for (const id of issuedHere) {
+      // Creates the bucket, so that it begins to fill now and not with the first request.
       this.#issuer.has(id)
       log.write('upstream-cold', { upstream: id, limit: this.cold.rate(id), remaining: Math.ceil(this.cold.remaining(id)) })
     }
-    if (own.length > 0) peers.send()
+    if (issuedHere.length > 0) peers.send()
     if (limited.length > 0) queue.wake()
   }
 
-  /** Requests a second to a cold upstream by the configuration; Infinity where it does not say. */
+  /** Requests a second that the configuration allows to a cold upstream; Infinity if it names no rate. */
   #coldRate (id: string): number {
     const { roster, service, coldBound } = this.#options
     const upstream = coldBound === undefined ? undefined : roster.find(id)
@@ -186,34 +218,40 @@
     return this.#options.service?.(name)?.coldTime ?? 0
   }
 
-  /** What has not left yet for an upstream that names a limit first is withdrawn: it has no token. Who waits looks again. */
-  #changed (id: string, isNew: boolean, from?: string): void {
+  /**
+   * Handles a change of an upstream's limit. If the limit is new, requests that have not been sent yet have no token
+   * and are withdrawn. Waiting requests search again.
+   */
+  #limitChanged (id: string, isNew: boolean, from?: string): void {
     const { inFlight, queue } = this.#options
-    this.#write(id, from)
+    this.#logLimit(id, from)
     if (isNew) inFlight.withdraw(id, 'the upstream named a limit')
     queue.wake()
   }
 
-  #write (id: string, from: string | undefined): void {
+  #logLimit (id: string, from: string | undefined): void {
     const { clock, log } = this.#options
     const rate = this.limits.namedRate(id)
-    const before = this.#logged.get(id)
+    const last = this.#logged.get(id)
     const now = clock.now()
-    if (before !== undefined && (before.rate === rate || now - before.at < lineInterval)) return
+    if (last !== undefined && (last.rate === rate || now - last.at < logInterval)) return
     this.#logged.set(id, { rate, at: now })
     const limit = Number.isFinite(rate) ? { limit: rate } : {}
     log.write('upstream-limited', { upstream: id, ...limit, ...from === undefined ? {} : { from } })
   }
 
-  /** The gateway that issues the tokens of an upstream, where that is another one. */
+  /** The gateway that issues the tokens of an upstream; undefined if it is this one. */
   #otherOwner (upstream: string): string | undefined {
     const owner = this.#owners.of(upstream)
     return owner === this.#options.id ? undefined : owner
   }
 
-  /** No gateway issued tokens before a limit was named, so the first owner begins at once. */
+  /**
+   * When this gateway may begin to issue tokens, on `Clock.now`. No gateway issued tokens before a limit was named, so
+   * the first owner begins at once.
+   */
   #begin (upstream: string): number {
     const now = this.#options.clock.now()
-    return now - (this.limits.since(upstream) ?? now) > takeover ? now + takeover : now
+    return now - (this.limits.since(upstream) ?? now) > takeoverPause ? now + takeoverPause : now
   }
 }
--- a/packages/gateway/src/listener.ts
+++ b/packages/gateway/src/listener.ts
@@ -1,6 +1,7 @@
 /**
- * Passes what the platform delivers to its owner: the configuration and its confirmations to the board, upstreams to the
- * roster, gateways to the peers, evacuations to `Evacuating`, answers and failures of the store to outage detection. Logs what changes the gateway's view.
+ * Passes what the platform delivers to the part that owns it. The configuration and its confirmations go to the board,
+ * upstreams to the roster, gateways to the peers, evacuations to `Evacuating`, and answers and failures of the store to
+ * outage detection. Logs changes of the gateway's view.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Log } from '@eiderwind/log'
@@ -8,7 +9,7 @@
 import { type Outage, type Roster } from '@eiderwind/roster'
 import { type Conditions } from './conditions.js'
 import { type Evacuating } from './evacuating.js'
-import { complete, confirm, enforce, type GatewayBoard } from './facts.js'
+import { recordCompleteness, confirm, applyConfiguration, type GatewayBoard } from './facts.js'
 import { type PlatformListener } from './platform.js'
 
 /** Dependencies of a platform's listener. */
@@ -29,10 +30,10 @@
   return {
     ...upstreamListener(options),
     configuration: (traffic, askedAt) => {
-      if (enforce(board, traffic, clock.now())) {
+      if (applyConfiguration(board, traffic, clock.now())) {
         log.write('configuration-new', { revision: traffic.revision, age: Math.round(clock.bootNow() - askedAt) })
       }
-      // An older configuration than the one in force, from a store that lags, confirms nothing.
+      // An older configuration, from a store that lags, does not confirm the one in force.
       if (board.read('inForce')?.traffic.revision === traffic.revision) confirm(board, askedAt)
     },
     confirmed: askedAt => confirm(board, askedAt),
@@ -50,7 +51,7 @@
     },
     storeFailed: (askedAt, cause) => {
       outage.failed(askedAt)
-      // One line for each change: the failures that follow say the same.
+      // Logs only the change: the failures that follow give no new information.
       if (!board.read('store')) return
       board.write('store', false)
       log.write('store-lost', { cause })
@@ -63,24 +64,24 @@
 
 /** The part of the listener that takes the list of upstreams from this gateway's own watch. */
 function upstreamListener ({ board, roster, outage }: PlatformListenerOptions): UpstreamListener {
-  const watchedHere = (): void => {
+  const recordOwnWatch = (): void => {
     if (board.read('followed')) outage.resume(board.read('upstreamsAt'))
     board.write('followed', false)
     board.write('upstreamsFrom', 'store')
   }
   return {
     upstreams: (all, upTo) => {
-      watchedHere()
+      recordOwnWatch()
       roster.replace(all)
-      complete(board, upTo)
+      recordCompleteness(board, upTo)
     },
     upstreamChanges: changes => {
-      watchedHere()
+      recordOwnWatch()
       roster.apply(changes)
     },
     upstreamsComplete: upTo => {
-      watchedHere()
-      complete(board, upTo)
+      recordOwnWatch()
+      recordCompleteness(board, upTo)
     },
     upstreamsRevision: () => board.read('upstreamsRevision')
   }
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -1,6 +1,7 @@
 /**
- * Metrics of a gateway in Prometheus' text format, served over HTTP. Names and labels are read by operators' tools and do
- * not change (docs/operators/metrics.md). Owns the counters, the histogram and the listener; gauges are read when asked for.
+ * Metrics of a gateway in Prometheus' text format, served over HTTP. Operators' tools read the names and labels, so
+ * they do not change (docs/operators/metrics.md). Owns the counters, the histograms and the listener; gauges are read
+ * on request.
  */
 import { createServer, type Server } from 'node:http'
 import { type Clock } from '@eiderwind/clock'
@@ -31,20 +32,22 @@
   readonly rests: Rests
   readonly limiting: Limiting
   readonly evacuating: Evacuating
-  /** Absent where each gateway looks for room alone. */
+  /** Absent if each gateway searches for room alone. */
   readonly rooms: Rooms | undefined
 }
 
 const path = '/metrics'
 const notFound = 404
 
-/** Bounds of the histogram, in s: around the objectives (0.2 to 0.5 s) and deadlines (1 to 8 s) of both sites. */
+/**
+ * Bounds of the latency histogram, in s: around the objectives (0.2 to 0.5 s) and deadlines (1 to 8 s) of both sites.
+ */
 const buckets = [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8]
 
-/** Bounds of the errors, in s: from a step of an engine to an objective. */
+/** Bounds of the error histogram, in s: from one step of an engine up to an objective. */
 const errorBuckets = [0.005, 0.01, 0.015, 0.03, 0.06, 0.1, 0.15, 0.3, 0.6, 1.2]
 
-/** Counters, a latency histogram and gauges. Labels are kinds, services and outcomes, which are few. */
+/** Counters, histograms and gauges. Labels are kinds, services and outcomes, of which there are few. */
 export class Metrics {
   readonly #registry = new Registry()
   readonly #server: Server
@@ -52,7 +55,7 @@
   readonly #requests: Counter<'kind' | 'service' | 'outcome'>
   readonly #refusals: Counter<'code'>
   readonly #shortages: Counter<'rule'>
-  readonly #times: Histogram<'kind'>
+  readonly #latencies: Histogram<'kind'>
   readonly #errors: Histogram
   readonly #attempts: Counter<'kind' | 'ending'>
   readonly #suspicions: Counter
@@ -64,18 +67,63 @@
   constructor (options: MetricsOptions) {
     this.#options = options
     const registers = [this.#registry]
-    this.#requests = new Counter({ name: 'eiderwind_requests_total', help: 'Requests that ended, by how.', labelNames: ['kind', 'service', 'outcome'], registers })
-    this.#refusals = new Counter({ name: 'eiderwind_refusals_total', help: 'Requests refused before any upstream was chosen, by code.', labelNames: ['code'], registers })
-    this.#shortages = new Counter({ name: 'eiderwind_shortages_total', help: 'Requests refused for lack of room, by the rule that put others before them; none where room is not shared out fairly.', labelNames: ['rule'], registers })
-    this.#times = new Histogram({ name: 'eiderwind_request_seconds', help: 'Time from a request to its end.', labelNames: ['kind'], buckets, registers })
-    this.#errors = new Histogram({ name: 'eiderwind_first_event_error_seconds', help: 'Time by which the first event of a stream came earlier or later than expected.', buckets: errorBuckets, registers })
-    this.#attempts = new Counter({ name: 'eiderwind_attempts_total', help: 'Sends to upstreams, by how they ended.', labelNames: ['kind', 'ending'], registers })
+    this.#requests = new Counter({
+      name: 'eiderwind_requests_total',
+      help: 'Requests that ended, by how.',
+      labelNames: ['kind', 'service', 'outcome'],
+      registers
+    })
+    this.#refusals = new Counter({
+      name: 'eiderwind_refusals_total',
+      help: 'Requests refused before any upstream was chosen, by code.',
+      labelNames: ['code'],
+      registers
+    })
+    this.#shortages = new Counter({
+      name: 'eiderwind_shortages_total',
+      help: 'Requests refused for lack of room, by the rule that put others before them; none where room is not shared out fairly.',
+      labelNames: ['rule'],
+      registers
+    })
+    this.#latencies = new Histogram({
+      name: 'eiderwind_request_seconds',
+      help: 'Time from a request to its end.',
+      labelNames: ['kind'],
+      buckets,
+      registers
+    })
+    this.#errors = new Histogram({
+      name: 'eiderwind_first_event_error_seconds',
+      help: 'Time by which the first event of a stream came earlier or later than expected.',
+      buckets: errorBuckets,
+      registers
+    })
+    this.#attempts = new Counter({
+      name: 'eiderwind_attempts_total',
+      help: 'Sends to upstreams, by how they ended.',
+      labelNames: ['kind', 'ending'],
+      registers
+    })
     this.#suspicions = new Counter({ name: 'eiderwind_suspicions_total', help: 'Heads suspected of having stalled.', registers })
-    this.#resumptions = new Counter({ name: 'eiderwind_resumptions_total', help: 'Streams that were resumed at another replica.', registers })
-    this.#orders = new Counter({ name: 'eiderwind_orders_total', help: 'Orders to engines, by answer.', labelNames: ['kind', 'result'], registers })
-    this.#unlisted = new Counter({ name: 'eiderwind_unlisted_total', help: 'Engines that were kept without an entry and no longer are, by how that ended.', labelNames: ['how'], registers })
+    this.#resumptions = new Counter({
+      name: 'eiderwind_resumptions_total',
+      help: 'Streams that were resumed at another replica.',
+      registers
+    })
+    this.#orders = new Counter({
+      name: 'eiderwind_orders_total',
+      help: 'Orders to engines, by answer.',
+      labelNames: ['kind', 'result'],
+      registers
+    })
+    this.#unlisted = new Counter({
+      name: 'eiderwind_unlisted_total',
+      help: 'Engines that were kept without an entry and no longer are, by how that ended.',
+      labelNames: ['how'],
+      registers
+    })
     this.#rests = new Counter({ name: 'eiderwind_rests_total', help: 'Rests that upstreams have asked this gateway for.', registers })
-    this.#gauges(registers)
+    this.#registerGauges(registers)
     this.#server = createServer((request, response) => {
       if (request.url !== path) {
         response.statusCode = notFound
@@ -105,7 +153,7 @@
 
   ended ({ route: { kind }, service, attempts, shortage, timing: { error } }: CallerRequest, outcome: string, seconds: number): void {
     this.#requests.inc({ kind, service, outcome })
-    this.#times.observe({ kind }, seconds)
+    this.#latencies.observe({ kind }, seconds)
     if (shortage !== undefined && outcome.startsWith('busy')) this.#shortages.inc({ rule: shortage })
     if (error !== undefined) this.#errors.observe(Math.abs(error) / 1000)
     for (const each of attempts) this.#attempts.inc({ kind, ending: each.split(' ')[1] })
@@ -132,7 +180,7 @@
     this.#rests.inc()
   }
 
-  #gauges (registers: Registry[]): void {
+  #registerGauges (registers: Registry[]): void {
     const { clock, board, deliveries, away, inFlight, queue, connections, budgets, rests, limiting: { limits, tokens, cold }, evacuating } = this.#options
     const single = (name: string, help: string, read: () => number): void => {
       const gauge: Gauge = new Gauge({ name, help, registers, collect: () => gauge.set(read()) })
@@ -167,13 +215,13 @@
     single('eiderwind_evacuated_data_centres', 'Data centres that the operator has evacuated, by what this gateway knows.', () => evacuating.dataCentres.length)
     single('eiderwind_evacuated_flights', 'Requests in flight at upstreams of evacuated data centres.', () => evacuating.running)
     single('eiderwind_evacuated_streams_moved_total', 'Streams that were resumed elsewhere since their data centre is evacuated.', () => evacuating.moved)
-    this.#roomGauges(single)
+    this.#registerRoomGauges(single)
     single('eiderwind_memory_bytes', 'Resident memory of the process.', () => process.memoryUsage.rss())
     labelled('eiderwind_engines', 'Engines by the state of their membership.', 'state', () => this.#engines())
     labelled('eiderwind_repeats_left', 'Retries left in the running window.', 'service', () => budgets.left)
   }
 
-  #roomGauges (single: (name: string, help: string, read: () => number) => void): void {
+  #registerRoomGauges (single: (name: string, help: string, read: () => number) => void): void {
     const { rooms } = this.#options
     if (rooms === undefined) return
     const { asker, issuer, contention } = rooms
@@ -186,7 +234,7 @@
     single('eiderwind_places_waiting', 'Requests of any gateway that wait here for a place.', () => issuer.waiting)
   }
 
-  /** Listed upstreams by the state of their membership, `none` for those in no replica. */
+  /** Number of listed upstreams by the state of their membership; `none` for those in no replica. */
   #engines (): Record<string, number> {
     const counts: Record<string, number> = {}
     for (const { membership } of this.#options.roster.upstreams) {
--- a/packages/gateway/src/peerserver.ts
+++ b/packages/gateway/src/peerserver.ts
@@ -1,7 +1,8 @@
 /**
- * Answers other gateways over HTTP: with the age of this gateway's newest confirmation and, where the asker's is older,
- * the whole configuration; with its upstreams and their changes; with the requests that it has blocked; and gives engines the orders that other gateways relay.
- * Owns the TCP listener of the peers' address. The messages are in `messages.ts`.
+ * Answers other gateways over HTTP. It sends the age of this gateway's newest confirmation, with the whole
+ * configuration if the requester's is older; its upstreams and their changes; and its blocked requests. It also sends
+ * engines the orders that other gateways relay. Owns the TCP listener of the peers' address. The messages are in
+ * `messages.ts`.
  */
 import { type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { type Clock } from '@eiderwind/clock'
@@ -10,19 +11,19 @@
 import { listen, makeServer, readBody } from '@eiderwind/wire'
 import { type ChangeLog } from './changelog.js'
 import { type GatewayBoard } from './facts.js'
-import { askedRevision, askedUpstreams, decodeOrder, encodeBlocked, encodeConfirmation, encodeResult, encodeUpstreamChanges, orderLimit, paths, type UpstreamsAsked } from './messages.js'
+import { parseRequestedRevision, parseUpstreamsRequest, decodeOrder, encodeBlocked, encodeConfirmation, encodeResult, encodeUpstreamChanges, maxOrderBytes, paths, type UpstreamsRequest } from './messages.js'
 
 /** Dependencies of `PeerServer`. */
 export interface PeerServerOptions {
   readonly clock: Clock
   readonly board: GatewayBoard
-  /** What it tells of the upstreams. */
+  /** Provides the upstreams and their changes. */
   readonly changes: ChangeLog
-  /** What it tells of blocked requests. */
+  /** Provides the blocked requests. */
   readonly crashes: Crashes
-  /** `host:port` on which other gateways ask. */
+  /** `host:port` on which other gateways connect. */
   readonly address: string
-  /** Gives engines the orders that others relay. */
+  /** Sends engines the orders that other gateways relay. */
   readonly orders: Orders
 }
 
@@ -52,41 +53,42 @@
       response.end(encodeBlocked(this.#options.crashes.blocked))
       return
     }
-    const asked = askedUpstreams(request.url ?? '/')
-    if (asked !== undefined) return this.#answerUpstreams(asked, response)
-    response.end(this.#confirmation(askedRevision(request.url ?? '/')))
+    const upstreamsRequest = parseUpstreamsRequest(request.url ?? '/')
+    if (upstreamsRequest !== undefined) return this.#answerUpstreams(upstreamsRequest, response)
+    response.end(this.#confirmation(parseRequestedRevision(request.url ?? '/')))
   }
 
   #answerOrder (request: IncomingMessage, response: ServerResponse): void {
-    this.#give(request).then(result => response.end(encodeResult(result)), () => {
-      // A cut connection is "unanswered" to the gateway that relays; an order that does not decode deserves no more.
+    this.#relayOrder(request).then(result => response.end(encodeResult(result)), () => {
+      // The gateway that relays counts a closed connection as "unanswered". An order that cannot be decoded gets no
+      // other answer.
       response.destroy()
     })
   }
 
-  /** A gateway that has no list itself cuts the connection: the asker asks another one. */
-  #answerUpstreams (asked: UpstreamsAsked, response: ServerResponse): void {
+  /** If this gateway has no list, it closes the connection, and the requester asks another gateway. */
+  #answerUpstreams (request: UpstreamsRequest, response: ServerResponse): void {
     const { clock, board, changes } = this.#options
     const arrivedAt = clock.bootNow()
     if (board.read('upstreamsFrom') === undefined) {
       response.destroy()
       return
     }
-    // It never rejects: it waits for a change, or for its own timer.
-    changes.after(asked).then(answer => response.end(encodeUpstreamChanges({ ...answer, age: arrivedAt - board.read('upstreamsAt') })), () => response.destroy())
+    // `after` never rejects: it waits for a change, or for its own timer.
+    changes.after(request).then(answer => response.end(encodeUpstreamChanges({ ...answer, age: arrivedAt - board.read('upstreamsAt') })), () => response.destroy())
   }
 
-  async #give (request: IncomingMessage): Promise<OrderResult> {
-    const body = await readBody(request, orderLimit)
+  async #relayOrder (request: IncomingMessage): Promise<OrderResult> {
+    const body = await readBody(request, maxOrderBytes)
     if (body.isErr()) return 'unanswered'
     return await this.#options.orders.give(decodeOrder(body.value.toString()))
   }
 
-  #confirmation (theirs: number): string {
+  #confirmation (requesterRevision: number): string {
     const { clock, board } = this.#options
     const traffic = board.read('inForce')?.traffic
-    const own = traffic?.revision ?? 0
+    const localRevision = traffic?.revision ?? 0
     const age = clock.bootNow() - board.read('confirmedAt')
-    return encodeConfirmation(own, age, own > theirs ? traffic : undefined)
+    return encodeConfirmation(localRevision, age, localRevision > requesterRevision ? traffic : undefined)
   }
 }
--- a/packages/gateway/src/planning.ts
+++ b/packages/gateway/src/planning.ts
@@ -1,6 +1,6 @@
 /**
- * Connects the reconciler of `forming` to this gateway: what it reads from the other parts, and how its decisions and
- * orders are logged and counted.
+ * Connects the reconciler of `forming` to this gateway: the inputs that it reads from other parts, and the logs and
+ * metrics of its decisions and orders.
  */
 import { agreedSuspects, type InFlight, type Pauses, type Suspects } from '@eiderwind/detect'
 import { Reconciler, type Order, type OrderResult } from '@eiderwind/forming'
@@ -14,7 +14,7 @@
 import { OrderRelay } from './orderrelay.js'
 import { type GatewayOptions } from './settings.js'
 
-/** The parts that planning reads or reports to. */
+/** The parts that planning reads, or to which it reports. */
 export interface PlanningOptions extends GatewayOptions {
   readonly board: GatewayBoard
   readonly roster: Roster
@@ -26,14 +26,14 @@
   readonly leadership: Leadership
   readonly modelLoad: ModelLoad
   readonly metrics: Metrics
-  /** Whether this gateway ever had a request of a caller. */
+  /** Whether this gateway ever got a request from a caller. */
   readonly served: () => boolean
 }
 
-/** How long the loads of a planner that is no longer heard still count, in ms: the longest load (16 s). */
-const loadMemory = 16_000
+/** How long a planner's announced loads still count after its last heartbeat, in ms: the longest load (16 s). */
+const loadRetention = 16_000
 
-/** The reconciler of this gateway, not started. */
+/** Creates the reconciler of this gateway, without starting it. */
 export function makeReconciler (options: PlanningOptions): Reconciler {
   const { clock, log, platform, settings, board, roster, suspects, inFlight, pauses, peers, connections, leadership, modelLoad, metrics, served } = options
   return new Reconciler({
@@ -46,27 +46,32 @@
     placements: platform.placements,
     services: () => board.read('inForce')?.traffic.services ?? [],
     leads: service => leadership.plans(service),
-    contested: service => { leadership.contested(service).catch(() => { /* It returns its errors. */ }) },
+    contested: service => { leadership.contested(service).catch(() => { /* Never rejects: it returns its errors. */ }) },
     suspects: () => agreedSuspects([{ inFlight: inFlight.counts, suspects: suspects.all }, ...peers.live]),
     demand: () => modelLoad.demand,
-    othersLoads: () => new Map(peers.heardWithin(loadMemory).flatMap(each => Object.entries(each.loads))),
+    othersLoads: () => new Map(peers.heardWithin(loadRetention).flatMap(each => Object.entries(each.loads))),
     beforeTraffic: () => settings.first && !served() && !peers.live.some(each => each.served),
     decided: (domain, note, epoch) => log.write('replica-decided', { domain, note, epoch }),
     keepUnlisted: settings.keepUnlisted,
     warmSpares: settings.warmSpares,
-    unlisted: ({ id: upstream, domain, membership }) => log.write('engine-unlisted', { upstream, domain, replica: membership?.replica ?? '', rank: membership?.rank }),
+    unlisted: ({ id: upstream, domain, membership }) => log.write('engine-unlisted', {
+      upstream,
+      domain,
+      replica: membership?.replica ?? '',
+      rank: membership?.rank
+    }),
     unlistedEnded: ({ id: upstream, domain }, how) => {
       metrics.unlistedEnded(how)
       log.write('engine-unlisted-ended', { upstream, domain, how })
     },
     surveyed: (domain, survey) => log.write('engines-surveyed', { domain, ...survey }),
-    ordered: (order, result, took) => report(options, order, result, took),
+    ordered: (order, result, took) => recordOrder(options, order, result, took),
     failed: error => log.write('controller-failed', { controller: 'forming', cause: String((error as Error).stack) })
   })
 }
 
-/** @param took time from the order to its answer, in ms */
-function report ({ log, metrics }: PlanningOptions, { kind, node: upstream, replica, epoch, model }: Order, result: OrderResult, took: number): void {
+/** Counts and logs an order to an engine. @param took time from the order to its answer, in ms */
+function recordOrder ({ log, metrics }: PlanningOptions, { kind, node: upstream, replica, epoch, model }: Order, result: OrderResult, took: number): void {
   metrics.ordered(kind, result)
   log.write('engine-order', { kind, upstream, replica, epoch, model, result, took: Math.round(took) })
 }
--- a/packages/gateway/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -1,7 +1,7 @@
 /**
- * What a gateway needs of the platform on which it runs: a store whose contents are delivered to a listener, a place where
- * placements last, and engines that take orders and answer probes. The adapter in the folder `platform` implements it; the
- * gateway knows the platform by this class alone.
+ * The interface between a gateway and the platform on which it runs: a store whose contents are delivered to a
+ * listener, durable storage for placements, and engines that take orders and answer probes. The adapter in the folder
+ * `platform` implements it. The gateway uses the platform only through this class.
  */
 import { type Probes } from '@eiderwind/detect'
 import { type Orders, type Placements } from '@eiderwind/forming'
@@ -13,80 +13,88 @@
 import { type Blocks } from './blocks.js'
 import { type Leaders } from './leaders.js'
 
-/** Up to when and to which of the store's revisions a list lacks nothing. */
+/** The time and the store's revision up to which a list is complete. */
 export interface Completeness {
   /** On `Clock.bootNow`, in ms. */
   readonly at: number
   readonly revision: number
 }
 
-/** Takes what a platform learns from its store. Times are on `Clock.bootNow`, in ms. */
+/** Receives what a platform reads from its store. Times are on `Clock.bootNow`, in ms. */
 export interface PlatformListener {
-  /** A configuration, read by a call that was made at `askedAt`. It may be the one that is already in force. */
+  /** A configuration, read by a call that was made at `askedAt`. It may already be in force. */
   configuration (traffic: Traffic, askedAt: number): void
-  /** The newest configuration that was delivered was still the newest at `askedAt`. */
+  /** The newest delivered configuration was still the newest at `askedAt`. */
   confirmed (askedAt: number): void
   /** The whole list of upstreams. */
   upstreams (all: readonly Upstream[], upTo: Completeness): void
   /** Changes of that list, in the order in which they happened. */
   upstreamChanges (changes: readonly RosterChange[]): void
-  /** All changes of that list have been delivered up to then. */
+  /** All changes of that list up to then have been delivered. */
   upstreamsComplete (upTo: Completeness): void
-  /** The store's revision up to which the list of upstreams is known, from whomever; undefined before there is one. */
+  /**
+   * The store's revision up to which the list of upstreams is known, from any source; undefined before there is a list.
+   */
   upstreamsRevision (): number | undefined
-  /** The data centres that the operator has evacuated, all of them, as of one of the store's revisions. */
+  /** All data centres that the operator has evacuated, as of one of the store's revisions. */
   evacuations (dataCentres: readonly string[], revision: number): void
   /** The whole list of gateways, this one included. */
   gateways (all: readonly PeerAddress[]): void
-  /** An upstream's answer to an order said this of its condition. */
+  /** The condition that an upstream reported in its answer to an order. */
   condition (upstream: string, condition: Condition): void
   /** A call of a watch was answered. */
   storeAnswered (): void
   /**
-   * A call of a watch that was made at `askedAt` failed, or its answer could not be used. Outages of the store are detected by
-   * these two calls, so other failures are not reported here.
+   * A call of a watch that was made at `askedAt` failed, or its answer could not be used. Outages of the store are
+   * detected by this method and `storeAnswered`, so no other failures are reported here.
    */
   storeFailed (askedAt: number, cause: string): void
-  /** Background work began to fail; it is tried again and reported again only after it has succeeded. Decides nothing. */
+  /**
+   * Background work began to fail. It is retried, and reported again only after it has succeeded in between. For the
+   * log only.
+   */
   taskFailed (task: string, cause: string): void
 }
 
-/** What a gateway uses the store for. Calls are paid for, so it makes no more of them than this needs. */
+/** How a gateway uses the store. Calls cost money, so it makes only those that this use requires. */
 export interface StoreUse {
-  /** It plans replicas: it needs changes of the upstreams soon, the one call for each; for others several come together a little later. */
+  /**
+   * It plans replicas, so it needs changes of the upstreams soon and makes one call for each change. Otherwise several
+   * changes arrive together, a little later.
+   */
   readonly planning: boolean
-  /** It asks often whether the configuration is still the newest, and passes that on to the others. */
+  /** It asks often whether the configuration is still the newest, and forwards the answer to the other gateways. */
   readonly confirming: boolean
-  /** Other gateways take the upstreams from it: it has to know often that nothing has changed. */
+  /** Other gateways take the upstreams from it, so it must confirm often that nothing has changed. */
   readonly followed: boolean
-  /** Other gateways tell it all that is new: it calls the store only to see whether it could. */
+  /** Other gateways send it all changes. It calls the store only to check that it can reach it. */
   readonly spared: boolean
-  /** Gateways that live: all that are spared call more seldom, the more there are. */
+  /** Number of live gateways. The more there are, the less often each spared gateway calls. */
   readonly fleet: number
 }
 
 /** The platform of one gateway. */
 export abstract class Platform {
-  /** Names of the headers by which callers, gateways and upstreams understand each other. */
+  /** Names of the headers that callers, gateways and upstreams exchange. */
   abstract readonly names: HeaderNames
-  /** What the status and headers of an upstream's answer say of the upstream itself. */
+  /** The upstream's condition by the status and headers of its answer. */
   abstract conditionOf (status: number, headers: AnswerHeaders): Condition
   abstract readonly orders: Orders
   abstract readonly probes: Probes
   abstract readonly placements: Placements
   abstract readonly leaders: Leaders
   abstract readonly blocks: Blocks
-  /** Delivers all that the store holds, and each change of it, until `stop`. */
+  /** Delivers the store's contents, and each change of them, until `stop`. */
   abstract watch (listener: PlatformListener): void
-  /** Writes this gateway into the list of gateways; tries again until that is done or `stop` is called. */
+  /** Adds this gateway to the list of gateways. Retries until that succeeds or `stop` is called. */
   abstract register (gateway: PeerAddress): void
-  /** What this gateway uses the store for from now on. */
+  /** Sets how this gateway uses the store from now on. */
   abstract setUse (use: StoreUse): void
   /**
-   * Whether this gateway takes the upstreams from another one, so that it need not watch them. Where that ends, changes since
-   * `PlatformListener.upstreamsRevision` are delivered, or the whole list anew.
+   * Sets whether this gateway takes the upstreams from another one, and so need not watch them. When that ends, the
+   * changes since `PlatformListener.upstreamsRevision` are delivered, or the whole list again.
    */
   abstract setFollowing (following: boolean): void
-  /** Ends all watches and cuts all connections; calls under way fail. */
+  /** Ends all watches and closes all connections. Calls in progress fail. */
   abstract stop (): void
 }
--- a/packages/gateway/src/readiness.ts
+++ b/packages/gateway/src/readiness.ts
@@ -1,15 +1,16 @@
 /**
- * Measures what this gateway uses, and has the balancer send new callers to others while it runs short; when that is, is decided in `Strain`. Owns the timer that shows how late the
- * event loop is. Connections that are open stay: callers are served as before.
+ * Measures the resource usage of this gateway, and makes the balancer send new callers to other gateways while a
+ * resource is scarce. `Strain` decides when that is the case. Owns the timer that measures the delay of the event loop.
+ * Open connections stay, and their callers are served as before.
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { Strain, type Scarce, type StrainBounds } from '@eiderwind/detect'
 import { type Log } from '@eiderwind/log'
 import { type Heartbeat } from '@eiderwind/peers'
 
-/** What a gateway may use. What is absent is taken to be unlimited. */
+/** The resources that a gateway may use. An absent limit means unlimited. */
 export interface ReadinessLimits {
-  /** How late its event loop may be on average, in ms. */
+  /** Maximum average delay of its event loop, in ms. */
   readonly lateness?: number | undefined
   /** Memory of the process, in bytes. */
   readonly memory?: number | undefined
@@ -21,27 +22,30 @@
   readonly clock: Clock
   readonly log: Log
   readonly limits: ReadinessLimits
-  /** Resident memory, in bytes, and connections. */
+  /** Reads the resident memory in bytes, and the number of connections. */
   readonly memory: () => number
   readonly connections: () => number
   /** The other gateways that are live. */
   readonly others: () => ReadonlyArray<Pick<Heartbeat, 'away'>>
 }
 
-/** Time between two ticks that show how late the event loop is, and between two samples, in ms. */
+/** Interval between ticks that measure the delay of the event loop, and between samples, in ms. */
 const tickInterval = 50
 const sampleInterval = 1000
 
-/** Descriptors that the process has beside connections: files, and listeners. */
+/** Descriptors that the process uses in addition to connections: files and listeners. */
 const otherDescriptors = 60
 
-/** Part of the greatest lateness at which there is enough processor again. */
-const relaxed = 1 / 3
+/** The processor counts as sufficient again below this share of the maximum lateness. */
+const recoveryShare = 1 / 3
 
-/** Parts of memory and descriptors that are short and enough: what comes within the seconds until the balancer has noticed still has to fit. */
-const shares: StrainBounds = { short: 0.85, enough: 0.75 }
+/**
+ * Shares of memory and descriptors that count as scarce and as sufficient. The rest must hold what arrives in the
+ * seconds until the balancer has noticed.
+ */
+const resourceBounds: StrainBounds = { short: 0.85, enough: 0.75 }
 
-/** Whether the balancer should send new callers to others. */
+/** Decides whether the balancer should send new callers to other gateways. */
 export class Readiness {
   readonly #options: ReadinessOptions
   readonly #strain: Strain
@@ -49,26 +53,30 @@
   #tickedAt = 0
   #sampledAt = 0
   #ticks = 0
-  /** By how much the ticks of the sample were late, in ms. */
-  #late = 0
+  /** Sum of the ticks' delays in this sample, in ms. */
+  #totalDelay = 0
 
   constructor (options: ReadinessOptions) {
     this.#options = options
     const { lateness = Infinity } = options.limits
-    this.#strain = new Strain({ processor: { short: lateness, enough: lateness * relaxed }, memory: shares, descriptors: shares })
+    this.#strain = new Strain({
+      processor: { short: lateness, enough: lateness * recoveryShare },
+      memory: resourceBounds,
+      descriptors: resourceBounds
+    })
   }
 
-  /** Why new callers are sent to others; undefined where they are not. */
+  /** The scarce resource because of which new callers are sent to other gateways; undefined if there is none. */
   get cause (): Scarce | undefined {
     return this.#strain.cause
   }
 
-  /** What other gateways hear of it. */
+  /** This module's field of the heartbeats to other gateways. */
   get news (): Pick<Heartbeat, 'away'> {
     return this.cause === undefined ? {} : { away: true }
   }
 
-  /** Measures from now on, where anything is limited. */
+  /** Starts measuring, if any resource is limited. */
   start (): void {
     const { clock, limits } = this.#options
     if (Object.values(limits).every(each => each === undefined)) return
@@ -83,19 +91,19 @@
 
   #tick (): void {
     const now = this.#options.clock.now()
-    this.#late += Math.max(0, now - this.#tickedAt - tickInterval)
+    this.#totalDelay += Math.max(0, now - this.#tickedAt - tickInterval)
     this.#tickedAt = now
     this.#ticks++
     if (now - this.#sampledAt < sampleInterval) return
-    this.#sample(this.#late / this.#ticks, now)
+    this.#sample(this.#totalDelay / this.#ticks, now)
     this.#sampledAt = now
     this.#ticks = 0
-    this.#late = 0
+    this.#totalDelay = 0
   }
 
   #sample (lateness: number, now: number): void {
     const { log, limits, memory, connections, others } = this.#options
-    const before = this.cause
+    const previous = this.cause
     const live = others()
     const usage = {
       processor: lateness,
@@ -103,8 +111,8 @@
       descriptors: limits.descriptors === undefined ? 0 : (connections() + otherDescriptors) / limits.descriptors
     }
     this.#strain.sample(usage, { live: live.length, away: live.filter(({ away }) => away === true).length }, now)
-    if (this.cause === before) return
+    if (this.cause === previous) return
     const rounded = Object.fromEntries(Object.entries(usage).map(([name, value]) => [name, Number(value.toFixed(2))]))
-    log.write('gateway-strained', { away: this.cause !== undefined, cause: this.cause ?? before, ...rounded })
+    log.write('gateway-strained', { away: this.cause !== undefined, cause: this.cause ?? previous, ...rounded })
   }
 }
--- a/packages/gateway/src/requestlog.ts
+++ b/packages/gateway/src/requestlog.ts
@@ -1,16 +1,17 @@
 /**
- * Records each request that has ended: in the metrics, and in the log unless it was an ordinary success. Those whose answer was late are
- * none: `eiderwindctl late` counts them by what they lost their time to. Owns the count by which ordinary successes are sampled.
+ * Records each ended request in the metrics, and in the log unless it was an ordinary success. A request with a late
+ * answer is not ordinary: `eiderwindctl late` counts these by the cause of the lost time. Owns the count by which
+ * ordinary successes are sampled.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type CallerRequest } from '@eiderwind/forward'
 import { type Log } from '@eiderwind/log'
 import { type Metrics } from './metrics.js'
 
-/** One ordinary success in this many is logged: at 100 requests a second two lines a second. */
-const sampling = 50
+/** One in this many ordinary successes is logged: two lines a second at 100 requests a second. */
+const sampleRatio = 50
 
-/** Outcomes of an ordinary success: a collected answer, and a stream that was passed on to its end. */
+/** Outcomes of an ordinary success: a collected answer, and a stream that was forwarded to its end. */
 const successes = new Set(['answered 200', 'answered'])
 
 /** Dependencies of `RequestLog`. */
@@ -23,7 +24,7 @@
 /** Log and metrics of ended requests. */
 export class RequestLog {
   readonly #options: RequestLogOptions
-  #ordinary = 0
+  #ordinaryCount = 0
 
   constructor (options: RequestLogOptions) {
     this.#options = options
@@ -37,31 +38,55 @@
     const retried = request.attempts.length >= 2
     const late = request.timing.lateness(request.route) !== undefined
     const isOrdinary = successes.has(outcome) && !retried && !late
-    if (isOrdinary && ++this.#ordinary % sampling !== 0) return
-    this.#write(request, outcome, Math.round(took), isOrdinary ? sampling : undefined)
+    if (isOrdinary && ++this.#ordinaryCount % sampleRatio !== 0) return
+    this.#write(request, outcome, Math.round(took), isOrdinary ? sampleRatio : undefined)
   }
 
   /**
-   * One that was lost at an upstream, or is blocked, is written with its fingerprint: only that shows that its caller sends it again and again.
-   * @param sampled how many requests the line stands for; undefined for itself alone
+   * Writes the log line of a request. If the request was lost at an upstream, or is blocked, the line has its
+   * fingerprint: only the fingerprint shows that a caller sends the same request again and again.
+   * @param sampled how many requests the line stands for; undefined if only for itself
    */
   #write (request: CallerRequest, outcome: string, took: number, sampled: number | undefined): void {
-    const { id, route, service, team, attempts: ended, currentUpstream, timing, queuedAt } = request
-    const underWay = currentUpstream === undefined ? [] : [`${currentUpstream} under way`]
-    const attempts = [...ended, ...underWay].join('; ')
-    this.#options.log.write('request-ended', { request: id, route: route.name, service, team: team?.name, outcome, took, sampled, ...times(timing), ...expectation(timing), late: timing.lateness(route), queue: queuedAt, attempts, rule: request.shortage, fingerprint: request.lost || request.blocked ? request.fingerprint : undefined })
+    const { id, route, service, team, attempts: endedAttempts, currentUpstream, timing, queuedAt } = request
+    const inProgress = currentUpstream === undefined ? [] : [`${currentUpstream} under way`]
+    const attempts = [...endedAttempts, ...inProgress].join('; ')
+    this.#options.log.write('request-ended', {
+      request: id,
+      route: route.name,
+      service,
+      team: team?.name,
+      outcome,
+      took,
+      sampled,
+      ...times(timing),
+      ...expectation(timing),
+      late: timing.lateness(route),
+      queue: queuedAt,
+      attempts,
+      rule: request.shortage,
+      fingerprint: request.lost || request.blocked ? request.fingerprint : undefined
+    })
   }
 }
 
-/** The times of a request for the log, in whole ms; those that there are none of are left out. */
+/** The times of a request for the log, in whole ms. Times that do not exist are omitted. */
 function times ({ waited, first, pause }: CallerRequest['timing']): Record<string, number | undefined> {
-  const whole = (time: number | undefined): number | undefined => time === undefined ? undefined : Math.round(time)
-  return { waited: whole(waited), first: whole(first), pause: first === undefined ? undefined : Math.round(pause) }
+  const rounded = (time: number | undefined): number | undefined => time === undefined ? undefined : Math.round(time)
+  return { waited: rounded(waited), first: rounded(first), pause: first === undefined ? undefined : Math.round(pause) }
 }
 
-/** When the first event was expected, in ms, and what that rested on; what is usual is left out. */
+/** When the first event was expected, in ms, and the inputs of that estimate. Usual values are omitted. */
 function expectation ({ expectation: expected }: CallerRequest['timing']): Record<string, number | boolean | undefined> {
   if (expected === undefined) return {}
   const { time, lag, prompt, inFlight, unread, limited, remote } = expected
-  return { expected: Math.round(time), lag: Math.round(lag), prompt, load: inFlight, unread, limited: limited || undefined, remote: remote || undefined }
+  return {
+    expected: Math.round(time),
+    lag: Math.round(lag),
+    prompt,
+    load: inFlight,
+    unread,
+    limited: limited || undefined,
+    remote: remote || undefined
+  }
 }
--- a/packages/gateway/src/rooms.ts
+++ b/packages/gateway/src/rooms.ts
@@ -1,7 +1,9 @@
 /**
- * One queue for the room of a model, between this gateway and the others: where room is contended, one gateway issues the places at the model's heads and the others ask it by
- * datagram. Owns this gateway's part in that (`Member`) and by which address it knows the others. Relies on `Peers` for who lives and what each has in flight, and on
- * `Choice` for the heads that take requests.
+ * Shares one queue for the room of each model between all gateways. "Room" is the free capacity at the heads of one
+ * model, and a "place" is the right to send one request to a head. While room is contended, one gateway issues the
+ * places at the model's heads, and the others request them by datagram.
+ * Owns this gateway's part in that (`Member`), and the addresses of the other gateways. Relies on `Peers` for which
+ * gateways are live and what each has in flight, and on `Choice` for the heads that take requests.
  */
 import { type Clock, type Random, type Subscription } from '@eiderwind/clock'
 import { type InFlight, type InFlightRequest, type Rests } from '@eiderwind/detect'
@@ -28,30 +30,38 @@
   readonly queue: Queue
   readonly choice: Choice
   readonly intake: Intake
-  /** How the engines of a service work, by the configuration in force; undefined where it has none. */
+  /** The properties of a service's engines, by the configuration in force; undefined if the service has none. */
   readonly engine: (service: string) => Engine | undefined
   readonly random: Random
 }
 
-/** Requests that wait at a head beyond its slots: it takes the next one without the way of a place that came free. More would have no order there. */
-const spare = 1
+/**
+ * Number of requests that may wait at a head beyond its slots. The head can start the next one without the delay of
+ * issuing a free place. More requests would not be ordered there.
+ */
+const queuedPerHead = 1
 
-/** Time between two looks at what is over, in ms. */
-const forgetInterval = 250
+/** Interval between removals of stale entries, in ms. */
+const cleanupInterval = 250
 
 /** Room at models' heads, shared by all gateways. */
 export class Rooms {
   readonly #options: RoomsOptions
   readonly #member: Member
   readonly #owners: Owners
-  /** Ids of gateways by the `host:port` that their messages come from. */
+  /** Ids of gateways by the `host:port` from which their messages come. */
   readonly #senders = new Map<string, string>()
   #timer: Subscription | undefined
 
   constructor (options: RoomsOptions) {
     const { clock, id, dataCentre, peers, inFlight, queue, random } = options
     this.#options = options
-    this.#owners = new Owners({ clock, live: () => [id, ...peers.live.map(each => each.id)], fleet: () => peers.live.length + 1, settleTime: 0 })
+    this.#owners = new Owners({
+      clock,
+      live: () => [id, ...peers.live.map(each => each.id)],
+      fleet: () => peers.live.length + 1,
+      settleTime: 0
+    })
     this.#member = new Member({
       clock,
       id,
@@ -62,7 +72,7 @@
       owner: room => this.#otherOwner(room),
       post: (gateway, message) => peers.post(gateway, encodeMessage(message)),
       wake: () => queue.wake(),
-      changed: (room, contended) => this.#write(room, contended),
+      changed: (room, contended) => this.#logContention(room, contended),
       random
     })
   }
@@ -80,25 +90,25 @@
   }
 
   start (): void {
-    this.#timer = this.#options.clock.every(forgetInterval, () => this.#forget())
+    this.#timer = this.#options.clock.every(cleanupInterval, () => this.#removeStale())
   }
 
   stop (): void {
     this.#timer?.cancel()
   }
 
-  /** What the heartbeats to other gateways say. */
+  /** This module's fields of the heartbeats to other gateways. */
   get news (): MemberNews {
     return this.#member.news
   }
 
-  /** Takes what the heartbeat of another gateway says. */
+  /** Takes another gateway's heartbeat. */
   hear ({ id, inFlight, contended, grants }: Heartbeat, { address }: PeerAddress): void {
     this.#senders.set(address, id)
     this.#member.hear(id, inFlight, { contended, grants })
   }
 
-  /** Takes a datagram that is no heartbeat. Returns whether it is about places. */
+  /** Takes a datagram that is not a heartbeat. Returns whether it is about places. */
   receive (datagram: Buffer, from: string): boolean {
     const message = decodeMessage(datagram)
     const sender = this.#senders.get(from)
@@ -107,7 +117,7 @@
     return true
   }
 
-  /** Takes that a request of this gateway has ended: its place is free. */
+  /** Records that a request of this gateway has ended, so its place is free. */
   ended ({ upstream }: InFlightRequest): void {
     const head = this.#options.roster.find(upstream)
     if (head?.membership === undefined) return
@@ -117,28 +127,26 @@
   /** Takes the head of an upstream's answer to a request of this gateway. */
   answered (upstream: Upstream, { refused }: AnswerHead): void {
     if (!refused || upstream.membership === undefined) return
-    // One that is just full refuses one request and accepts the next.
+    // A head that is merely full refuses one request and accepts the next.
     const left = this.#options.rests.left(upstream.id)
     this.#member.refused(roomOfHead(upstream), upstream.id, left > 0 ? left : undefined)
   }
 
-  /** The gateway that issues the places of a room, where that is another one. */
+  /** The gateway that issues the places of a room; undefined if it is this one. */
   #otherOwner (room: string): string | undefined {
     const owner = this.#owners.of(room)
     return owner === this.#options.id ? undefined : owner
   }
 
-  /**
-   * The heads whose places are issued: those that take requests only by tokens have another rule.
-   */
+  /** The heads whose places are issued. Heads that take requests only by tokens have another rule. */
   #heads ({ service, model }: Room): Head[] {
     const { roster, rests, choice, intake, engine: engineOf } = this.#options
     const engine = engineOf(service)
     if (engine === undefined) return []
-    const open = new Set(choice.heads(service, model).map(({ id }) => id))
+    const openHeads = new Set(choice.heads(service, model).map(({ id }) => id))
     return roster.heads(service, model)
-      .filter(({ id }) => !intake.isLimited(id) && (open.has(id) || rests.has(id)))
-      .map(({ id, dataCentre }) => ({ id, dataCentre, capacity: engine.slots + spare, closedFor: rests.left(id) }))
+      .filter(({ id }) => !intake.isLimited(id) && (openHeads.has(id) || rests.has(id)))
+      .map(({ id, dataCentre }) => ({ id, dataCentre, capacity: engine.slots + queuedPerHead, closedFor: rests.left(id) }))
   }
 
   #fullness ({ service, model }: Room, others: (upstream: string) => number): number {
@@ -149,18 +157,18 @@
     return load / (heads.length * slots)
   }
 
-  #forget (): void {
+  #removeStale (): void {
     const live = new Set(this.#options.peers.live.map(each => each.id))
     this.#member.forget(id => live.has(id))
     for (const [address, id] of this.#senders) if (!live.has(id)) this.#senders.delete(address)
   }
 
-  #write (key: string, contended: boolean): void {
+  #logContention (key: string, contended: boolean): void {
     this.#options.log.write('room-contended', { room: key, contended, issuer: this.#owners.of(key) })
   }
 }
 
-/** The room to which a head belongs: it serves the model that it has loaded. */
+/** The room to which a head belongs, by the model that it has loaded. */
 function roomOfHead ({ service, loaded }: Upstream): Room {
   return roomOf(service, loaded[0] ?? '')
 }
--- a/packages/gateway/src/sampling.ts
+++ b/packages/gateway/src/sampling.ts
@@ -1,6 +1,7 @@
 /**
- * What a gateway does twice a second: samples the load by model, adapts how closely the platform is watched to what this
- * gateway does for the fleet, and logs when the confirmation of the configuration has become too old, or young again.
+ * Runs the gateway's work that recurs twice a second. It samples the load by model, adapts the use of the store to this
+ * gateway's duties for the fleet, and logs when the confirmation of the configuration has become too old, or recent
+ * again.
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type OfferedLoad } from '@eiderwind/dispatch'
@@ -26,13 +27,13 @@
 }
 
 /** Time between two samples, in ms. The weights in `demand.ts` are chosen for it. */
-const interval = 500
+const sampleInterval = 500
 
-/** Samples at a steady interval. */
+/** Takes samples at a steady interval. */
 export class Sampling {
   readonly #options: SamplingOptions
   #timer: Subscription | undefined
-  #unconfirmed = false
+  #isUnconfirmed = false
   #use = 'for itself'
 
   constructor (options: SamplingOptions) {
@@ -40,7 +41,7 @@
   }
 
   start (): void {
-    this.#timer = this.#options.clock.every(interval, () => this.#sample())
+    this.#timer = this.#options.clock.every(sampleInterval, () => this.#sample())
   }
 
   stop (): void {
@@ -51,7 +52,7 @@
     const { platform, peers, offered, modelLoad, leadership } = this.#options
     offered.sample()
     modelLoad.sample([offered.models, ...peers.live.map(each => each.offeredByModel)])
-    const { planning, polls: confirming, isFollowed: followed, isSpared: spared, fleet } = leadership
+    const { planning, isPolling: confirming, isFollowed: followed, isSpared: spared, fleet } = leadership
     platform.setUse({ planning, confirming, followed, spared, fleet })
     this.#logUse(followed, spared)
     this.#logFreshness()
@@ -68,8 +69,8 @@
     const { log, board, servesKeys } = this.#options
     const inForce = board.read('inForce')
     const unconfirmed = inForce !== undefined && !servesKeys()
-    if (unconfirmed === this.#unconfirmed) return
-    this.#unconfirmed = unconfirmed
+    if (unconfirmed === this.#isUnconfirmed) return
+    this.#isUnconfirmed = unconfirmed
     log.write(unconfirmed ? 'configuration-unconfirmed' : 'configuration-confirmed', { revision: inForce?.traffic.revision })
   }
 }
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway is configured with, checked and derived from the operators' settings by the platform's adapter.
- * The INI names of what operators set are in `settings` (docs/operators/settings.md).
+ * The settings of a gateway. The platform's adapter checks them and derives them from the operators' settings. Their
+ * INI names are in `settings` (docs/operators/settings.md).
  */
 import { type Clock } from '@eiderwind/clock'
 import { type BacklogBounds } from '@eiderwind/forward'
@@ -9,7 +9,7 @@
 import { type Platform } from './platform.js'
 import { type ReadinessLimits } from './readiness.js'
 
-/** What a gateway is made from. */
+/** The inputs from which a gateway is created. */
 export interface GatewayOptions {
   readonly clock: Clock
   readonly log: Log
@@ -17,9 +17,9 @@
   readonly settings: GatewaySettings
 }
 
-/** Settings of a gateway. Spans are in ms. */
+/** Settings of a gateway. Times are in ms. */
 export interface GatewaySettings {
-  /** Id of this gateway among all, and the data centre it runs in. */
+  /** Unique id of this gateway, and the data centre in which it runs. */
   readonly id: string
   readonly dataCentre: string
   /** Whether the whole system starts for the first time, so that no caller can have been served yet. */
@@ -28,39 +28,55 @@
   readonly callers: string
   readonly health: string
   readonly peers: string
-  /** `host:port` that serves the metrics; empty: none are served. */
+  /** `host:port` that serves the metrics. If empty, no metrics are served. */
   readonly metrics: string
-  /** How old the newest confirmation of the configuration may be for what needs a fresh one (`admission.ts`). */
+  /** Maximum age of the newest confirmation where a recent one is needed (`admission.ts`). */
   readonly freshness: number
-  /** Whether requests with keys need a fresh confirmation. Without it they are served by what is known. */
+  /**
+   * Whether requests with known keys need a recent confirmation. If not, they are served by the known configuration.
+   */
   readonly strictKeys: boolean
-  /** Retries per request of callers; `retrySlack` more are allowed to all gateways together in any `retryWindow`. */
+  /** Retries per request of callers. In any `retryWindow`, all gateways together are allowed `retrySlack` more. */
   readonly retryRatio: number
   readonly retrySlack: number
   readonly retryWindow: number
-  /** What a cold upstream may get; undefined where upstreams do not count as cold. */
+  /** The bound on requests to a cold upstream; undefined if upstreams do not count as cold. */
   readonly coldBound: ColdBound | undefined
-  /** Whether room is shared between teams, and what can still be in time goes first (`[room] fair`). */
+  /** Whether room is shared between teams, and requests that can still be in time go first (`[room] fair`). */
   readonly fair: boolean
-  /** Whether one gateway issues the places at a model's heads for all where they are scarce (`rooms.ts`). Absent: no. */
+  /**
+   * Whether one gateway issues the places at a model's heads for all gateways while they are scarce (`rooms.ts`).
+   * Absent: no.
+   */
   readonly sharedRoom?: boolean
   /** How long all streams of a replica's head may be silent before it is suspected. */
   readonly silence: number
-  /** Age of what another gateway says of the upstreams from which this one watches the store itself (`upstreamfeed.ts`). */
+  /**
+   * Age of another gateway's list of upstreams above which this gateway watches the store itself (`upstreamfeed.ts`).
+   */
   readonly patience: number
-  /** Time within which streams leave a data centre once this gateway knows that it is evacuated; undefined where evacuations are not looked for. */
+  /**
+   * Time within which streams leave a data centre once this gateway knows that it is evacuated; undefined if
+   * evacuations are disabled.
+   */
   readonly evacuation: number | undefined
-  /** Bounds on what is kept of answers that callers have not read (`[unread]`). */
+  /** Bounds on the bytes of answers that callers have not read yet (`[unread]`). */
   readonly unread: BacklogBounds
-  /** What the process may use before the balancer is told to send new callers to others (`[readiness]`). */
+  /** The resources that the process may use before the balancer sends new callers to other gateways (`[readiness]`). */
   readonly readiness: ReadinessLimits
-  /** Time between two heartbeats of an upstream at the platform. */
+  /** Interval between the heartbeats of an upstream at the platform. */
   readonly pulse: number
-  /** How long an engine whose entry went, and that answers, is kept in its replica; 0: it counts as missing at once. */
+  /**
+   * How long an engine that answers is retained in its replica after its entry is gone. 0: it counts as missing at
+   * once.
+   */
   readonly keepUnlisted: number
   /** Whether spares load weights before a replica needs them (`forming/src/warming.ts`). */
   readonly warmSpares: boolean
-  /** Times since the signal to stop: when the balancer has noticed, when new requests are refused, when the process ends. */
+  /**
+   * Times after the signal to stop: when the balancer has noticed, when new requests are refused, and when the process
+   * ends.
+   */
   readonly notice: number
   readonly refuseAfter: number
   readonly grace: number
--- a/packages/gateway/src/upstreamfeed.ts
+++ b/packages/gateway/src/upstreamfeed.ts
@@ -1,11 +1,13 @@
 /**
- * Takes the list of upstreams and its changes from another gateway: in a large fleet from one that watches the store for all, and in any
- * fleet while the store cannot be reached from here, also from the start of the process: it then serves within a second by what the
- * others know.
- * Each answer says up to when it lacks nothing. Where the newest word is older than the deployment allows, this gateway watches the store
- * itself: the one that it follows may have lost its way to the store unnoticed, and requests must not go on to upstreams that leave.
- * Owns which gateway is followed and the last change taken from it. Relies on `Leadership` for whom to follow, on `Peers` for who
- * lives, and on the platform to pause its own watch while this one follows.
+ * Takes the list of upstreams and its changes from another gateway. In a large fleet that gateway watches the store for
+ * all. In any fleet this is also done while the store cannot be reached from here, even right after the start, so that
+ * a new process serves within a second by what the others know.
+ * Each answer says up to which time it is complete. If the newest answer is older than the deployment allows, this
+ * gateway watches the store itself. The source may have lost the store unnoticed, and requests must not continue to go
+ * to upstreams that leave.
+ * Owns which gateway is followed, and the last change taken from it. Relies on `Leadership` for the possible sources,
+ * on `Peers` for which gateways are live, and on the platform to pause its own watch while this gateway follows
+ * another.
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type PeerAddress } from '@eiderwind/peers'
@@ -22,40 +24,40 @@
   readonly roster: Roster
   readonly platform: Platform
   readonly connections: Connections
-  /** The gateways to follow, the best first; none where this one should watch the store itself. */
+  /** The gateways to follow, the best first; empty if this gateway should watch the store itself. */
   readonly sources: () => readonly PeerAddress[]
-  /** Age of the newest word from which this gateway watches the store itself, if it can, in ms. */
+  /** Age of the newest answer above which this gateway watches the store itself, if it can, in ms. */
   readonly patience: number
   /** Called with an error that nothing else handles. */
   readonly failed: (error: unknown) => void
 }
 
-/** Pause before sources are looked for again, in ms: a start should take well under a second. */
-const lookInterval = 100
+/** Pause before the sources are tried again, in ms: a start should take well under a second. */
+const retryPause = 100
 
-/** Time between two checks of the age of the newest word, in ms: small beside any `patience`. */
+/** Interval between checks of the newest answer's age, in ms: short compared with any `patience`. */
 const checkInterval = 50
 
 /**
- * Pause after an answer, in which changes gather, in ms. It bounds what a gateway that is followed by many has to send; a watch of the
- * store gathers as long or longer (platform/src/platform.ts).
+ * Pause after an answer, in ms, so that several changes come in one answer. It bounds what a gateway with many
+ * followers has to send. A watch of the store collects changes for as long or longer (platform/src/platform.ts).
  */
-const gatherPause = 150
+const batchDelay = 150
 
-/** How long an answer may take beyond the time for which the other gateway may wait for a change, in ms. */
-const answerTime = 1500
+/** How long an answer may take, in ms, including the time for which the other gateway may wait for a change. */
+const answerTimeout = 1500
 
-/** How long the first answer of a source may take, which does not wait for a change, in ms. */
-const firstAnswerTime = 500
+/** How long the first answer of a source may take, in ms. It does not wait for a change. */
+const firstAnswerTimeout = 500
 
-/** Follows other gateways' lists of upstreams. */
+/** Follows the lists of upstreams of other gateways. */
 export class UpstreamFeed {
   readonly #options: UpstreamFeedOptions
   #timer: Subscription | undefined
   #stopped = false
-  /** Whether the source that was asked last has answered. */
-  #answering = false
-  /** The list lacks nothing that happened before this time, by the answers of sources, on `Clock.bootNow`. */
+  /** Whether the last request to a source was answered. */
+  #isSourceAnswering = false
+  /** By the answers of sources, the list is complete up to this time, on `Clock.bootNow`. */
   #completeAt = -Infinity
 
   constructor (options: UpstreamFeedOptions) {
@@ -76,62 +78,65 @@
     const { clock, sources } = this.#options
     while (!this.#stopped) {
       for (const source of sources()) await this.#follow(source)
-      this.#answering = false
+      this.#isSourceAnswering = false
       this.#check()
-      await clock.wait(lookInterval)
+      await clock.wait(retryPause)
     }
   }
 
-  /** Has the platform watch the store unless the list is followed here, and its newest word is young or the store away. */
+  /** Makes the platform watch the store, unless a source is followed and its newest answer is acceptable. */
   #check (): void {
     const { platform, sources } = this.#options
-    platform.setFollowing(this.#answering && this.#counts(this.#completeAt) && sources().length > 0)
+    platform.setFollowing(this.#isSourceAnswering && this.#isAcceptable(this.#completeAt) && sources().length > 0)
   }
 
-  /** Whether a list that lacks nothing from before `completeAt` counts: it is young enough, or the store is away, so that there is no better. */
-  #counts (completeAt: number): boolean {
+  /**
+   * Whether a list that is complete up to `completeAt` is acceptable: it is recent enough, or the store is unreachable
+   * and there is no better list.
+   */
+  #isAcceptable (completeAt: number): boolean {
     const { clock, board, patience } = this.#options
     return !board.read('store') || clock.bootNow() - completeAt <= patience
   }
 
-  /** Follows one gateway as long as it is a source, answers, and what it says counts. */
+  /** Follows one gateway as long as it is a source, answers, and its answers are acceptable. */
   async #follow ({ id, address }: PeerAddress): Promise<void> {
     const { clock, sources } = this.#options
     let last: UpstreamChanges | undefined
     while (!this.#stopped && sources().some(each => each.id === id)) {
       const askedAt = clock.bootNow()
-      // A gateway that does not answer is left for the next source, or for the store itself.
-      const answer = await this.#ask(address, last).catch(() => undefined)
+      // If a gateway does not answer, the next source or the store itself is tried.
+      const answer = await this.#requestUpstreams(address, last).catch(() => undefined)
       if (answer === undefined || this.#stopped) return
       if (!sources().some(each => each.id === id)) return
       const completeAt = askedAt - (answer.age ?? Infinity)
-      if (!this.#counts(completeAt)) return
-      this.#take(answer, completeAt)
+      if (!this.#isAcceptable(completeAt)) return
+      this.#apply(answer, completeAt)
       this.#check()
       last = answer
-      await clock.wait(gatherPause)
+      await clock.wait(batchDelay)
     }
   }
 
-  async #ask (address: string, last: UpstreamChanges | undefined): Promise<UpstreamChanges> {
+  async #requestUpstreams (address: string, last: UpstreamChanges | undefined): Promise<UpstreamChanges> {
     const { clock, board, connections } = this.#options
     const path = upstreamsTarget({ life: last?.life ?? '', after: last?.newest ?? 0, revision: board.read('upstreamsRevision') })
     const call = { origin: `http://${address}`, path, method: 'GET', headers: {}, body: undefined }
-    const { body } = await ask(connections, clock, call, last === undefined ? firstAnswerTime : answerTime)
+    const { body } = await ask(connections, clock, call, last === undefined ? firstAnswerTimeout : answerTimeout)
     return decodeUpstreamChanges(body.toString())
   }
 
-  #take ({ upstreams, changes, revision }: UpstreamChanges, completeAt: number): void {
+  #apply ({ upstreams, changes, revision }: UpstreamChanges, completeAt: number): void {
     const { board, roster } = this.#options
-    this.#answering = true
+    this.#isSourceAnswering = true
     this.#completeAt = completeAt
     board.write('upstreamsFrom', 'peer')
     if (board.read('store')) board.write('followed', true)
     board.write('upstreamsAt', completeAt)
-    // The gateway that watches the store has judged already whether what is missing has lapsed or is gone.
+    // The gateway that watches the store has already decided whether a missing upstream has lapsed or is gone.
     if (upstreams !== undefined) roster.replace(upstreams, 'certain')
     if (changes !== undefined && changes.length > 0) roster.apply(changes, 'certain')
-    // A source may be behind what this gateway has read itself. A whole list counts as it is.
+    // A source may be behind what this gateway has already read. The revision of a whole list is taken as it is.
     const known = upstreams === undefined ? board.read('upstreamsRevision') : undefined
     board.write('upstreamsRevision', revision === undefined || known === undefined ? revision : Math.max(revision, known))
   }
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -700,7 +700,7 @@
     point: 3,
     rule: 'a gateway without the store learns from others what is evacuated (EVAC)',
     file: 'packages/gateway/dist/src/evacuating.js',
-    find: 'evacuation !== undefined && isNews ? { evacuation } : {}',
+    find: 'evacuation !== undefined && isAnnounced ? { evacuation } : {}',
     replace: '{}',
     test: 'platform/dist/test/evacuation.test.js',
     title: 'a gateway that has lost the store*'
@@ -740,7 +740,7 @@
     point: 3,
     rule: 'a gateway without the store hears from the others that an upstream is cold (FAILBACK)',
     file: 'packages/gateway/dist/src/limiting.js',
-    find: 'cold: this.cold.reports(issues)',
+    find: 'cold: this.cold.reports(isIssuedHere)',
     replace: 'cold: {}',
     test: 'packages/gateway/dist/test/coldfleet.test.js',
     title: '*store-cut'
