--- a/packages/gateway/src/upstreamfeed.ts
+++ b/packages/gateway/src/upstreamfeed.ts
@@ -35,7 +35,7 @@
 /** Pause before the sources are tried again, in ms: a start should take well under a second. */
 const retryPause = 100
 
-/** Interval between checks of the newest answer's age, in ms: short compared with any `patience`. */
+/** Interval between checks of the newest answer's age, in ms: short compared with the age that is accepted. */
 const checkInterval = 50
 
 /**
