--- a/packages/gateway/test/changelog.test.ts
+++ b/packages/gateway/test/changelog.test.ts
@@ -1,6 +1,7 @@
 /**
- * What a gateway tells of the upstreams whose records lapsed in an outage: it has yet to judge whether they are gone. One that followed it then and watches the
- * store by itself again must learn of their end, which the store does not tell a second time.
+ * What a gateway reports to its followers about upstreams whose records lapsed in an outage, before it has decided
+ * whether they are gone. A gateway that followed it then and watches the store itself again must learn of their end,
+ * although the store does not report it a second time.
  */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
@@ -9,11 +10,12 @@
 import { gatewayBoard } from '../src/facts.js'
 import { type UpstreamChanges } from '../src/messages.js'
 
-/** Above the shortest outage in which records may lapse, and above the time in which they are listed again, in ms. */
+/** Length of the outage, in ms. It is above the shortest outage in which records may lapse. */
 const outageTime = 3000
+/** Time after the outage, in ms. It is above the time in which lapsed records are listed again. */
 const relistTime = 3000
 
-/** The store's revisions before and after the outage. */
+/** Revisions of the store before and after the outage. */
 const before = 5
 const after = 7
 
@@ -23,7 +25,7 @@
 
 const [stays, ends] = [upstream('stays'), upstream('ends')]
 
-/** A gateway that has watched the store from before an outage to after it, in which one of two records went. */
+/** Creates a gateway that watches the store before and after an outage in which one of two records lapsed. */
 function source (clock: ManualClock): { roster: Roster, log: ChangeLog } {
   const outage = new Outage(clock)
   const roster = new Roster(clock, outage)
@@ -42,28 +44,31 @@
   return { roster, log }
 }
 
-/** Takes an answer as a follower does, and what the store tells one that goes on behind a revision; without a revision it reads the whole list. */
-function watchAgain (roster: Roster, { upstreams, changes = [], revision }: UpstreamChanges): void {
+/**
+ * Applies an answer as a follower does, and then what the store reports to a watch that resumes after the revision of
+ * the answer. Without a revision, the whole list is read.
+ */
+function resumeWatch (roster: Roster, { upstreams, changes = [], revision }: UpstreamChanges): void {
   if (upstreams === undefined) roster.apply(changes, 'certain')
   else roster.replace(upstreams, 'certain')
   if (revision === undefined || revision < after) roster.replace([stays])
 }
 
-test('a gateway that followed another one just after an outage, and watches the store itself again, keeps no upstream that has ended', async t => {
-  for (const asked of [undefined, before].map(revision => ({ life: '', after: 0, revision }))) {
+test('a gateway that followed another one just after an outage and watches the store itself again does not keep an upstream that has ended', async t => {
+  for (const request of [undefined, before].map(revision => ({ life: '', after: 0, revision }))) {
     const clock = new ManualClock()
     const { log } = source(clock)
     const follower = new Roster(clock)
     follower.replace([stays, ends])
-    const answer = log.after(asked)
-    // One that lacks no change waits for the next for as long as the log says.
+    const answer = log.after(request)
+    // A request that lacks no change waits for the next one, for as long as the option `wait` says.
     clock.advance(0)
-    watchAgain(follower, await answer)
+    resumeWatch(follower, await answer)
     t.deepEqual(follower.upstreams, [stays])
   }
 })
 
-test('a gateway that goes on following hears of the end, and then up to which revision it knows all', async t => {
+test('a gateway that continues to follow receives the end of the upstream, and then the revision up to which it has all changes', async t => {
   const clock = new ManualClock()
   const { log, roster } = source(clock)
   const first = await log.after({ life: '', after: 0, revision: undefined })
--- a/packages/gateway/test/choice.test.ts
+++ b/packages/gateway/test/choice.test.ts
@@ -1,6 +1,7 @@
 /**
- * Many gateways that share replica heads, each with the real `Choice` and what it hears of the others four times a second. The load is that of
- * a large fleet: 35 gateways before 48 heads of 20 slots, 300 requests a second that take 1.8 to 3 s, three quarters of what the heads hold.
+ * Many gateways that share replica heads, each with the real `Choice` and the heartbeats of the others four times a
+ * second. The load is that of a large fleet: 35 gateways and 48 heads of 20 slots, with 300 requests a second that take
+ * 1.8 to 3 s. This is three quarters of the capacity of the heads.
  */
 import test from 'ava'
 import { ManualClock, seeded } from '@eiderwind/clock'
@@ -15,16 +16,19 @@
 
 const gateways = 35
 const heads = 48
+/** Requests a second. */
 const arrivalRate = 300
+/** Length of a run, in ms. */
 const span = 8000
+/** Time at the beginning whose requests do not count, in ms. */
 const warmUp = 3000
 
 function head (index: number): Upstream {
   return { id: `h${index}`, service: 's', address: `h${index}:1`, dataCentre: 'dc', leaving: false, loaded: ['m'], staged: [], membership: { replica: `r${index}`, epoch: 1, rank: 0, state: 'open' } }
 }
 
-/** Share of the requests that meet a head all of whose slots are taken. */
-async function metFull (seed: number): Promise<number> {
+/** Returns the share of the requests that are sent to a head without a free slot. */
+async function shareSentToFullHeads (seed: number): Promise<number> {
   const clock = new ManualClock()
   const random = seeded(seed)
   const network = new Network(random)
@@ -70,9 +74,9 @@
   return full / sent
 }
 
-test('gateways that hear of each other four times a second do not all send to the head that looks emptiest', async t => {
+test('gateways with heartbeats four times a second do not all send to the head that appears least loaded', async t => {
   for (const seed of [1, 2, 3]) {
-    const share = await metFull(seed)
+    const share = await shareSentToFullHeads(seed)
     t.true(share < 0.03, String(share))
   }
 })
--- a/packages/gateway/test/coldfleet.ts
+++ b/packages/gateway/test/coldfleet.ts
@@ -1,91 +1,106 @@
 /**
- * A model of cold upstreams before many gateways, with the real parts that keep limits: upstreams are cold at any moment, gateways are killed, started, cut off from each other or from
- * the store, and each reads of it later than the others. Requests are counted where they arrive.
+ * Simulates many gateways with cold upstreams, with the real code that enforces limits. Upstreams become cold at random
+ * times. Gateways are killed, restarted, and cut off from each other or from the store, and each receives a change of
+ * the store after a delay of its own. Requests are counted when they arrive at an upstream.
  */
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
-import { Member, addressOf, addressesOf, listed, most } from './limitmember.js'
+import { Member, addressOf, addressesOf, upstreamRecord, maxInWindow } from './limitmember.js'
 import { Network } from './network.js'
 
-/** What a seed plays. */
-export interface ColdDay {
+/** The parameters of a run. */
+export interface ColdScenario {
   readonly seed: number
   readonly gateways: number
   readonly upstreams: number
-  /** Requests a second that a cold upstream bears; the bound. */
+  /** Requests a second that a cold upstream can take. */
   readonly rate: number
+  /** The bound for requests in a second is `rate * overshoot + slack`. */
   readonly overshoot: number
   readonly slack: number
-  /** What befalls gateways. */
+  /** Faults that are injected at gateways. */
   readonly faults: ReadonlyArray<'kill' | 'store-cut' | 'partition'>
 }
 
-/** What came of it. */
+/** The figures of a run. */
 export interface ColdResult {
-  /** Most requests in any one second at an upstream that had been cold for `noticeTime` at its beginning. */
-  readonly most: number
-  /** Requests at cold upstreams, in parts of what their rates allow. */
-  readonly used: number
-  readonly colds: number
+  /** Maximum number of requests in any second at an upstream that has been cold for at least `propagationTime`. */
+  readonly maxPerSecond: number
+  /** Requests at cold upstreams, as a fraction of the number that their rates allow. */
+  readonly usedShare: number
+  /** Number of times that an upstream became cold. */
+  readonly coldSpans: number
 }
 
-/** Longest time from a change in the store until a gateway that reaches it reads of it, in ms. */
-const longestLag = 300
-/** Time within which all gateways know, also those that hear of it by heartbeats alone, one of which is lost, in ms. */
-const noticeTime = 2 * 250 + longestLag
+/** Maximum time from a change in the store until a gateway that can reach the store receives it, in ms. */
+const maxLag = 300
+/**
+ * Time within which all gateways have learned of a change, in ms. It allows for a gateway that learns of it by
+ * heartbeats only and loses one of them.
+ */
+const propagationTime = 2 * 250 + maxLag
+/** Time over which requests are counted, in ms. */
 const window = 1000
-const patience = 80
-const distance = 1.5
+/** How long a request waits before it is refused, in ms. */
+const maxWait = 80
+/** Time of a datagram or request in transit, in ms. */
+const oneWayDelay = 1.5
+/** Share of the datagrams that are lost. */
 const loss = 0.02
-/** Requests that come a second, in parts of the bounds of all upstreams. */
+/** Requests of callers, as a multiple of the bounds of all upstreams. */
 const demand = 2
+/** Time before the first cold upstream, in ms. */
 const settleTime = 2500
+/** Length of a run after that, in ms. */
 const span = 16_000
+/** Step of the clock, in ms. */
 const step = 4
 
-interface Engine {
+interface ColdUpstream {
   readonly id: string
-  /** Spans in which it was cold. */
+  /** Times in which the upstream was cold. */
   readonly spans: Array<{ readonly from: number, to: number }>
-  /** Time left by its record in the store. */
-  said: number
+  /** Remaining cold time according to the record in the store, in ms. */
+  recordedCold: number
+  /** Times at which requests arrived. */
   readonly arrivals: number[]
 }
 
 class ColdFleet {
-  readonly #day: ColdDay
+  readonly #scenario: ColdScenario
   readonly #clock = new ManualClock()
   readonly #random: Random
   readonly #network: Network
-  readonly #engines: Engine[]
+  readonly #upstreams: ColdUpstream[]
   readonly #ids: string[]
   readonly #members = new Map<string, Member>()
-  /** Gateways that the store cannot be reached from, and one side of a partition. */
-  readonly #storeless = new Set<string>()
-  #side: ReadonlySet<string> = new Set()
-
-  constructor (day: ColdDay) {
-    this.#day = day
-    this.#random = seeded(day.seed)
-    this.#network = new Network(this.#random, { clock: this.#clock, time: distance, loss })
-    this.#engines = Array.from({ length: day.upstreams }, (_each, index) => ({ id: `u${index}`, spans: [], said: 0, arrivals: [] }))
-    this.#ids = Array.from({ length: day.gateways }, (_each, index) => `g${index}`)
-    this.#network.cut = (from, to) => this.#side.has(from) !== this.#side.has(to)
+  /** Gateways that cannot reach the store. */
+  readonly #withoutStore = new Set<string>()
+  /** Addresses on one side of a partition. */
+  #partitionSide: ReadonlySet<string> = new Set()
+
+  constructor (scenario: ColdScenario) {
+    this.#scenario = scenario
+    this.#random = seeded(scenario.seed)
+    this.#network = new Network(this.#random, { clock: this.#clock, delay: oneWayDelay, loss })
+    this.#upstreams = Array.from({ length: scenario.upstreams }, (_each, index) => ({ id: `u${index}`, spans: [], recordedCold: 0, arrivals: [] }))
+    this.#ids = Array.from({ length: scenario.gateways }, (_each, index) => `g${index}`)
+    this.#network.isCut = (from, to) => this.#partitionSide.has(from) !== this.#partitionSide.has(to)
   }
 
-  async play (): Promise<ColdResult> {
+  async run (): Promise<ColdResult> {
     for (const id of this.#ids) await this.#start(id)
-    await this.#run(settleTime)
+    await this.#advance(settleTime)
     const end = this.#clock.now() + span
     while (this.#clock.now() < end) {
-      this.#chill()
-      if (this.#random() < 0.5) this.#strike()
-      await this.#run(200 + this.#random() * 1500)
+      this.#beginCold()
+      if (this.#random() < 0.5) this.#injectFault()
+      await this.#advance(200 + this.#random() * 1500)
     }
     return this.#result()
   }
 
-  async #run (time: number): Promise<void> {
-    const { rate, overshoot, slack, upstreams } = this.#day
+  async #advance (time: number): Promise<void> {
+    const { rate, overshoot, slack, upstreams } = this.#scenario
     const each = demand * upstreams * (rate * overshoot + slack) * step / 1000
     for (const end = this.#clock.now() + time; this.#clock.now() < end;) {
       this.#clock.advance(step)
@@ -94,85 +109,91 @@
     }
   }
 
-  /** A request comes to any gateway; of all upstreams it takes any that has room. */
+  /** Sends a request to a random gateway. Any upstream with room may serve it. */
   #arrive (): void {
     const member = this.#members.get(this.#pick(this.#ids))
-    const order = this.#engines.map(({ id }) => ({ id, draw: this.#random() })).sort((a, b) => a.draw - b.draw).map(each => each.id)
-    member?.ask(order, patience, id => this.#clock.after(distance, () => this.#engines.find(each => each.id === id)?.arrivals.push(this.#clock.now())))
+    const order = this.#upstreams.map(({ id }) => ({ id, draw: this.#random() })).sort((a, b) => a.draw - b.draw).map(each => each.id)
+    member?.request(order, maxWait, id => this.#clock.after(oneWayDelay, () => this.#upstreams.find(each => each.id === id)?.arrivals.push(this.#clock.now())))
   }
 
-  /** An upstream is cold from now on, or for longer. Its record says so at once, and says no longer so at the end. */
-  #chill (): void {
-    const engine = this.#pick(this.#engines)
+  /**
+   * Makes a random upstream cold, or extends its cold time. The store has the record at once, and a record without a
+   * cold time at the end.
+   */
+  #beginCold (): void {
+    const upstream = this.#pick(this.#upstreams)
     const now = this.#clock.now()
     const time = 500 + this.#random() * 3500
-    const last = engine.spans.at(-1)
-    // One that is cold again just when it was over has been warm for those that read late.
-    if (last !== undefined && last.to > now && last.to < now + noticeTime) return
+    const last = upstream.spans.at(-1)
+    // If the cold time were extended just before its end, gateways that read late would see a warm upstream in between.
+    if (last !== undefined && last.to > now && last.to < now + propagationTime) return
     const to = Math.max(now + time, last?.to ?? 0)
     if (last !== undefined && last.to > now) last.to = to
-    else engine.spans.push({ from: now, to })
-    this.#write(engine, to - now)
-    this.#clock.after(to - now, () => { if ((engine.spans.at(-1)?.to ?? 0) <= this.#clock.now()) this.#write(engine, 0) })
+    else upstream.spans.push({ from: now, to })
+    this.#write(upstream, to - now)
+    this.#clock.after(to - now, () => { if ((upstream.spans.at(-1)?.to ?? 0) <= this.#clock.now()) this.#write(upstream, 0) })
   }
 
-  #write (engine: Engine, said: number): void {
-    engine.said = said
-    for (const id of this.#ids) this.#tell(id, engine)
+  #write (upstream: ColdUpstream, recordedCold: number): void {
+    upstream.recordedCold = recordedCold
+    for (const id of this.#ids) this.#notify(id, upstream)
   }
 
-  #tell (id: string, engine: Engine): void {
+  #notify (id: string, upstream: ColdUpstream): void {
     const member = this.#members.get(id)
-    this.#clock.after(this.#random() * longestLag, () => {
-      // Another record may have replaced the one of which it is told.
-      if (!this.#storeless.has(id)) member?.roster.apply([{ upstream: listed(engine.id, engine.said) }])
+    this.#clock.after(this.#random() * maxLag, () => {
+      // A later record may have replaced the one that caused this notification, so the current one is sent.
+      if (!this.#withoutStore.has(id)) member?.roster.apply([{ upstream: upstreamRecord(upstream.id, upstream.recordedCold) }])
     })
   }
 
-  #strike (): void {
-    const { faults } = this.#day
+  #injectFault (): void {
+    const { faults } = this.#scenario
     if (faults.length === 0) return
     const time = 500 + this.#random() * 3000
     const id = this.#pick(this.#ids)
     switch (this.#pick(faults)) {
       case 'kill': return this.#kill(id, time)
       case 'store-cut': return this.#cutStore(id, time)
-      case 'partition': return this.#part(time)
+      case 'partition': return this.#partition(time)
     }
   }
 
   #kill (id: string, time: number): void {
     const member = this.#members.get(id)
-    if (member === undefined || this.#storeless.size > 0) return
+    if (member === undefined || this.#withoutStore.size > 0) return
     member.peers.stop()
     this.#members.delete(id)
     this.#clock.after(time, () => { this.#start(id).catch(error => { throw error }) })
   }
 
-  /** Someone who lives reaches the store, and all reach someone who does: nothing tells the others that an upstream is cold. */
+  /**
+   * Cuts a gateway off from the store. Skipped if no other live gateway would reach the store or if the network is
+   * partitioned, because nothing could then inform the gateway that an upstream is cold.
+   */
   #cutStore (id: string, time: number): void {
-    const informed = [...this.#members.keys()].filter(each => each !== id && !this.#storeless.has(each))
-    if (informed.length === 0 || this.#side.size > 0) return
-    this.#storeless.add(id)
+    const informed = [...this.#members.keys()].filter(each => each !== id && !this.#withoutStore.has(each))
+    if (informed.length === 0 || this.#partitionSide.size > 0) return
+    this.#withoutStore.add(id)
     this.#clock.after(time, () => {
-      this.#storeless.delete(id)
-      for (const each of this.#engines) this.#tell(id, each)
+      this.#withoutStore.delete(id)
+      for (const each of this.#upstreams) this.#notify(id, each)
     })
   }
 
-  #part (time: number): void {
-    if (this.#side.size > 0 || this.#storeless.size > 0) return
-    this.#side = new Set(this.#ids.filter(() => this.#random() < 0.4).map(addressOf))
-    this.#clock.after(time, () => { this.#side = new Set() })
+  #partition (time: number): void {
+    if (this.#partitionSide.size > 0 || this.#withoutStore.size > 0) return
+    this.#partitionSide = new Set(this.#ids.filter(() => this.#random() < 0.4).map(addressOf))
+    this.#clock.after(time, () => { this.#partitionSide = new Set() })
   }
 
   async #start (id: string): Promise<void> {
-    const { rate, overshoot, slack } = this.#day
+    const { rate, overshoot, slack } = this.#scenario
     const member = new Member({ clock: this.#clock, random: this.#random, network: this.#network, id, service: { name: 's', connections: 1, coldRate: rate, coldTime: 0 }, coldBound: { overshoot, slack } })
     this.#members.set(id, member)
     await member.peers.start()
     member.peers.setAddresses(addressesOf(this.#ids))
-    member.roster.replace(this.#engines.map(each => listed(each.id, each.said)))
+    member.roster.replace(this.#upstreams.map(each => upstreamRecord(each.id, each.recordedCold)))
   }
 
   #pick<Item> (items: readonly Item[]): Item {
@@ -180,18 +201,18 @@
   }
 
   #result (): ColdResult {
-    const { rate } = this.#day
-    const spans = this.#engines.flatMap(({ spans, arrivals }) => spans.map(({ from, to }) => arrivals.filter(at => at >= from + noticeTime && at < to)))
-    const cold = this.#engines.flatMap(each => each.spans.map(({ from, to }) => Math.max(0, Math.min(to, this.#clock.now()) - from - noticeTime)))
+    const { rate } = this.#scenario
+    const spans = this.#upstreams.flatMap(({ spans, arrivals }) => spans.map(({ from, to }) => arrivals.filter(at => at >= from + propagationTime && at < to)))
+    const cold = this.#upstreams.flatMap(each => each.spans.map(({ from, to }) => Math.max(0, Math.min(to, this.#clock.now()) - from - propagationTime)))
     return {
-      most: Math.max(0, ...spans.map(each => most(each, window))),
-      used: spans.flat().length / (rate * cold.reduce((sum, each) => sum + each, 0) / 1000),
-      colds: spans.length
+      maxPerSecond: Math.max(0, ...spans.map(each => maxInWindow(each, window))),
+      usedShare: spans.flat().length / (rate * cold.reduce((sum, each) => sum + each, 0) / 1000),
+      coldSpans: spans.length
     }
   }
 }
 
-/** Plays one seed. */
-export async function playCold (day: ColdDay): Promise<ColdResult> {
-  return await new ColdFleet(day).play()
+/** Simulates one run. */
+export async function simulateCold (scenario: ColdScenario): Promise<ColdResult> {
+  return await new ColdFleet(scenario).run()
 }
--- a/packages/gateway/test/coldstarts.test.ts
+++ b/packages/gateway/test/coldstarts.test.ts
@@ -1,10 +1,11 @@
-/** From which records and answers a gateway takes that an upstream is cold, and for how long. */
+/** Which records and answers make an upstream cold at a gateway, and for how long. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { ColdUpstreams } from '@eiderwind/limits'
 import { Roster, type Upstream } from '@eiderwind/roster'
 import { ColdStarts } from '../src/coldstarts.js'
 
+/** Time for which a started upstream is cold, in ms. */
 const startTime = 3000
 
 function upstream (id: string, fields: Partial<Upstream> = {}): Upstream {
@@ -22,20 +23,20 @@
     this.roster.apply(upstreams.map(each => ({ upstream: each })))
   }
 
-  /** Time for which an upstream is still cold, in ms. */
+  /** Remaining time for which an upstream is cold, in ms. */
   left (id: string): number {
     return Math.max(0, this.cold.remaining(id))
   }
 }
 
-test('what a gateway finds at its start is cold where its record says so', t => {
+test('an upstream that a gateway finds at its start is cold only if its record says so', t => {
   const { roster, began, ...fixture } = new Fixture()
   roster.replace([upstream('a'), upstream('b', { cold: 1200 })])
   t.deepEqual(began, ['b'])
   t.is(fixture.cold.remaining('b'), 1200)
 })
 
-test('one that is listed later is cold for as long as a start takes, whatever its record says', t => {
+test('an upstream that is listed later is cold for at least its start time, whatever its record says', t => {
   const fixture = new Fixture()
   fixture.roster.replace([])
   fixture.list(upstream('a'), upstream('b', { cold: 1200 }), upstream('c', { cold: 9000 }), upstream('d', { service: 'plain' }))
@@ -43,7 +44,7 @@
   t.deepEqual(fixture.began, ['a b c'])
 })
 
-test('a record that first says that it is cold and then no longer ends it; one that never said so does not', t => {
+test('a record that no longer has a cold time ends it; a record that never had one does not', t => {
   const fixture = new Fixture()
   fixture.roster.replace([])
   fixture.list(upstream('a'), upstream('b', { cold: 2900 }))
@@ -52,7 +53,7 @@
   t.deepEqual(['a', 'b'].map(id => fixture.left(id)), [startTime - 100, 0])
 })
 
-test('an upstream becomes cold again at any moment', t => {
+test('an upstream can become cold again at any time', t => {
   const fixture = new Fixture()
   fixture.roster.replace([upstream('a')])
   fixture.list(upstream('a', { cold: 3000 }))
@@ -64,7 +65,7 @@
   t.deepEqual(fixture.began, ['a', 'a'])
 })
 
-test('a record that was read before says nothing new', t => {
+test('a record that is read a second time does not extend the cold time', t => {
   const fixture = new Fixture()
   fixture.roster.replace([upstream('a', { cold: 3000 })])
   fixture.clock.advance(2000)
@@ -72,14 +73,14 @@
   t.is(fixture.left('a'), 1000)
 })
 
-test('a later life is cold from its listing', t => {
+test('a later incarnation is cold from its listing', t => {
   const fixture = new Fixture()
   fixture.roster.replace([upstream('a@1', { name: 'a', born: 1 })])
   fixture.list(upstream('a@2', { name: 'a', born: 2 }))
   t.is(fixture.left('a@2'), startTime)
 })
 
-test('an answer says it too, and what is forgotten is listed anew', t => {
+test('an answer makes an upstream cold too, and a forgotten upstream counts as new when it is listed', t => {
   const fixture = new Fixture()
   fixture.roster.replace([upstream('a')])
   fixture.starts.answered('a', 700)
--- a/packages/gateway/test/conditions.test.ts
+++ b/packages/gateway/test/conditions.test.ts
@@ -1,4 +1,4 @@
-/** What follows at a gateway, and at the others, from what upstreams say of themselves and from their refusals. */
+/** How a gateway, and the other gateways, react to an upstream's announcements and refusals. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight } from '@eiderwind/detect'
@@ -10,15 +10,15 @@
 import { Conditions } from '../src/conditions.js'
 import { seeker } from './seeker.js'
 
-const nothing: Condition = { leaving: false, rest: 0 }
+const noCondition: Condition = { leaving: false, rest: 0 }
 
-/** The head of a replica; a plain upstream is in none. */
+/** Returns the head of a replica. A plain upstream has no membership. */
 function upstream (id: string, membership: Upstream['membership'] = { replica: id, epoch: 1, rank: 0, state: 'open' }): Upstream {
   return { id, service: 's', address: `${id}:1`, dataCentre: 'dc', leaving: false, loaded: [], staged: [], membership }
 }
 
-function heartbeat (news: Partial<Heartbeat>): Heartbeat {
-  return { id: 'other', revision: 0, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: false, loads: {}, ...news }
+function heartbeat (fields: Partial<Heartbeat>): Heartbeat {
+  return { id: 'other', revision: 0, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: false, loads: {}, ...fields }
 }
 
 class Fixture {
@@ -29,32 +29,32 @@
   readonly lines: string[] = []
   readonly limits: string[] = []
   readonly cold: string[] = []
-  told = 0
-  rested = 0
+  notifications = 0
+  restCount = 0
   readonly conditions = new Conditions({
     clock: this.clock,
     log: { write: (name: string, { upstream, rest, from }: Record<string, unknown>) => this.lines.push([name, upstream, rest ?? from].join(' ').trim()) } as unknown as Log,
     roster: this.roster,
     inFlight: this.inFlight,
     queue: this.queue,
-    tell: () => { this.told++ },
+    tell: () => { this.notifications++ },
     limited: (id, rate) => { this.limits.push(`${id} ${rate}`) },
     cold: (id, remaining) => { this.cold.push(`${id} ${remaining}`) },
-    rested: () => { this.rested++ }
+    rested: () => { this.restCount++ }
   })
 
   constructor () {
     this.roster.replace([upstream('a'), upstream('b')])
   }
 
-  /** Has an upstream answer a request that was sent now. */
-  answer (id: string, refused: boolean, condition = nothing, from = upstream(id)): void {
+  /** Simulates an answer of an upstream to a request that is sent now. */
+  answer (id: string, refused: boolean, condition = noCondition, from = upstream(id)): void {
     const head: AnswerHead = { status: refused ? 503 : 200, headers: {}, refused, sentAt: this.clock.now() }
     this.conditions.answered(from, head, condition)
   }
 }
 
-test('a rest is logged and counted once, what waits for its connection there is withdrawn, and who waits looks again at its end', async t => {
+test('a rest is logged and counted once, requests without a connection are withdrawn, and waiting requests search again at its end', async t => {
   const fixture = new Fixture()
   const { clock, conditions, inFlight, lines, queue } = fixture
   let withdrawn = 0
@@ -64,13 +64,13 @@
   conditions.take('a', { leaving: false, rest: 1000 })
   t.is(withdrawn, 1)
   t.deepEqual(lines, ['upstream-resting a 1000'])
-  t.is(fixture.rested, 1)
+  t.is(fixture.restCount, 1)
   const found = queue.wait(seeker(clock.now(), clock.now() + 5000), () => conditions.rests.has('a') ? undefined : clock.now())
   clock.advance(1000)
   t.is(await found, 1000)
 })
 
-test('an upstream that refuses without a time is left out, longer each time, and not logged as one that rests', t => {
+test('an upstream that refuses without a time is left out for increasing times, and no rest is logged', t => {
   const fixture = new Fixture()
   const { clock, conditions: { rests } } = fixture
   const refuse = (): number => {
@@ -89,38 +89,38 @@
   t.deepEqual(fixture.lines, [])
 })
 
-test('a plain upstream is not left out for refusals without a time, and rests where it asks for that', t => {
+test('a plain upstream is not left out after refusals without a time, but rests if it asks for it', t => {
   const fixture = new Fixture()
   const { membership: _head, ...plain } = upstream('a')
   for (let count = 0; count < 5; count++) {
     fixture.clock.advance(1)
-    fixture.answer('a', true, nothing, plain)
+    fixture.answer('a', true, noCondition, plain)
   }
   t.false(fixture.conditions.rests.has('a'))
   fixture.answer('a', true, { leaving: false, rest: 500 }, plain)
   t.is(fixture.conditions.rests.left('a'), 500)
 })
 
-test('a refusal for a time that the upstream names is no pause of its own', t => {
+test('a refusal with a time does not count as a refusal without one', t => {
   const fixture = new Fixture()
   fixture.answer('a', true, { leaving: false, rest: 50 })
   t.is(fixture.conditions.rests.left('a'), 50)
-  t.is(fixture.rested, 1)
+  t.is(fixture.restCount, 1)
 })
 
-test('an answer of an earlier request that ends well ends no rest', t => {
+test('a successful answer to an earlier request does not end a rest', t => {
   const fixture = new Fixture()
   fixture.answer('a', true, { leaving: false, rest: 500 })
   fixture.answer('a', false)
   t.is(fixture.conditions.rests.left('a'), 500)
 })
 
-test('the other gateways hear of an upstream that is leaving from the one that it told, and do not pass it on', t => {
+test('the gateway to which an upstream announces that it is leaving notifies the others, and these do not forward it', t => {
   const first = new Fixture()
   const second = new Fixture()
   first.answer('a', false, { leaving: true, rest: 0 })
   first.answer('a', false, { leaving: true, rest: 0 })
-  t.is(first.told, 1)
+  t.is(first.notifications, 1)
   t.deepEqual(first.conditions.news, { leaving: ['a'] })
   second.conditions.hear(heartbeat(first.conditions.news))
   second.conditions.hear(heartbeat(first.conditions.news))
@@ -129,7 +129,7 @@
   t.deepEqual(second.conditions.news, { leaving: [] })
 })
 
-test('a gateway that has no list yet hears of it with a later heartbeat', t => {
+test('a gateway that has no list yet learns of a leaving upstream from a later heartbeat', t => {
   const late = new Fixture()
   late.roster.replace([])
   late.clock.advance(100_000)
@@ -141,7 +141,7 @@
   t.deepEqual(late.roster.available('s'), [])
 })
 
-test('an upstream that nobody remembers any more is told to nobody', t => {
+test('an upstream that has been forgotten is no longer reported as leaving', t => {
   const { clock, roster, conditions } = new Fixture()
   conditions.take('a', { leaving: true, rest: 0 })
   roster.apply([{ gone: 'a', certain: true }])
@@ -151,10 +151,10 @@
   t.deepEqual(conditions.news, { leaving: [] })
 })
 
-test('the limit of any answer that tells of one is passed on', t => {
+test('the limit in any answer is forwarded', t => {
   const fixture = new Fixture()
-  fixture.answer('a', false, { ...nothing, limit: 3 })
-  fixture.conditions.take('a', { ...nothing, limit: Infinity })
-  fixture.conditions.take('a', nothing)
+  fixture.answer('a', false, { ...noCondition, limit: 3 })
+  fixture.conditions.take('a', { ...noCondition, limit: Infinity })
+  fixture.conditions.take('a', noCondition)
   t.deepEqual(fixture.limits, ['a 3', 'a Infinity'])
 })
--- a/packages/gateway/test/digest.test.ts
+++ b/packages/gateway/test/digest.test.ts
@@ -1,4 +1,7 @@
-/** What choice, queue, retry budget and failure detection give on fixed seeds, held by digests: one that moves is a change of behaviour. */
+/**
+ * Results of choice, queue, retry budget and failure detection on fixed seeds, compared by digest. A digest that
+ * differs means that the behaviour has changed.
+ */
 import { createHash } from 'node:crypto'
 import { createSocket } from 'node:dgram'
 import test from 'ava'
@@ -31,18 +34,19 @@
   }
 }
 
-function alone (clock: ManualClock): Peers {
+/** Returns the peers of a gateway that knows no other gateway. */
+function peersWithoutOthers (clock: ManualClock): Peers {
   const heartbeat = { id: 'e', revision: 0, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: false, loads: {} }
   return new Peers({ clock, id: 'e', address: '127.0.0.1:1', heartbeat: () => heartbeat, interval: 250, timeout: 1000 })
 }
 
-test('choices among heads and plain upstreams', t => {
+test('choices among heads and plain upstreams are the same', t => {
   const random = seeded(41)
   const clock = new ManualClock()
   const roster = new Roster(clock)
   const flights = new InFlight(clock, () => {})
   const suspects = new Suspects(clock, roster)
-  const choice = new Choice({ roster, inFlight: flights, peers: alone(clock), suspects, intake: new Intake({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc1', random: seeded(42) })
+  const choice = new Choice({ roster, inFlight: flights, peers: peersWithoutOthers(clock), suspects, intake: new Intake({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc1', random: seeded(42) })
   const running: InFlightRequest[] = []
   const lines: string[] = []
   for (let step = 0; step < 2000; step++) {
@@ -69,7 +73,7 @@
   t.is(digest(lines), 'fb32c2f8299b26ed')
 })
 
-test('choices heed what other entries have under way', async t => {
+test('choices take the requests in flight at other gateways into account', async t => {
   const clock = new ManualClock()
   const roster = new Roster(clock)
   roster.replace(Array.from({ length: 6 }, (_each, index) => ({ ...upstream(index, () => 0.5), loaded: ['large'] })))
@@ -78,14 +82,14 @@
   await new Promise<void>(resolve => socket.bind(0, '127.0.0.1', resolve))
   const { port } = socket.address()
   socket.close()
-  const beat = { id: 'e', revision: 0, able: false, loads: {}, suspects: [], models: {}, served: false }
+  const wireHeartbeat = { id: 'e', revision: 0, able: false, loads: {}, suspects: [], models: {}, served: false }
   const heartbeat = { id: 'e', revision: 0, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: false, loads: {} }
   const peers = new Peers({ clock, id: 'e', address: `127.0.0.1:${port}`, heartbeat: () => heartbeat, interval: 250, timeout: 1000 })
   await peers.start()
   const other = createSocket('udp4')
   const choice = new Choice({ roster, inFlight: flights, peers, suspects: new Suspects(clock, roster), intake: new Intake({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc1', random: seeded(43) })
   const loads = { u0: 1, u1: 6, u2: 3, u3: 0, u4: 6, u5: 2 }
-  other.send(JSON.stringify({ ...beat, id: 'f', loads }), port, '127.0.0.1')
+  other.send(JSON.stringify({ ...wireHeartbeat, id: 'f', loads }), port, '127.0.0.1')
   for (let turn = 0; turn < 200 && peers.live.length === 0; turn++) await new Promise(resolve => setTimeout(resolve, 5))
   const lines: string[] = []
   for (let step = 0; step < 40; step++) {
@@ -99,22 +103,22 @@
   t.is(digest(lines), '83aa1e8479295bc7')
 })
 
-test('the retry budget', t => {
+test('the retry budget admits the same retries', t => {
   const random = seeded(44)
   const clock = new ManualClock()
-  let entries = 4
-  const repeats = new RetryBudget(clock, { ratio: 0.2, window: 10_000, slack: 40, gateways: () => entries })
+  let gateways = 4
+  const budget = new RetryBudget(clock, { ratio: 0.2, window: 10_000, slack: 40, gateways: () => gateways })
   const lines: string[] = []
   for (let step = 0; step < 4000; step++) {
     clock.advance(Math.floor(random() * 120))
-    if (random() < 0.01) entries = 1 + Math.floor(random() * 8)
-    if (random() < 0.6) repeats.request()
-    lines.push(random() < 0.4 ? String(repeats.take()) : `${repeats.left} ${repeats.used}`)
+    if (random() < 0.01) gateways = 1 + Math.floor(random() * 8)
+    if (random() < 0.6) budget.request()
+    lines.push(random() < 0.4 ? String(budget.take()) : `${budget.left} ${budget.used}`)
   }
   t.is(digest(lines), '2eaa955264e39982')
 })
 
-test('who waits is served in the same order', async t => {
+test('waiting requests are served in the same order', async t => {
   const random = seeded(45)
   const clock = new ManualClock()
   const waiting = new Queue(clock)
@@ -134,7 +138,7 @@
   t.is(digest(lines), '44f1773ea00f5a22')
 })
 
-test('stalls, suspicions, their trials, and pauses of the process itself', t => {
+test('stalls, suspicions, trials and pauses of the process are detected the same way', t => {
   const random = seeded(46)
   const clock = new ManualClock()
   const roster = new Roster(clock)
--- a/packages/gateway/test/election.test.ts
+++ b/packages/gateway/test/election.test.ts
@@ -1,4 +1,4 @@
-/** One gateway's part in the election of a leader, against a record that other gateways change and a store that loses answers. */
+/** The election of a leader at one gateway, with a record that other gateways change and a store that loses answers. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { type WriteFailure } from '@eiderwind/forming'
@@ -6,13 +6,14 @@
 import { Election } from '../src/election.js'
 import { Leaders, nobody, type Leader } from '../src/leaders.js'
 
-/** A record that fails as told. */
-class Record extends Leaders {
+/** A record whose writes fail as set by the test. */
+class LeaderRecord extends Leaders {
   leader = nobody
+  /** Number of store calls. */
   reads = 0
   writes = 0
-  /** What becomes of the next write: done, refused since another one came first, or done without an answer. */
-  next: 'done' | 'conflict' | 'lost' = 'done'
+  /** Outcome of the next write: done, refused because of another gateway's write, or done with the answer lost. */
+  nextWrite: 'done' | 'conflict' | 'lost' = 'done'
 
   async read (): Promise<Result<Leader, string>> {
     this.reads++
@@ -22,19 +23,20 @@
   async elect (_service: string, id: string, read: Leader): Promise<Result<number, WriteFailure>> {
     if (read.id === id) return Ok(read.term)
     this.writes++
-    const { next } = this
-    this.next = 'done'
-    if (next === 'conflict' || read.term !== this.leader.term) return Err('conflict')
+    const { nextWrite } = this
+    this.nextWrite = 'done'
+    if (nextWrite === 'conflict' || read.term !== this.leader.term) return Err('conflict')
     this.leader = { id, term: read.term + 1 }
-    return next === 'lost' ? Err('unknown') : Ok(this.leader.term)
+    return nextWrite === 'lost' ? Err('unknown') : Ok(this.leader.term)
   }
 }
 
-class Scene {
+class Fixture {
   readonly clock = new ManualClock()
-  readonly record = new Record()
+  readonly record = new LeaderRecord()
   eligible = true
-  place = 0
+  /** Position of this gateway among the candidates. */
+  rank = 0
   others: Array<{ term: number, able: boolean }> = []
   changes = 0
   readonly election = new Election({
@@ -43,12 +45,12 @@
     service: 's',
     id: 'own',
     eligible: () => this.eligible,
-    place: () => this.place,
+    place: () => this.rank,
     others: () => this.others,
     changed: () => { this.changes++ }
   })
 
-  /** Lets time pass with a look each 50 ms. */
+  /** Advances the clock, with a check of the election every 50 ms. */
   async run (span: number): Promise<void> {
     for (let passed = 0; passed < span; passed += 50) {
       this.clock.advance(50)
@@ -58,100 +60,100 @@
   }
 }
 
-test('where nobody leads the first in place is elected at once, with one reading and one write, and says so', async t => {
-  const scene = new Scene()
-  await scene.run(50)
-  t.is(scene.election.term, 1)
-  t.deepEqual([scene.record.reads, scene.record.writes, scene.changes], [1, 1, 1])
-  await scene.run(20_000)
-  t.deepEqual([scene.record.reads, scene.record.writes], [1, 1])
+test('without a leader the first candidate is elected at once with one read and one write, and reports the change', async t => {
+  const fixture = new Fixture()
+  await fixture.run(50)
+  t.is(fixture.election.term, 1)
+  t.deepEqual([fixture.record.reads, fixture.record.writes, fixture.changes], [1, 1, 1])
+  await fixture.run(20_000)
+  t.deepEqual([fixture.record.reads, fixture.record.writes], [1, 1])
 })
 
-test('the next in place waits, and does not stand where the first was elected meanwhile', async t => {
-  const scene = new Scene()
-  scene.place = 2
-  await scene.run(150)
-  t.is(scene.record.reads, 0)
-  scene.others = [{ term: 1, able: true }]
-  await scene.run(5000)
-  t.is(scene.record.reads, 0)
-  scene.others = []
-  await scene.run(300)
-  t.is(scene.election.term, 1)
+test('a later candidate waits, and does not stand if the first one has been elected meanwhile', async t => {
+  const fixture = new Fixture()
+  fixture.rank = 2
+  await fixture.run(150)
+  t.is(fixture.record.reads, 0)
+  fixture.others = [{ term: 1, able: true }]
+  await fixture.run(5000)
+  t.is(fixture.record.reads, 0)
+  fixture.others = []
+  await fixture.run(300)
+  t.is(fixture.election.term, 1)
 })
 
-test('one that may not plan does not stand', async t => {
-  const scene = new Scene()
-  scene.eligible = false
-  await scene.run(5000)
-  t.is(scene.record.reads, 0)
+test('a gateway that may not plan does not stand for election', async t => {
+  const fixture = new Fixture()
+  fixture.eligible = false
+  await fixture.run(5000)
+  t.is(fixture.record.reads, 0)
 })
 
-test('a leader that lives and may not plan is replaced after a second, and not where it may again by then', async t => {
-  const scene = new Scene()
-  scene.others = [{ term: 4, able: false }]
-  await scene.run(900)
-  scene.others = [{ term: 4, able: true }]
-  await scene.run(500)
-  scene.others = [{ term: 4, able: false }]
-  await scene.run(950)
-  t.is(scene.record.reads, 0)
-  await scene.run(150)
-  t.not(scene.election.term, undefined)
+test('a live leader that may not plan is replaced after one second, unless it may plan again by then', async t => {
+  const fixture = new Fixture()
+  fixture.others = [{ term: 4, able: false }]
+  await fixture.run(900)
+  fixture.others = [{ term: 4, able: true }]
+  await fixture.run(500)
+  fixture.others = [{ term: 4, able: false }]
+  await fixture.run(950)
+  t.is(fixture.record.reads, 0)
+  await fixture.run(150)
+  t.not(fixture.election.term, undefined)
 })
 
-test('one that loses an election waits for the winner\'s heartbeats', async t => {
-  const scene = new Scene()
-  scene.record.next = 'conflict'
-  await scene.run(50)
-  t.is(scene.election.term, undefined)
-  await scene.run(400)
-  t.is(scene.record.writes, 1)
-  scene.others = [{ term: 2, able: true }]
-  await scene.run(5000)
-  t.deepEqual([scene.record.reads, scene.record.writes], [1, 1])
+test('a gateway that loses an election waits for the heartbeats of the winner', async t => {
+  const fixture = new Fixture()
+  fixture.record.nextWrite = 'conflict'
+  await fixture.run(50)
+  t.is(fixture.election.term, undefined)
+  await fixture.run(400)
+  t.is(fixture.record.writes, 1)
+  fixture.others = [{ term: 2, able: true }]
+  await fixture.run(5000)
+  t.deepEqual([fixture.record.reads, fixture.record.writes], [1, 1])
 })
 
-test('where the answer to its own write was lost, it leads once it has read the record again, without another write', async t => {
-  const scene = new Scene()
-  scene.record.next = 'lost'
-  await scene.run(50)
-  t.is(scene.election.term, undefined)
-  await scene.run(600)
-  t.is(scene.election.term, 1)
-  t.is(scene.record.writes, 1)
+test('a gateway whose write lost its answer leads after it has read the record again, without another write', async t => {
+  const fixture = new Fixture()
+  fixture.record.nextWrite = 'lost'
+  await fixture.run(50)
+  t.is(fixture.election.term, undefined)
+  await fixture.run(600)
+  t.is(fixture.election.term, 1)
+  t.is(fixture.record.writes, 1)
 })
 
-test('a leader gives way to a later term, and not to an earlier one', async t => {
-  const scene = new Scene()
-  scene.record.leader = { id: 'before', term: 6 }
-  await scene.run(50)
-  t.is(scene.election.term, 7)
-  scene.others = [{ term: 6, able: true }]
-  await scene.run(1000)
-  t.is(scene.election.term, 7)
-  scene.others = [{ term: 8, able: true }]
-  await scene.run(50)
-  t.is(scene.election.term, undefined)
-  t.is(scene.changes, 2)
+test('a leader steps down for a later term, but not for an earlier one', async t => {
+  const fixture = new Fixture()
+  fixture.record.leader = { id: 'before', term: 6 }
+  await fixture.run(50)
+  t.is(fixture.election.term, 7)
+  fixture.others = [{ term: 6, able: true }]
+  await fixture.run(1000)
+  t.is(fixture.election.term, 7)
+  fixture.others = [{ term: 8, able: true }]
+  await fixture.run(50)
+  t.is(fixture.election.term, undefined)
+  t.is(fixture.changes, 2)
 })
 
-test('a leader whose write met another one\'s rests where the record names that one, and goes on where it does not', async t => {
-  const scene = new Scene()
-  await scene.run(50)
-  await scene.election.check()
-  t.is(scene.election.term, 1)
-  scene.record.leader = { id: 'other', term: 2 }
-  await scene.election.check()
-  t.is(scene.election.term, undefined)
+test('a leader with a write conflict steps down if the record names another leader, and continues to lead otherwise', async t => {
+  const fixture = new Fixture()
+  await fixture.run(50)
+  await fixture.election.check()
+  t.is(fixture.election.term, 1)
+  fixture.record.leader = { id: 'other', term: 2 }
+  await fixture.election.check()
+  t.is(fixture.election.term, undefined)
 })
 
-test('a leader that resigns stands no more while it may not plan', async t => {
-  const scene = new Scene()
-  await scene.run(50)
-  scene.eligible = false
-  scene.election.resign()
-  t.is(scene.election.term, undefined)
-  await scene.run(2000)
-  t.is(scene.record.writes, 1)
+test('a leader that has resigned does not stand again while it may not plan', async t => {
+  const fixture = new Fixture()
+  await fixture.run(50)
+  fixture.eligible = false
+  fixture.election.resign()
+  t.is(fixture.election.term, undefined)
+  await fixture.run(2000)
+  t.is(fixture.record.writes, 1)
 })
--- a/packages/gateway/test/evacuating.test.ts
+++ b/packages/gateway/test/evacuating.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway knows of evacuations, from the store and from others, and how it empties a data centre. */
+/** How a gateway learns of evacuations from the store and from other gateways, and how it empties a data centre. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight } from '@eiderwind/detect'
@@ -8,6 +8,7 @@
 import { Evacuating } from '../src/evacuating.js'
 import { gatewayBoard } from '../src/facts.js'
 
+/** Time in which a data centre is emptied, in ms. */
 const span = 4000
 
 function upstream (id: string, dataCentre: string): Upstream {
@@ -21,20 +22,20 @@
   readonly lines: string[] = []
   readonly evacuating: Evacuating
 
-  /** @param looksFor whether evacuations are looked for */
-  constructor (looksFor = true) {
+  /** @param watchesEvacuations whether the gateway handles evacuations */
+  constructor (watchesEvacuations = true) {
     const log = { write: (name: string, { dataCentre, from }: Record<string, unknown>) => this.lines.push([name, dataCentre, from].filter(each => each !== undefined).join(' ')) }
-    this.evacuating = new Evacuating({ clock: this.clock, log: log as unknown as Log, board: gatewayBoard(), roster: this.roster, inFlight: this.inFlight, span: looksFor ? span : undefined })
+    this.evacuating = new Evacuating({ clock: this.clock, log: log as unknown as Log, board: gatewayBoard(), roster: this.roster, inFlight: this.inFlight, span: watchesEvacuations ? span : undefined })
     this.roster.replace([upstream('a1', 'a'), upstream('b1', 'b')])
     this.evacuating.start()
   }
 
-  get open (): string {
+  get availableIds (): string {
     return this.roster.available('s').map(each => each.id).join(' ')
   }
 
-  /** Hears what another gateway says. */
-  hear (revision: number, ...dataCentres: string[]): void {
+  /** Simulates a heartbeat of another gateway. */
+  receiveHeartbeat (revision: number, ...dataCentres: string[]): void {
     this.evacuating.hear(heartbeat({ evacuation: { revision, dataCentres } }))
   }
 }
@@ -43,30 +44,30 @@
   return { id: 'g2', revision: 0, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: false, loads: {}, ...fields }
 }
 
-test('the later revision holds, whoever says it, and nothing older replaces it', t => {
+test('the latest revision is applied whether it comes from the store or a gateway, and an older one is ignored', t => {
   const fixture = new Fixture()
   const { evacuating } = fixture
   evacuating.take({ revision: 10, dataCentres: [] })
-  t.is(fixture.open, 'a1 b1')
-  fixture.hear(12, 'a')
-  t.is(fixture.open, 'b1')
+  t.is(fixture.availableIds, 'a1 b1')
+  fixture.receiveHeartbeat(12, 'a')
+  t.is(fixture.availableIds, 'b1')
   for (const revision of [11, 12]) evacuating.take({ revision, dataCentres: [] })
-  t.is(fixture.open, 'b1')
+  t.is(fixture.availableIds, 'b1')
   evacuating.take({ revision: 13, dataCentres: ['a', 'b'] })
-  t.is(fixture.open, '')
-  fixture.hear(12, 'a')
-  t.is(fixture.open, '')
+  t.is(fixture.availableIds, '')
+  fixture.receiveHeartbeat(12, 'a')
+  t.is(fixture.availableIds, '')
   evacuating.take({ revision: 20, dataCentres: ['b'] })
-  t.is(fixture.open, 'a1')
+  t.is(fixture.availableIds, 'a1')
   evacuating.take({ revision: 21, dataCentres: [] })
-  t.is(fixture.open, 'a1 b1')
+  t.is(fixture.availableIds, 'a1 b1')
   t.deepEqual(fixture.lines, ['evacuation-begun a g2', 'evacuation-begun b', 'evacuation-ended a', 'evacuation-ended b'])
 })
 
-test('a gateway tells the others as long as something is evacuated, and for a minute after, with the revision that it knows', t => {
+test('a gateway reports its revision to the others while a data centre is evacuated and for a minute after', t => {
   const { clock, evacuating } = new Fixture()
   evacuating.take({ revision: 1, dataCentres: [] })
-  t.deepEqual(evacuating.news, {}, 'nothing was ever evacuated')
+  t.deepEqual(evacuating.news, {}, 'no evacuation so far')
   evacuating.take({ revision: 2, dataCentres: ['a'] })
   clock.advance(600_000)
   t.deepEqual(evacuating.news, { evacuation: { revision: 2, dataCentres: ['a'] } })
@@ -78,23 +79,23 @@
   t.deepEqual(evacuating.news, {})
 })
 
-test('a gateway that has just started and one that has lost the store learn it from the heartbeat of any other', t => {
-  const teller = new Fixture()
-  teller.evacuating.take({ revision: 2, dataCentres: ['a'] })
+test('a gateway that has not read the store learns of an evacuation from the heartbeat of any other', t => {
+  const source = new Fixture()
+  source.evacuating.take({ revision: 2, dataCentres: ['a'] })
   const started = new Fixture()
-  started.evacuating.hear(heartbeat(teller.evacuating.news))
-  t.is(started.open, 'b1')
-  t.deepEqual(started.evacuating.news, teller.evacuating.news, 'and passes it on')
+  started.evacuating.hear(heartbeat(source.evacuating.news))
+  t.is(started.availableIds, 'b1')
+  t.deepEqual(started.evacuating.news, source.evacuating.news, 'and forwards it')
 })
 
-test('where no evacuations are looked for, those that others tell of change nothing', t => {
+test('a gateway that does not handle evacuations ignores those in heartbeats', t => {
   const fixture = new Fixture(false)
-  fixture.hear(12, 'a')
-  t.is(fixture.open, 'a1 b1')
+  fixture.receiveHeartbeat(12, 'a')
+  t.is(fixture.availableIds, 'a1 b1')
   t.deepEqual(fixture.evacuating.news, {})
 })
 
-test('requests that have not left yet are withdrawn at once, those at other data centres are not', t => {
+test('unsent requests to the evacuated data centre are withdrawn at once, those to others are not', t => {
   const { evacuating, inFlight } = new Fixture()
   const withdrawn: string[] = []
   for (const id of ['a1', 'b1']) inFlight.begin(id, 'm', { withdrawn: why => { withdrawn.push(`${id}: ${why}`) } })
@@ -102,13 +103,13 @@
   t.deepEqual(withdrawn, ['a1: its data centre is evacuated'])
 })
 
-test('streams that run on move in the second half of the time, the oldest first; those that may not stay and hold up none', t => {
+test('running streams move in the second half of the time, oldest first; streams that cannot move stay and delay no other', t => {
   const { clock, evacuating, inFlight } = new Fixture()
   const moved: Array<{ name: string, at: number }> = []
-  const begin = (name: string, id: string, mayMove = true): void => {
+  const begin = (name: string, id: string, canMove = true): void => {
     const request = inFlight.begin(id, 'm', {
       moved: () => {
-        if (!mayMove) return false
+        if (!canMove) return false
         moved.push({ name, at: clock.now() })
         inFlight.end(request)
         return true
@@ -133,7 +134,7 @@
   evacuating.stop()
 })
 
-test('an evacuation that is taken back before its streams moved moves none', t => {
+test('an evacuation that is revoked before its streams have moved moves none', t => {
   const { clock, evacuating, inFlight } = new Fixture()
   inFlight.begin('a1', 'm', { moved: () => t.fail() as unknown as boolean })
   evacuating.take({ revision: 1, dataCentres: ['a'] })
--- a/packages/gateway/test/fleet.ts
+++ b/packages/gateway/test/fleet.ts
@@ -1,7 +1,7 @@
 /**
- * A model of a fleet's membership, without a network: many gateways with the real `Peers` and `Leadership` on one manual clock, whose
- * datagrams are lost or cut off, and else arrive at once; a store that lists them as they register and can be away. Gateways
- * start as processes do: each at its own moment, with what the list holds then.
+ * Simulates the membership of a fleet: many gateways with the real `Peers` and `Leadership` on one manual clock.
+ * Datagrams arrive at once unless they are lost or cut off. A simulated store lists the gateways that have registered
+ * and can be unreachable. Like processes, gateways start at different times, each with the list as it is at that time.
  */
 import { type ExecutionContext } from 'ava'
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
@@ -16,36 +16,40 @@
 import { Leaders, nobody, type Leader } from '../src/leaders.js'
 import { ModelDatagrams, Network } from './network.js'
 
+/** The service that the gateways plan. */
 export const service = 'chat'
+/** Number of data centres of a fleet. */
 export const dataCentres = 5
 
-/** Time for which a fleet is watched after an event, in ms: far above what any gateway waits for. */
-export const watched = 8000
+/** How long a fleet is observed after an event, in ms. This is far above all time-outs of a gateway. */
+export const observationTime = 8000
 
 /**
- * Time within which another gateway plans after one that is alone concerned is gone, in ms: a second of silence, a look, and the two calls of
- * an election.
+ * Upper bound for the time until another gateway plans after the planner has failed, if no other gateway is affected,
+ * in ms. It is the sum of one second without heartbeats, one check, and the two store calls of an election.
  */
-export const takeover = 1200
+export const maxTakeoverTime = 1200
 
 /**
- * A first start and a restart, until one plans, in ms: a gateway that starts waits 1.1 s to hear the others; one that is no first start 2.6 s
- * until the store's list is complete.
+ * Upper bounds for the time from a first start and from a restart until one gateway plans, in ms. A gateway that starts
+ * waits 1.1 s for the heartbeats of the others. After a restart it also waits 2.6 s until the list of the store is
+ * complete.
  */
-export const firstStart = 1700
-export const restart = 2600 + 1100
+export const maxFirstStartTime = 1700
+export const maxRestartTime = 2600 + 1100
 
-/** Time between two looks of a gateway at what it should do, in ms, as in the real ones. */
+/** Time between two checks of a gateway, in ms. It is the same as in a real gateway. */
 const step = 50
 
-/** Time from a process's start until it has registered and read its lists, in ms, and how much that varies. */
+/** Minimum time from the start of a process until it has registered and read its lists, in ms. */
 const startTime = 50
+/** Maximum random addition to `startTime`, in ms. */
 const startSpread = 150
 
-/** Time between two readings of the list of gateways, in ms. */
+/** Time between two reads of the list of gateways, in ms. */
 const listInterval = 1000
 
-/** One gateway of the model. */
+/** One simulated gateway. */
 export interface Member {
   readonly id: string
   readonly dataCentre: number
@@ -53,44 +57,45 @@
   readonly outage: Outage
   readonly peers: Peers
   readonly leadership: Leadership
+  /** When the gateway last read the list of gateways, in ms. */
   listedAt: number
 }
 
-/** What was seen of the planners since the last `observe`. */
-export interface Observed {
-  /** Most gateways that planned at the same moment. */
-  most: number
-  /** Ids of all that planned. */
+/** What has been observed of the planners since the last call of `observe`. */
+export interface PlannerObservation {
+  /** Maximum number of gateways that planned at the same time. */
+  maxAtOnce: number
+  /** Ids of all gateways that planned. */
   readonly planners: Set<string>
-  /** When there last was no or more than one planner, in ms since the beginning. */
+  /** The last time with no planner or more than one, on the clock of the fleet, in ms. */
   unsettledUntil: number
 }
 
-/** Time that a call of the store takes, in ms. */
+/** Time of a store call, in ms. */
 const callTime = 4
 
-/** The records of leaders in the store of the model, for one gateway. */
+/** The records of leaders in the simulated store, as one gateway accesses them. */
 class ModelLeaders extends Leaders {
   readonly #clock: ManualClock
   readonly #records: Map<string, Leader>
-  readonly #reached: () => boolean
+  readonly #canReach: () => boolean
 
-  constructor (clock: ManualClock, records: Map<string, Leader>, reached: () => boolean) {
+  constructor (clock: ManualClock, records: Map<string, Leader>, canReach: () => boolean) {
     super()
     this.#clock = clock
     this.#records = records
-    this.#reached = reached
+    this.#canReach = canReach
   }
 
   async read (service: string): Promise<Result<Leader, string>> {
     await this.#call()
-    return this.#reached() ? Ok(this.#records.get(service) ?? nobody) : Err('not reached')
+    return this.#canReach() ? Ok(this.#records.get(service) ?? nobody) : Err('not reached')
   }
 
-  async elect (service: string, id: string, { id: present, term }: Leader): Promise<Result<number, WriteFailure>> {
+  async elect (service: string, id: string, { id: currentLeader, term }: Leader): Promise<Result<number, WriteFailure>> {
     await this.#call()
-    if (!this.#reached()) return Err('unknown')
-    if (present === id) return Ok(term)
+    if (!this.#canReach()) return Err('unknown')
+    if (currentLeader === id) return Ok(term)
     if ((this.#records.get(service) ?? nobody).term !== term) return Err('conflict')
     this.#records.set(service, { id, term: term + 1 })
     return Ok(term + 1)
@@ -101,14 +106,14 @@
   }
 }
 
-/** A fleet of gateways. */
+/** A fleet of simulated gateways. */
 export class Fleet {
   readonly clock = new ManualClock()
   readonly network: Network
   readonly members = new Map<string, Member>()
-  /** Whether the store can be reached by a gateway. */
-  reaches: (id: string) => boolean = () => true
-  observed: Observed = { most: 0, planners: new Set(), unsettledUntil: 0 }
+  /** Whether a gateway can reach the store. */
+  reachesStore: (id: string) => boolean = () => true
+  observed: PlannerObservation = { maxAtOnce: 0, planners: new Set(), unsettledUntil: 0 }
   readonly #random: Random
   readonly #leaders = new Map<string, Leader>()
   readonly #registered = new Map<string, PeerAddress>()
@@ -118,12 +123,15 @@
     this.network = new Network(seeded(seed + 1))
   }
 
-  /** Starts gateways together, each at its own moment. @param spread time within which all have started, in ms */
+  /**
+   * Starts gateways, each at a random time.
+   * @param spread time within which all have started, in ms
+   */
   async start (ids: readonly string[], { first = false, spread = 300 } = {}): Promise<void> {
-    await Promise.all(ids.map(async id => await this.#startOne(id, first, this.#random() * spread)))
+    await Promise.all(ids.map(async id => await this.#startGateway(id, first, this.#random() * spread)))
   }
 
-  /** A fleet that has started and agrees. */
+  /** Creates a fleet that has started and has one planner. */
   static async started (size: number, seed = size): Promise<Fleet> {
     const fleet = new Fleet(seed)
     await fleet.start(Fleet.ids(size), { first: true })
@@ -131,12 +139,12 @@
     return fleet
   }
 
-  /** Ids of a fleet of a size. */
+  /** Returns the ids of a fleet with the given size. */
   static ids (size: number): string[] {
     return Array.from({ length: size }, (_each, index) => `g${index}`)
   }
 
-  async #startOne (id: string, first: boolean, after: number): Promise<void> {
+  async #startGateway (id: string, first: boolean, after: number): Promise<void> {
     const { clock } = this
     this.kill(id)
     const board = gatewayBoard()
@@ -149,7 +157,7 @@
     let leadership: Leadership
     clock.after(after, () => {
       peers = new Peers({ clock, id, address: `${id}:1`, datagrams, heartbeat, interval: 250, timeout: 1000, urgent: () => leadership.isUrgent })
-      leadership = new Leadership({ clock, log, board, outage, pauses, peers, id, firstStart: first, leaders: new ModelLeaders(clock, this.#leaders, () => this.reaches(id)) })
+      leadership = new Leadership({ clock, log, board, outage, pauses, peers, id, firstStart: first, leaders: new ModelLeaders(clock, this.#leaders, () => this.reachesStore(id)) })
       pauses.start()
       this.members.set(id, { id, dataCentre: Number(id.slice(1)) % dataCentres, board, outage, peers, leadership, listedAt: -Infinity })
       peers.start().catch(error => { throw error })
@@ -157,11 +165,11 @@
     clock.after(after + startTime + this.#random() * startSpread, () => this.#reachStore(id))
   }
 
-  /** The first calls of a process, repeated until the store is there. */
+  /** Makes the first store calls of a process and repeats them until the store is reachable. */
   #reachStore (id: string): void {
     const member = this.members.get(id)
     if (member === undefined) return
-    if (!this.reaches(id)) {
+    if (!this.reachesStore(id)) {
       this.clock.after(step, () => this.#reachStore(id))
       return
     }
@@ -183,23 +191,23 @@
     this.members.delete(id)
   }
 
-  /** Lets time pass, with all that the gateways do meanwhile. */
+  /** Advances the clock and runs the checks of all gateways. */
   async run (span: number): Promise<void> {
     const end = this.clock.now() + span
     while (this.clock.now() < end) {
       this.clock.advance(step)
-      for (const member of this.members.values()) this.#look(member)
+      for (const member of this.members.values()) this.#poll(member)
       await new Promise(resolve => setImmediate(resolve))
       this.#observe()
     }
   }
 
-  /** Begins to count anew what is seen of the planners. */
+  /** Resets what has been observed of the planners. */
   observe (): void {
-    this.observed = { most: 0, planners: new Set(), unsettledUntil: this.clock.now() }
+    this.observed = { maxAtOnce: 0, planners: new Set(), unsettledUntil: this.clock.now() }
   }
 
-  /** Ms from `observe` until there was one planner for good. */
+  /** Runs the fleet and returns the time until there was exactly one planner to the end, in ms. */
   async settled (span: number): Promise<number> {
     this.observe()
     const begun = this.clock.now()
@@ -219,7 +227,7 @@
     return [...this.members.values()].filter(each => each.leadership.follows).map(each => each.id)
   }
 
-  /** Whether two watch the store and every other one follows a gateway that does. */
+  /** Whether one gateway plans, two watch the store, and every other one follows a gateway that watches. */
   agrees (): boolean {
     const watchers = new Set(this.watchers())
     if (this.planners().length !== 1 || watchers.size !== 2) return false
@@ -229,16 +237,16 @@
   #observe (): void {
     const planners = this.planners()
     const { observed } = this
-    observed.most = Math.max(observed.most, planners.length)
+    observed.maxAtOnce = Math.max(observed.maxAtOnce, planners.length)
     for (const each of planners) observed.planners.add(each)
     if (planners.length !== 1) observed.unsettledUntil = this.clock.now()
   }
 
-  /** What a real gateway's watches, its feed of upstreams and its tasks do. */
-  #look (member: Member): void {
+  /** Does what the watches, the upstream feed and the periodic tasks of a real gateway do. */
+  #poll (member: Member): void {
     const { board, outage, leadership, id } = member
     if (!board.read('listed')) return
-    const reached = this.reaches(id)
+    const reached = this.reachesStore(id)
     if (reached && !board.read('store')) outage.answered()
     if (!reached) outage.failed(this.clock.now())
     board.write('store', reached)
@@ -256,8 +264,8 @@
   }
 }
 
-/** Checks that there never were two planners at once since `observe`, and how many gateways planned. */
-export function neverTwo (t: ExecutionContext, fleet: Fleet, planners: number): void {
-  t.true(fleet.observed.most <= 1, `${fleet.observed.most} planned at once`)
+/** Asserts that no two gateways have planned at once since `observe`, and the number of gateways that have planned. */
+export function assertOnePlannerAtOnce (t: ExecutionContext, fleet: Fleet, planners: number): void {
+  t.true(fleet.observed.maxAtOnce <= 1, `${fleet.observed.maxAtOnce} gateways planned at once`)
   t.is(fleet.observed.planners.size, planners)
 }
--- a/packages/gateway/test/limitfleet.ts
+++ b/packages/gateway/test/limitfleet.ts
@@ -1,122 +1,139 @@
 /**
- * A model of one upstream that names a limit, before many gateways: the ways in which they could share the limit, each with the same callers, kills and partitions.
- * Time and network are modelled; the way that is kept runs with the real `Peers`, `Limiting`, `Intake` and `Queue`, the others with the real buckets and waits.
+ * Simulates many gateways that share one upstream with a limit, and compares strategies of sharing it. Each strategy
+ * gets the same callers, kills and partitions. Time and network are modelled. The strategy in use, `tokens`, runs with
+ * the real `Peers`, `Limiting`, `Intake` and `Queue`; the others run with the real `Issuer`.
  */
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
 import { ranked } from '@eiderwind/hash'
 import { Issuer } from '@eiderwind/limits'
-import { Member, addressesOf, heartbeatInterval, listed, most } from './limitmember.js'
+import { Member, addressesOf, heartbeatInterval, upstreamRecord, maxInWindow } from './limitmember.js'
 import { Network } from './network.js'
 
-/** How gateways share a limit. */
+/**
+ * How gateways share a limit:
+ * - `one bucket`: a single gateway has all callers. This is the upper bound for the use of the limit.
+ * - `equal parts`: each gateway has the same part.
+ * - `by demand`: each gateway has a part in proportion to its recent requests.
+ * - `few gateways`: as many gateways as the limit has whole requests a second, but at least one, have equal parts.
+ * - `tokens`: one gateway issues tokens to the others.
+ */
 export type Sharing = 'one bucket' | 'equal parts' | 'by demand' | 'few gateways' | 'tokens'
 
-/** What happens in the middle of a run: a third of the gateways is killed and starts again, or is cut off from the others. */
+/** What happens in the middle of a run: a third of the gateways is killed and restarted, or cut off from the others. */
 export type Event = 'none' | 'restart' | 'partition'
 
-/** What is played. */
-export interface LimitDay {
+/** The parameters of a run. */
+export interface LimitScenario {
   readonly sharing: Sharing
   readonly seed: number
   readonly gateways: number
-  /** Requests a second that the upstream takes. */
+  /** Requests a second that the upstream allows. */
   readonly limit: number
-  /** Share of the gateways to which callers come. */
-  readonly reached: number
+  /** Share of the gateways that have callers. */
+  readonly reachedShare: number
   readonly event: Event
-  /** Share of the datagrams between gateways that is lost. */
+  /** Share of the datagrams between gateways that are lost. */
   readonly loss: number
 }
 
-/** What came of it. */
+/** The figures of a run. */
 export interface LimitResult {
-  /** Most requests at the upstream in any four seconds beyond what its limit allows in them. */
+  /** Maximum number of requests in any four seconds, less the number that the limit allows in that time. */
   readonly beyond: number
-  /** Requests sent, in parts of what the limit allows. */
-  readonly used: number
-  /** Datagrams about tokens for each request of a caller. */
+  /** Requests sent, as a fraction of the number that the limit allows. */
+  readonly usedShare: number
+  /** Datagrams about tokens per request of a caller. */
   readonly messages: number
 }
 
 const upstream = 'u'
-/** Requests of callers, in parts of the limit. */
+/** Requests of callers, as a multiple of the limit. */
 const demand = 2
-/** How long a request waits for a token, in ms. */
-const patience = 66
-/** Time from a request until the answer says what the limit is, in ms. */
+/** How long a request waits for a token before it is refused, in ms. */
+const maxWait = 66
+/** Time from a request to its answer, which names the limit, in ms. */
 const answerTime = 20
-/** When the upstream names its limit first, from when on requests count, when the event begins and ends, and when the run ends, in ms. */
+/** Time at which callers begin to send, so that answers name the limit, in ms. */
 const namedAt = 3000
-const counted = 4000
+/** Time from which requests count, in ms. */
+const countedFrom = 4000
+/** Beginning and end of the event, in ms. */
 const eventAt = 12_000
 const eventEnd = 17_000
+/** Length of a run, in ms. */
 const span = 24_000
+/** Time over which requests are compared with the limit, in ms. */
 const window = 4000
-/** Way of a datagram, in ms. */
-const distance = 1.5
+/** Time of a datagram in transit, in ms. */
+const oneWayDelay = 1.5
 
-/** Decides at each gateway which requests are sent. */
-abstract class Way {
-  /** @param sent called when the request is sent; never where it is refused */
-  abstract ask (gateway: string, sent: () => void): void
+/** Decides at each gateway which requests are sent to the upstream. */
+abstract class Strategy {
+  /** @param sent called when the request is sent, but not if it is refused */
+  abstract request (gateway: string, sent: () => void): void
   abstract start (gateway: string): Promise<void>
   abstract kill (gateway: string): void
-  /** An answer of the upstream names the limit at a gateway. */
-  named (_gateway: string): void {}
+  /** Called when a gateway receives an answer that names the limit. */
+  learnLimit (_gateway: string): void {}
   get messages (): number {
     return 0
   }
 }
 
-/** What all ways share. */
-interface World {
+/** The state that all strategies share. */
+interface Environment {
   readonly clock: ManualClock
   readonly random: Random
-  readonly day: LimitDay
-  /** Gateways that live. */
+  readonly scenario: LimitScenario
+  /** Gateways that run. */
   readonly live: Set<string>
-  /** Whether two gateways reach each other. */
-  readonly reaches: (one: string, other: string) => boolean
+  /** Whether two gateways can reach each other. */
+  readonly canReach: (one: string, other: string) => boolean
 }
 
-/** Each gateway has a bucket of its own for its part of the limit. What it knows of the others is as old as heartbeats are. */
-class Parts extends Way {
-  readonly #world: World
+/**
+ * Each gateway has a token bucket of its own for its part of the limit. Its information about the other gateways is one
+ * heartbeat interval old.
+ */
+class SplitLimit extends Strategy {
+  readonly #environment: Environment
   readonly #issuers = new Map<string, Issuer>()
-  readonly #waits = new Map<number, () => void>()
-  readonly #asked = new Map<string, number>()
+  readonly #waiting = new Map<number, () => void>()
+  /** Recent requests by gateway. They are halved every 2 s. */
+  readonly #requests = new Map<string, number>()
+  /** Requests by gateway, as last received from the others. */
   #known: ReadonlyMap<string, number> = new Map()
   #number = 0
 
-  constructor (world: World) {
+  constructor (environment: Environment) {
     super()
-    this.#world = world
-    const { clock } = world
+    this.#environment = environment
+    const { clock } = environment
     clock.every(heartbeatInterval, () => {
-      const demands = new Map([...world.live].map(each => [each, this.#asked.get(each) ?? 0]))
-      // Those that were killed are missed after the time-out of heartbeats.
+      const demands = new Map([...environment.live].map(each => [each, this.#requests.get(each) ?? 0]))
+      // Models the time-out of heartbeats: a killed gateway counts until then.
       clock.after(heartbeatInterval, () => { this.#known = demands })
     })
-    clock.every(2000, () => { for (const [id, asked] of this.#asked) this.#asked.set(id, asked / 2) })
+    clock.every(2000, () => { for (const [id, count] of this.#requests) this.#requests.set(id, count / 2) })
   }
 
-  ask (gateway: string, sent: () => void): void {
+  request (gateway: string, sent: () => void): void {
     const issuer = this.#issuers.get(gateway)
-    this.#asked.set(gateway, (this.#asked.get(gateway) ?? 0) + 1)
+    this.#requests.set(gateway, (this.#requests.get(gateway) ?? 0) + 1)
     const number = ++this.#number
-    this.#waits.set(number, sent)
-    issuer?.ask(upstream, { from: gateway, number, priority: 1, patience })
+    this.#waiting.set(number, sent)
+    issuer?.ask(upstream, { from: gateway, number, priority: 1, patience: maxWait })
   }
 
   async start (gateway: string): Promise<void> {
-    const { clock, day: { limit } } = this.#world
-    const rate = (): number => Math.max(1e-9, limit * this.#part(gateway))
+    const { clock, scenario: { limit } } = this.#environment
+    const rate = (): number => Math.max(1e-9, limit * this.#shareOf(gateway))
     this.#issuers.set(gateway, new Issuer({
       clock,
       rate,
       begin: () => clock.now(),
       deliver: (_to, { token, number }) => {
-        if (token === 'grant') this.#waits.get(number)?.()
+        if (token === 'grant') this.#waiting.get(number)?.()
       }
     }))
   }
@@ -126,9 +143,9 @@
     this.#issuers.delete(gateway)
   }
 
-  #part (gateway: string): number {
-    const { day: { sharing, limit }, reaches } = this.#world
-    const seen = [...new Set([gateway, ...this.#known.keys()])].filter(each => reaches(gateway, each))
+  #shareOf (gateway: string): number {
+    const { scenario: { sharing, limit }, canReach } = this.#environment
+    const seen = [...new Set([gateway, ...this.#known.keys()])].filter(each => canReach(gateway, each))
     switch (sharing) {
       case 'by demand': {
         const demands = seen.map(each => (this.#known.get(each) ?? 0) + 0.1)
@@ -143,36 +160,36 @@
   }
 }
 
-/** The way that is kept: one gateway issues the tokens, the others ask it. */
-class TokensWay extends Way {
-  readonly #world: World
+/** The strategy in use: one gateway issues the tokens and the others request them from it. */
+class IssuedTokens extends Strategy {
+  readonly #environment: Environment
   readonly #network: Network
   readonly #members = new Map<string, Member>()
   #messages = 0
 
-  constructor (world: World) {
+  constructor (environment: Environment) {
     super()
-    this.#world = world
-    this.#network = new Network(world.random, { clock: world.clock, time: distance, loss: world.day.loss })
-    this.#network.cut = (from, to) => !world.reaches(from.split(':')[0], to.split(':')[0])
+    this.#environment = environment
+    this.#network = new Network(environment.random, { clock: environment.clock, delay: oneWayDelay, loss: environment.scenario.loss })
+    this.#network.isCut = (from, to) => !environment.canReach(from.split(':')[0], to.split(':')[0])
   }
 
   override get messages (): number {
     return this.#messages
   }
 
-  ask (gateway: string, sent: () => void): void {
+  request (gateway: string, sent: () => void): void {
     const member = this.#members.get(gateway)
     if (member === undefined) return
-    member.ask([upstream], patience, () => {
+    member.request([upstream], maxWait, () => {
       if (this.#members.get(gateway) === member) sent()
     })
   }
 
   async start (gateway: string): Promise<void> {
-    const { clock, random, day: { gateways } } = this.#world
-    const member = new Member({ clock, random, network: this.#network, id: gateway, took: () => { this.#messages++ } })
-    member.roster.replace([listed(upstream)])
+    const { clock, random, scenario: { gateways } } = this.#environment
+    const member = new Member({ clock, random, network: this.#network, id: gateway, onTokenDatagram: () => { this.#messages++ } })
+    member.roster.replace([upstreamRecord(upstream)])
     this.#members.set(gateway, member)
     await member.peers.start()
     member.peers.setAddresses(addressesOf(ids(gateways)))
@@ -183,8 +200,8 @@
     this.#members.delete(gateway)
   }
 
-  override named (gateway: string): void {
-    this.#members.get(gateway)?.limiting.named(upstream, this.#world.day.limit)
+  override learnLimit (gateway: string): void {
+    this.#members.get(gateway)?.limiting.named(upstream, this.#environment.scenario.limit)
   }
 }
 
@@ -192,75 +209,75 @@
   return Array.from({ length: size }, (_each, index) => `g${index}`)
 }
 
-/** Plays one run. */
-export async function playLimit (day: LimitDay): Promise<LimitResult> {
+/** Simulates one run. */
+export async function simulateLimit (scenario: LimitScenario): Promise<LimitResult> {
   const clock = new ManualClock()
-  const arrivals = seeded(day.seed)
-  // One bucket for all is a fleet of one: the most that can be used of the limit.
-  const gateways = day.sharing === 'one bucket' ? 1 : day.gateways
+  const arrivals = seeded(scenario.seed)
+  // A fleet of one gateway has one bucket for all callers, which is the upper bound for the use of the limit.
+  const gateways = scenario.sharing === 'one bucket' ? 1 : scenario.gateways
   const all = ids(gateways)
-  const lost = new Set(all.slice(0, Math.floor(gateways / 3)))
+  const affected = new Set(all.slice(0, Math.floor(gateways / 3)))
   const live = new Set<string>()
   let isCut = false
-  const world: World = { clock, random: seeded(day.seed + 1), day: { ...day, gateways }, live, reaches: (one, other) => !isCut || lost.has(one) === lost.has(other) }
-  const way = day.sharing === 'tokens' ? new TokensWay(world) : new Parts(world)
+  const environment: Environment = { clock, random: seeded(scenario.seed + 1), scenario: { ...scenario, gateways }, live, canReach: (one, other) => !isCut || affected.has(one) === affected.has(other) }
+  const strategy = scenario.sharing === 'tokens' ? new IssuedTokens(environment) : new SplitLimit(environment)
   const start = async (gateway: string): Promise<void> => {
     live.add(gateway)
-    await way.start(gateway)
+    await strategy.start(gateway)
   }
   for (const each of all) {
     await start(each)
     clock.advance(heartbeatInterval / gateways)
   }
-  const reached = all.slice(gateways - Math.max(1, Math.ceil(gateways * day.reached)))
+  const reached = all.slice(gateways - Math.max(1, Math.ceil(gateways * scenario.reachedShare)))
   const sent: number[] = []
-  let asked = 0
+  let requests = 0
   let isOver = false
   const arrive = (): void => {
     const gateway = reached[Math.floor(arrivals() * reached.length)]
     if (clock.now() < namedAt || !live.has(gateway)) return
-    asked++
-    way.ask(gateway, () => {
+    requests++
+    strategy.request(gateway, () => {
       sent.push(clock.now())
-      clock.after(answerTime, () => way.named(gateway))
+      clock.after(answerTime, () => strategy.learnLimit(gateway))
     })
   }
-  const strike = async (): Promise<void> => {
-    isCut = day.event === 'partition'
-    if (day.event !== 'restart') return
-    for (const each of lost) {
+  const beginEvent = async (): Promise<void> => {
+    isCut = scenario.event === 'partition'
+    if (scenario.event !== 'restart') return
+    for (const each of affected) {
       live.delete(each)
-      way.kill(each)
+      strategy.kill(each)
     }
   }
-  const mend = async (): Promise<void> => {
+  const endEvent = async (): Promise<void> => {
     isCut = false
-    if (day.event === 'restart') for (const each of lost) await start(each)
+    if (scenario.event === 'restart') for (const each of affected) await start(each)
     isOver = true
   }
   let next = 0
-  let isStruck = false
+  let hasBegun = false
   while (clock.now() < span) {
-    next -= Math.log(1 - arrivals()) / (demand * day.limit) * 1000
+    next -= Math.log(1 - arrivals()) / (demand * scenario.limit) * 1000
     while (next > 0) {
       const step = Math.min(next, 2)
       clock.advance(step)
       next -= step
-      await settled()
+      await runMicrotasks()
     }
-    if (!isStruck && clock.now() >= eventAt) {
-      isStruck = true
-      await strike()
+    if (!hasBegun && clock.now() >= eventAt) {
+      hasBegun = true
+      await beginEvent()
     }
-    if (!isOver && clock.now() >= eventEnd) await mend()
+    if (!isOver && clock.now() >= eventEnd) await endEvent()
     arrive()
-    await settled()
+    await runMicrotasks()
   }
-  const kept = sent.filter(each => each >= counted)
-  return { beyond: most(kept, window) - day.limit * window / 1000, used: kept.length / (day.limit * (span - counted) / 1000), messages: way.messages / asked }
+  const counted = sent.filter(each => each >= countedFrom)
+  return { beyond: maxInWindow(counted, window) - scenario.limit * window / 1000, usedShare: counted.length / (scenario.limit * (span - countedFrom) / 1000), messages: strategy.messages / requests }
 }
 
-/** Lets what waits for promises go on. */
-async function settled (): Promise<void> {
+/** Lets pending promises settle. */
+async function runMicrotasks (): Promise<void> {
   for (let turn = 0; turn < 3; turn++) await Promise.resolve()
 }
--- a/packages/gateway/test/limiting.test.ts
+++ b/packages/gateway/test/limiting.test.ts
@@ -1,4 +1,4 @@
-/** What gateways tell each other of limits, and what follows at once from a new one. */
+/** Which messages about limits gateways exchange, and the immediate effects of a new limit. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight } from '@eiderwind/detect'
@@ -21,9 +21,11 @@
   readonly inFlight = new InFlight(this.clock, () => {})
   readonly queue = new Queue(this.clock)
   readonly lines: string[] = []
+  /** Datagrams about tokens that were sent. */
   readonly posted: string[] = []
-  /** Heartbeats that were sent beside the regular ones. */
-  told = 0
+  /** Number of heartbeats sent in addition to the regular ones. */
+  heartbeatsSent = 0
+  /** Ids of the other live gateways. */
   readonly others: string[] = []
   readonly limiting: Limiting
 
@@ -34,7 +36,7 @@
         return others.map(id => ({ id }))
       },
       heardWithin: () => others.map(id => ({ id })),
-      send: () => { this.told++ },
+      send: () => { this.heartbeatsSent++ },
       post: (to: string, message: string) => { this.posted.push(`${to} ${message}`) }
     }
     this.limiting = new Limiting({
@@ -50,13 +52,13 @@
     this.roster.replace([upstream('a'), upstream('b')])
   }
 
-  /** The heartbeat that others get. */
+  /** The heartbeat that the other gateways receive. */
   get heartbeat (): Heartbeat {
     return { id: 'g1', revision: 0, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: false, loads: {}, ...this.limiting.news }
   }
 }
 
-test('a limit that an upstream names is logged once, and so are another one and its end; no more than once a second', t => {
+test('a new limit, a changed one and its end are each logged once, and at most once a second', t => {
   const { clock, limiting, lines } = new Fixture()
   for (const limit of [3, 3, 1.6]) limiting.named('a', limit)
   t.deepEqual(lines, ['upstream-limited a 3'])
@@ -68,44 +70,44 @@
   t.deepEqual(lines, ['upstream-limited a 3', 'upstream-limited a 1.5', 'upstream-limited a'])
 })
 
-test('the other gateways hear of a new limit at once, of another one with the next regular heartbeat, and of its end', t => {
+test('other gateways are notified of a new limit at once, and of its change and its end with the next regular heartbeat', t => {
   const first = new Fixture()
   const second = new Fixture('g2')
   first.others.push('g2')
   second.others.push('g1')
-  const hear = (): number => {
+  const exchange = (): number => {
     second.clock.advance(first.clock.now() - second.clock.now())
     second.limiting.hear(first.heartbeat)
     return second.limiting.limits.rate('a')
   }
   first.limiting.named('a', 3)
-  t.is(first.told, 1)
-  t.is(hear(), 3)
+  t.is(first.heartbeatsSent, 1)
+  t.is(exchange(), 3)
   first.clock.advance(10)
   first.limiting.named('a', 2)
-  t.is(first.told, 1)
-  t.is(hear(), 2)
+  t.is(first.heartbeatsSent, 1)
+  t.is(exchange(), 2)
   first.clock.advance(10)
   first.limiting.named('a', Infinity)
-  t.is(hear(), Infinity)
+  t.is(exchange(), Infinity)
   t.is(second.lines[0], 'upstream-limited a 3 g1')
   t.deepEqual(second.heartbeat.limits, { a: [null, 0] })
-  t.is(ranked('a', ['g1', 'g2'])[0], 'g2', 'the one that issues the tokens reports it too')
+  t.is(ranked('a', ['g1', 'g2'])[0], 'g2', 'the issuer of the tokens reports it too')
 })
 
-test('what has not left yet for an upstream is withdrawn when it names a limit first, and who waits looks again', async t => {
+test('unsent requests to an upstream are withdrawn when it first names a limit, and waiting requests search again', async t => {
   const { clock, limiting, inFlight, queue } = new Fixture()
   const withdrawn: string[] = []
   inFlight.begin('a', '', { withdrawn: why => { withdrawn.push(why) } })
   inFlight.begin('b', '', { withdrawn: () => t.fail() })
-  const looked = queue.wait(seeker(clock.now(), clock.now() + 5000), () => limiting.limits.isLimited('a') ? clock.now() : undefined)
+  const foundAt = queue.wait(seeker(clock.now(), clock.now() + 5000), () => limiting.limits.isLimited('a') ? clock.now() : undefined)
   limiting.named('a', 3)
   limiting.named('a', 2)
   t.deepEqual(withdrawn, ['the upstream named a limit'])
-  t.is(await looked, 0)
+  t.is(await foundAt, 0)
 })
 
-test('an ask is answered by the gateway that issues the tokens, which learns the limit from it', t => {
+test('a token request is answered by the issuer of the tokens, which learns the limit from it', t => {
   const { clock, limiting, posted, others } = new Fixture()
   const ask = (upstream: string, number: number): void => limiting.receive(Buffer.from(encodeMessage({ token: 'ask', upstream, number, priority: 1, patience: 1000, limit: [10, 50] })), 'g2:1')
   ask('a', 7)
@@ -119,7 +121,7 @@
   t.is(limiting.limits.rate('b'), 10)
 })
 
-test('a gateway that takes the tokens over issues none for a second', t => {
+test('a gateway that takes over as issuer issues no token for one second', t => {
   const { clock, limiting, posted } = new Fixture()
   limiting.receive(Buffer.from(encodeMessage({ token: 'ask', upstream: 'a', number: 7, priority: 1, patience: 3000, limit: [100, 5000] })), 'g2:1')
   t.deepEqual(posted, ['g2:1 {"token":"later","number":7,"due":1000}'])
@@ -129,7 +131,7 @@
   t.is(posted.length, 2)
 })
 
-test('a datagram that is no message is dropped', t => {
+test('a datagram that is not a valid message is ignored', t => {
   const { limiting, posted } = new Fixture()
   for (const each of ['', 'x', '{"token":"grant"}', '{"token":"drop","upstream":"a","number":3}']) limiting.receive(Buffer.from(each), 'g2:1')
   t.deepEqual(posted, [])
--- a/packages/gateway/test/limitmember.ts
+++ b/packages/gateway/test/limitmember.ts
@@ -1,4 +1,7 @@
-/** The parts of a gateway that keep limits, in a model of a fleet: the real `Peers`, `Limiting`, `Intake` and `Queue` over a modelled network. */
+/**
+ * A gateway of a simulated fleet, reduced to the parts that enforce limits. It runs the real `Peers`, `Limiting`,
+ * `Intake` and `Queue` over a simulated network.
+ */
 import { type Clock, type Random } from '@eiderwind/clock'
 import { InFlight, Rests } from '@eiderwind/detect'
 import { Intake, Queue } from '@eiderwind/dispatch'
@@ -10,7 +13,9 @@
 import { ModelDatagrams, type Network } from './network.js'
 import { seeker } from './seeker.js'
 
+/** In ms. */
 export const heartbeatInterval = 250
+/** In ms. */
 const heartbeatTimeout = 1000
 
 /** Dependencies of `Member`. */
@@ -19,14 +24,14 @@
   readonly random: Random
   readonly network: Network
   readonly id: string
-  /** Called with each datagram about tokens that it gets. */
-  readonly took?: () => void
-  /** The service of all upstreams, where they may be cold. */
+  /** Called for each datagram about tokens that the gateway receives. */
+  readonly onTokenDatagram?: () => void
+  /** The service of all upstreams. Needed if upstreams may be cold. */
   readonly service?: Service
   readonly coldBound?: ColdBound
 }
 
-/** One gateway of the model. */
+/** One simulated gateway. */
 export class Member {
   readonly roster: Roster
   readonly peers: Peers
@@ -35,7 +40,7 @@
   readonly #intake: Intake
   readonly #queue: Queue
 
-  constructor ({ clock, random, network, id, took = () => {}, service, coldBound }: MemberOptions) {
+  constructor ({ clock, random, network, id, onTokenDatagram = () => {}, service, coldBound }: MemberOptions) {
     const address = addressOf(id)
     this.#clock = clock
     this.roster = new Roster(clock)
@@ -48,7 +53,7 @@
       heartbeat: (): Heartbeat => ({ id, revision: 1, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: true, loads: {}, ...this.limiting.news }),
       heard: each => this.limiting.hear(each),
       other: (datagram, from) => {
-        took()
+        onTokenDatagram()
         this.limiting.receive(datagram, from)
       },
       interval: heartbeatInterval,
@@ -60,18 +65,19 @@
   }
 
   /**
-   * A request comes that any of some upstreams may serve, the first of them with room.
-   * @param sent called with the upstream when the request is sent; never where it is refused
+   * Handles a request that any of the given upstreams may serve. The first one with room is chosen.
+   * @param maxWait how long the request waits before it is refused, in ms
+   * @param sent called with the upstream when the request is sent, but not if it is refused
    */
-  ask (upstreams: readonly string[], patience: number, sent: (upstream: string) => void): void {
-    const claim = this.#intake.claim(1, this.#clock.now() + patience)
+  request (upstreams: readonly string[], maxWait: number, sent: (upstream: string) => void): void {
+    const claim = this.#intake.claim(1, this.#clock.now() + maxWait)
     const find = (): string | undefined => {
       const found = upstreams.find(each => this.#intake.has(each))
       if (found === undefined) this.#intake.pursue(claim, upstreams.map(id => ({ id })), new Set())
       else this.#intake.take(found, claim)
       return found
     }
-    this.#queue.wait(seeker(this.#clock.now(), this.#clock.now() + patience), find).then(found => {
+    this.#queue.wait(seeker(this.#clock.now(), this.#clock.now() + maxWait), find).then(found => {
       this.#intake.release(claim)
       if (found !== undefined) sent(found)
     }, error => { throw error })
@@ -86,13 +92,13 @@
   return ids.map(id => ({ id, address: addressOf(id) }))
 }
 
-/** An upstream as the list has it. */
-export function listed (id: string, cold = 0): Upstream {
+/** The record of an upstream in the roster. */
+export function upstreamRecord (id: string, cold = 0): Upstream {
   return { id, service: 's', address: `${id}:1`, dataCentre: 'dc', leaving: false, loaded: [], staged: [], ...cold > 0 ? { cold } : {} }
 }
 
-/** Most of some times, in order, within a window. */
-export function most (times: readonly number[], window: number): number {
+/** The largest number of the given times within any window. The times are sorted. */
+export function maxInWindow (times: readonly number[], window: number): number {
   let first = 0
   return times.reduce((greatest, time, index) => {
     while (times[first] <= time - window) first++
--- a/packages/gateway/test/network.ts
+++ b/packages/gateway/test/network.ts
@@ -1,29 +1,33 @@
-/** Datagrams between gateways of a test, in memory. */
+/** Carries datagrams between the gateways of a test in memory, with loss, delay and partitions. */
 import { type Clock, type Random } from '@eiderwind/clock'
 import { Datagrams, type Receiver } from '@eiderwind/peers'
 
-/** Share of the datagrams that is lost, unless a test says otherwise. */
-const usualLoss = 0.02
+/** Default share of the datagrams that are lost. */
+const defaultLoss = 0.02
 
-/** How datagrams fare. */
+/** Delay and loss of datagrams. */
 export interface Delivery {
   readonly clock: Clock
-  /** How long they take, in ms. */
-  readonly time: number
-  /** Share that is lost. */
+  /** Time in transit, in ms. */
+  readonly delay: number
+  /** Share of the datagrams that are lost. */
   readonly loss: number
 }
 
-/** The network of a fleet: datagrams by address, lost at random and where `cut` says so. */
+/** The network of a fleet. Datagrams are lost at random and wherever `isCut` returns true. */
 export class Network {
+  /** Receivers by address. */
   readonly receivers = new Map<string, Receiver>()
-  cut: (from: string, to: string) => boolean = () => false
+  /** Whether no datagram passes from one address to another. */
+  isCut: (from: string, to: string) => boolean = () => false
+  /** Number of datagrams sent. */
   sent = 0
+  /** Their total length, in bytes. */
   bytes = 0
   readonly #random: Random
   readonly #delivery: Delivery | undefined
 
-  /** @param delivery by default datagrams arrive at once, and some are lost */
+  /** @param delivery by default datagrams arrive without delay and the default share is lost */
   constructor (random: Random, delivery?: Delivery) {
     this.#random = random
     this.#delivery = delivery
@@ -32,9 +36,9 @@
   send (message: string, from: string, to: string): void {
     this.sent++
     this.bytes += message.length
-    if (this.#random() < (this.#delivery?.loss ?? usualLoss) || this.cut(from, to)) return
+    if (this.#random() < (this.#delivery?.loss ?? defaultLoss) || this.isCut(from, to)) return
     if (this.#delivery === undefined) return this.#arrive(message, from, to)
-    this.#delivery.clock.after(this.#delivery.time, () => this.#arrive(message, from, to))
+    this.#delivery.clock.after(this.#delivery.delay, () => this.#arrive(message, from, to))
   }
 
   #arrive (message: string, from: string, to: string): void {
@@ -42,26 +46,26 @@
   }
 }
 
-/** A network whose datagrams arrive when its test says so, all in the order in which they were sent: no timer for each. */
+/** A network that delivers datagrams in the order of sending when `deliver` is called. It needs no timer for each one. */
 export class SteppedNetwork extends Network {
-  /** Those of them that are about places. */
-  aboutPlaces = 0
-  #held: Array<() => void> = []
+  /** Number of datagrams about places. */
+  placeDatagrams = 0
+  #pending: Array<() => void> = []
 
   override send (message: string, from: string, to: string): void {
-    if (message.startsWith('{"place":')) this.aboutPlaces++
-    this.#held.push(() => super.send(message, from, to))
+    if (message.startsWith('{"place":')) this.placeDatagrams++
+    this.#pending.push(() => super.send(message, from, to))
   }
 
-  /** Delivers what was sent until now. */
+  /** Delivers all datagrams sent so far. */
   deliver (): void {
-    const held = this.#held
-    this.#held = []
-    for (const arrive of held) arrive()
+    const pending = this.#pending
+    this.#pending = []
+    for (const arrive of pending) arrive()
   }
 }
 
-/** Datagrams over a `Network`. */
+/** The `Datagrams` of one gateway over a `Network`. */
 export class ModelDatagrams extends Datagrams {
   readonly #network: Network
   readonly #address: string
--- a/packages/gateway/test/overload.ts
+++ b/packages/gateway/test/overload.ts
@@ -1,6 +1,7 @@
 /**
- * A model of callers, gateways and replica heads under more load than the heads can serve. The way of each request through a gateway is the real one (paths,
- * choice, queue, retry budget, rests, heartbeats); time, network, heads and callers are modelled, so a run repeats and needs no machine of its own.
+ * Simulates callers, gateways and replica heads under more load than the heads can serve. Each request passes through
+ * the real code of a gateway: paths, choice, queue, retry budget, rests and heartbeats. Time, network, heads and
+ * callers are modelled, so a run is repeatable and does not depend on the speed of the machine.
  */
 import { IncomingMessage, ServerResponse } from 'node:http'
 import { Socket } from 'node:net'
@@ -15,110 +16,132 @@
 import { type Engine, type Route } from '@eiderwind/traffic'
 import { type Call, type Cancel, type Receiver } from '@eiderwind/wire'
 import { Conditions } from '../src/conditions.js'
-import { ModelHead, distance, slots, unavailable, type Refusing } from './modelhead.js'
+import { ModelHead, oneWayDelay, slots, unavailable, type RefusalMode } from './modelhead.js'
 import { ModelDatagrams, SteppedNetwork, type Network } from './network.js'
 import { Rooms } from '../src/rooms.js'
 
-/** What is played. */
-export interface Overload {
+/** The parameters of a run. */
+export interface OverloadScenario {
   readonly seed: number
   readonly gateways: number
-  /** Requests that callers send, in parts of what the heads can serve. */
+  /** Requests that callers send, as a fraction of the capacity of the heads. */
   readonly load: number
-  readonly refusing: Refusing
-  /** Share of the heads that work twice as long. */
-  readonly slow: number
-  /** Share of the callers that do not wait as they are told. */
-  readonly impatient: number
-  /** Whether gateways take anything from a refusal but that the request did not run. */
-  readonly heeds: boolean
-  /** Whether room is shared out fairly. */
+  /** How a full head refuses requests. */
+  readonly refusalMode: RefusalMode
+  /** Share of the heads that take twice as long for each request. */
+  readonly slowShare: number
+  /** Share of the callers that ignore `Retry-After` and retry early. */
+  readonly impatientShare: number
+  /** Whether gateways rest a head after its refusal. If not, a refusal only says that the request did not run. */
+  readonly usesRefusals: boolean
+  /** Whether the queue is a `FairQueue`, which divides room fairly among teams. */
   readonly fair?: boolean
-  /** The first of the teams sends so many times its usual once requests count; 1 where it is left out. */
-  readonly surge?: number
-  /** Whether the load is a burst of so many ms, again and again after as long a time at half of what the heads can serve. */
-  readonly burst?: number
-  /** How gateways find room: each alone (the default), or in one of the ways that were compared. */
-  readonly way?: Way
+  /** The first team sends this multiple of its usual load once the margin is over. The default is 1. */
+  readonly surgeFactor?: number
+  /**
+   * If set, the load alternates between half of the capacity of the heads and `load`. Each phase lasts this long, in
+   * ms.
+   */
+  readonly burstTime?: number
+  /** How gateways find room at heads. The default is `alone`. */
+  readonly roomSearch?: RoomSearch
 }
 
 /**
- * Each gateway alone by heartbeats; places issued by one where room is contended; heartbeats ten times as often; the less loaded of two heads that are drawn, by their own
- * word at that moment.
+ * How gateways find room at heads:
+ * - `alone`: each gateway chooses by its own counts and the heartbeats of the others.
+ * - `issued`: one gateway issues places while room is contended.
+ * - `fresher counts`: like `alone`, with ten times as many heartbeats.
+ * - `two choices`: a gateway draws two heads and takes the one that has the lower actual load at that moment.
  */
-export type Way = 'alone' | 'issued' | 'fresher counts' | 'two choices'
+export type RoomSearch = 'alone' | 'issued' | 'fresher counts' | 'two choices'
 
-/** What came of it. */
+/** The figures of a run. */
 export interface OverloadResult {
-  /** Answers that began in time and were whole, in parts of what the heads could serve. */
+  /** Complete answers that began in time, as a fraction of the capacity of the heads. */
   readonly goodput: number
-  /** All whole answers, also those that began late, in the same parts. */
+  /** All complete answers, including those that began late, as the same fraction. */
   readonly answered: number
-  /** Share of callers served in time, the more urgent ones first. */
-  readonly served: readonly number[]
-  /** Share of the callers of each team who were served in time, and of those who were answered at all. */
-  readonly teams: readonly number[]
-  readonly answeredTeams: readonly number[]
-  /** Share of the largest tenth of the callers that were answered, over the share of all. */
-  readonly largest: number
-  /** Share of those refused once who were answered in the end, and the share of second tries that were, of callers who came back when told to. */
-  readonly refusedOnce: number
-  readonly returns: number
-  /** Share answered of those who were told a time to come back that they heed in full, and how many of those refused that is. */
-  readonly kept: number
-  readonly told: number
-  /** Time from a try to its refusal, 99 in 100, in ms. */
-  readonly refusalTime: number
-  /** Share of the refused tries that were refused after more than a quarter of the objective. */
-  readonly held: number
-  /** Requests that reached a head from a gateway between half a second after it had asked for rest and the end of the rest. */
-  readonly unheeded: number
-  /** Requests that heads turned away, for each request of a caller. */
-  readonly turnedAway: number
-  /** Datagrams between gateways for each request of a caller, and those of them that are about places. */
+  /** Share of the callers who were served in time: first of the urgent ones, then of the others. */
+  readonly servedByUrgency: readonly number[]
+  /** Share of the callers of each team who were served in time. */
+  readonly servedByTeam: readonly number[]
+  /** Share of the callers of each team who were answered at all. */
+  readonly answeredByTeam: readonly number[]
+  /** Share answered of the largest tenth of the requests, divided by the share answered of all requests. */
+  readonly largestRatio: number
+  /** Share answered in the end of the callers who retried after a refusal. */
+  readonly answeredAfterRefusal: number
+  /** The same share among callers who are not impatient. */
+  readonly answeredOnRetry: number
+  /** The same share among callers who are not impatient and who waited for the whole `Retry-After` time. */
+  readonly answeredAfterFullWait: number
+  /** Share of the callers that retried whose first `Retry-After` time was short enough to wait for in full. */
+  readonly fullWaitShare: number
+  /** 99th percentile of the time from an attempt of a caller to its refusal, in ms. */
+  readonly refusalTimeP99: number
+  /** Share of the refusals that came later than a quarter of the objective. */
+  readonly lateRefusalShare: number
+  /**
+   * Requests that a gateway sent to a head that had asked it for rest. The first 500 ms of a rest do not count, because
+   * requests may still be in transit.
+   */
+  readonly requestsDuringRest: number
+  /** Requests that heads refused, per caller. */
+  readonly headRefusals: number
+  /** Datagrams between gateways, per caller. */
   readonly datagrams: number
-  readonly aboutPlaces: number
+  /** Datagrams between gateways about places, per caller. */
+  readonly placeDatagrams: number
 }
 
 const heads = 24
-/** Mean time of a stream, in ms; between half and one and a half of that. */
+/** Mean time of a stream, in ms. Each stream takes between 0.5 and 1.5 times as long. */
 const runTime = 1500
-const slowness = 2
-const betweenBursts = 0.5
-/** Teams of callers, which usually send as much as each other. */
+/** Run time at a slow head, as a multiple of the usual one. */
+const slowFactor = 2
+/** Load between two bursts, as a fraction of the capacity of the heads. */
+const loadBetweenBursts = 0.5
+/** Number of teams. Without a surge, all send the same load. */
 const teams = 5
-/** Length of a run, and of its beginning and end that do not count, in ms. */
+/** Length of a run, in ms. */
 const span = 14_000
-const ignored = 4000
+/** Length of the beginning and of the end of a run whose callers do not count, in ms. */
+const margin = 4000
+/** Step of the clock, in ms. */
 const step = 1
+/** Time that a caller allows for its request, retries included, in ms. */
 const deadline = 6000
+/** Time in which an answer has to begin, in ms. */
 const objective = 500
+/** Time after which an impatient caller retries, in ms. */
 const impatientPause = 50
+/** Maximum number of attempts of an impatient caller. */
 const impatientTries = 4
 
 const engine: Engine = { slots, models: [], step: 8, stepPerRequest: 0.1, readRate: 45_000, prompt: 900, answer: 130, loadRate: 3, loadsAtOnce: 6, formTime: 300 }
 const names = { request: 'id', deadline: 'deadline', key: 'key', team: 'team', upstream: 'upstream', model: 'model', urgency: 'urgency', notRun: 'not-run' }
 
-/** Callers that have read whatever they are sent. */
-const readAtOnce = { open: () => ({ write: () => {}, end: () => {}, cut: () => {}, isFull: () => false }) } as unknown as Deliveries
+/** Callers that read all bytes at once. */
+const immediateDeliveries = { open: () => ({ write: () => {}, end: () => {}, cut: () => {}, isFull: () => false }) } as unknown as Deliveries
 
 interface Caller {
   readonly sentAt: number
-  readonly urgent: boolean
-  readonly impatient: boolean
+  readonly isUrgent: boolean
+  readonly isImpatient: boolean
   readonly team: number
-  /** Of its run time, in parts of the mean. */
+  /** Run time of the request, as a fraction of the mean. */
   readonly size: number
-  /** Whether it was told a time that it heeds in full, when it was first refused. */
-  told: boolean
+  /** Whether the `Retry-After` time of the first refusal was short enough to wait for in full. */
+  waitsInFull: boolean
   tries: number
   firstAt: number | undefined
   served: boolean
 }
 
-/** One run. */
+/** One run of the simulation. */
 class Run {
-  readonly #options: Overload
+  readonly #scenario: OverloadScenario
   readonly #clock = new ManualClock()
   readonly #random: Random
   readonly #heads: ModelHead[]
@@ -129,37 +152,37 @@
   readonly #network: SteppedNetwork
   #id = 0
 
-  constructor (options: Overload) {
-    this.#options = options
-    this.#random = seeded(options.seed)
+  constructor (scenario: OverloadScenario) {
+    this.#scenario = scenario
+    this.#random = seeded(scenario.seed)
     this.#network = new SteppedNetwork(this.#random)
-    this.#heads = Array.from({ length: heads }, (_each, index) => new ModelHead(this.#clock, runTime * (index < heads * options.slow ? slowness : 1), options.refusing))
+    this.#heads = Array.from({ length: heads }, (_each, index) => new ModelHead(this.#clock, runTime * (index < heads * scenario.slowShare ? slowFactor : 1), scenario.refusalMode))
   }
 
-  async play (): Promise<OverloadResult> {
+  async run (): Promise<OverloadResult> {
     await this.#start()
-    const { slow } = this.#options
-    const capacity = heads * slots / runTime * (1 - slow + slow / slowness)
-    let due = 0
+    const { slowShare } = this.#scenario
+    const capacity = heads * slots / runTime * (1 - slowShare + slowShare / slowFactor)
+    let arrivals = 0
     for (let now = 0; now < span; now += step) {
-      const surge = now < ignored ? 1 : this.#options.surge ?? 1
-      for (due += this.#loadAt(now) * capacity * step * (surge + teams - 1) / teams; due >= 1; due--) this.#arrive(surge)
+      const surge = now < margin ? 1 : this.#scenario.surgeFactor ?? 1
+      for (arrivals += this.#loadAt(now) * capacity * step * (surge + teams - 1) / teams; arrivals >= 1; arrivals--) this.#arrive(surge)
       this.#clock.advance(step)
       this.#network.deliver()
-      // Lets what waits for promises go on.
+      // Lets pending promises settle.
       await new Promise(resolve => setImmediate(resolve))
     }
     return this.#result(capacity)
   }
 
   #loadAt (now: number): number {
-    const { load, burst } = this.#options
-    return burst !== undefined && Math.floor(now / burst) % 2 === 0 ? betweenBursts : load
+    const { load, burstTime } = this.#scenario
+    return burstTime !== undefined && Math.floor(now / burstTime) % 2 === 0 ? loadBetweenBursts : load
   }
 
   async #start (): Promise<void> {
     const network = this.#network
-    const list = Array.from({ length: this.#options.gateways }, (_each, index) => ({ id: `g${index}`, address: `g${index}:1` }))
+    const list = Array.from({ length: this.#scenario.gateways }, (_each, index) => ({ id: `g${index}`, address: `g${index}:1` }))
     for (const { id, address } of list) {
       const { context, peers } = this.#gateway(id, address, network, list.length)
       this.#gateways.push({ context, patience: new UsualPatience() })
@@ -176,14 +199,14 @@
     const random = this.#random
     const roster = new Roster(clock)
     roster.replace(Array.from({ length: heads }, (_each, index) => head(index)))
-    const queue = this.#options.fair === true ? new FairQueue(clock) : new Queue(clock)
+    const queue = this.#scenario.fair === true ? new FairQueue(clock) : new Queue(clock)
     const inFlight = new InFlight(clock, request => {
       rooms?.ended(request)
       queue.wake()
     })
     const suspects = new Suspects(clock, roster)
     const heartbeat = (): Heartbeat => ({ id, revision: 1, canPlan: false, inFlight: inFlight.counts, suspects: [], offeredByModel: {}, served: true, loads: {}, ...rooms?.news })
-    const interval = this.#options.way === 'fresher counts' ? 25 : 250
+    const interval = this.#scenario.roomSearch === 'fresher counts' ? 25 : 250
     const peers = new Peers({
       clock,
       id,
@@ -198,8 +221,8 @@
     const log = { write: () => {} } as unknown as Log
     const conditions = new Conditions({ clock, log, roster, inFlight, queue, tell: () => {}, limited: () => {}, cold: () => {}, rested: () => {} })
     const intake = new Intake({ clock, rests: conditions.rests })
-    const choice = new (this.#options.way === 'two choices' ? this.#twoChoices : Choice)({ roster, inFlight, peers, suspects, intake, dataCentre: 'dc', random })
-    const rooms: Rooms | undefined = this.#options.way === 'issued' ? new Rooms({ clock, log, id, dataCentre: 'dc', roster, peers, inFlight, rests: conditions.rests, queue, choice, intake, engine: () => engine, random }) : undefined
+    const choice = new (this.#scenario.roomSearch === 'two choices' ? this.#twoChoices : Choice)({ roster, inFlight, peers, suspects, intake, dataCentre: 'dc', random })
+    const rooms: Rooms | undefined = this.#scenario.roomSearch === 'issued' ? new Rooms({ clock, log, id, dataCentre: 'dc', roster, peers, inFlight, rests: conditions.rests, queue, choice, intake, engine: () => engine, random }) : undefined
     rooms?.start()
     const budget = new RetryBudget(clock, { ratio: 0.2, window: 10_000, slack: 200, gateways: () => gateways })
     const context = {
@@ -219,14 +242,14 @@
       connections: { send: (call: Call, receiver: Receiver) => this.#send(id, call, receiver) },
       answered: (upstream: Upstream, answer: AnswerHead) => {
         const rest = answer.status === unavailable ? Number(answer.headers['retry-after'] ?? 0) * 1000 : 0
-        if (this.#options.heeds) conditions.answered(upstream, answer, { leaving: false, rest })
+        if (this.#scenario.usesRefusals) conditions.answered(upstream, answer, { leaving: false, rest })
         rooms?.answered(upstream, answer)
       }
     } as unknown as Context
     return { context, peers }
   }
 
-  /** Draws two heads and takes the less loaded one, by what they say at that moment. */
+  /** Draws two heads and takes the one that has the lower actual load at that moment. */
   get #twoChoices (): typeof Choice {
     const loads = this.#heads
     const random = this.#random
@@ -244,7 +267,7 @@
     let cancel: Cancel | undefined
     let cancelled: Error | undefined
     receiver.begun()
-    this.#clock.after(distance, () => {
+    this.#clock.after(oneWayDelay, () => {
       if (cancelled === undefined) cancel = this.#heads[Number(/h(\d+)/.exec(origin)?.[1])].arrive(gateway, headers.id, receiver, this.#sizes.get(headers.id) ?? 1)
     })
     return error => {
@@ -256,7 +279,7 @@
 
   #arrive (surge: number): void {
     const team = Math.max(0, Math.floor(this.#random() * (surge + teams - 1) - surge + 1))
-    const caller: Caller = { told: false, team, size: 0.5 + this.#random(), sentAt: this.#clock.now(), urgent: this.#random() < 0.5, impatient: this.#random() < this.#options.impatient, tries: 0, firstAt: undefined, served: false }
+    const caller: Caller = { waitsInFull: false, team, size: 0.5 + this.#random(), sentAt: this.#clock.now(), isUrgent: this.#random() < 0.5, isImpatient: this.#random() < this.#scenario.impatientShare, tries: 0, firstAt: undefined, served: false }
     this.#callers.push(caller)
     this.#try(caller)
   }
@@ -279,14 +302,14 @@
       incoming,
       response,
       body: undefined,
-      route: route(caller.urgent ? 1 : 3),
+      route: route(caller.isUrgent ? 1 : 3),
       service: 's',
       team: { name: `t${caller.team}`, keys: [] },
       arrivedAt,
       endsAt: arrivedAt + timeLeft,
       spent: patience.spent('r', timeLeft, arrivedAt),
       idHeader: 'id',
-      deliveries: readAtOnce,
+      deliveries: immediateDeliveries,
       onEnd: ({ timing }, outcome) => {
         if (timing.first !== undefined) caller.firstAt ??= arrivedAt + timing.first
         if (outcome === 'answered 200') caller.served = true
@@ -300,35 +323,35 @@
   #refused (caller: Caller, time: number, retryAfter: number): void {
     this.#refusals.push(time)
     const timeLeft = caller.sentAt + deadline - this.#clock.now()
-    if (caller.tries === 1) caller.told = retryAfter <= timeLeft / 3
-    if (caller.impatient) {
+    if (caller.tries === 1) caller.waitsInFull = retryAfter <= timeLeft / 3
+    if (caller.isImpatient) {
       if (caller.tries < impatientTries) this.#clock.after(impatientPause, () => this.#try(caller))
     } else if (caller.tries < 2) this.#clock.after(Math.min(retryAfter, timeLeft / 3), () => this.#try(caller))
   }
 
   #result (capacity: number): OverloadResult {
-    const counted = this.#callers.filter(each => each.sentAt >= ignored && each.sentAt < span - ignored)
+    const counted = this.#callers.filter(each => each.sentAt >= margin && each.sentAt < span - margin)
     const inTime = counted.filter(isInTime)
-    const part = (of: (each: Caller) => boolean, among: (each: Caller) => boolean = () => true): number => counted.filter(each => among(each) && of(each)).length / counted.filter(among).length
+    const shareOf = (of: (each: Caller) => boolean, among: (each: Caller) => boolean = () => true): number => counted.filter(each => among(each) && of(each)).length / counted.filter(among).length
     const largest = [...counted].sort((a, b) => a.size - b.size)[Math.floor(counted.length * 0.9)]?.size
     const refusals = this.#refusals.sort((a, b) => a - b)
     return {
-      goodput: inTime.length / (capacity * (span - 2 * ignored)),
-      answered: counted.filter(each => each.served).length / (capacity * (span - 2 * ignored)),
-      served: [part(isInTime, each => each.urgent), part(isInTime, each => !each.urgent)],
-      teams: Array.from({ length: teams }, (_each, index) => part(isInTime, ({ team }) => team === index)),
-      answeredTeams: Array.from({ length: teams }, (_each, index) => part(isServed, ({ team }) => team === index)),
-      largest: part(isServed, ({ size }) => size >= largest) / part(isServed),
-      refusedOnce: part(isServed, ({ tries }) => tries > 1),
-      kept: part(isServed, ({ tries, impatient, told }) => tries > 1 && !impatient && told),
-      told: part(({ told }) => told, ({ tries }) => tries > 1),
-      returns: part(isServed, ({ tries, impatient }) => tries > 1 && !impatient),
-      refusalTime: refusals[Math.floor(refusals.length * 0.99)] ?? 0,
-      held: refusals.filter(time => time > objective / 4).length / Math.max(1, refusals.length),
-      unheeded: this.#heads.reduce((sum, each) => sum + each.unheeded, 0),
-      turnedAway: this.#heads.reduce((sum, each) => sum + each.turnedAway, 0) / this.#callers.length,
+      goodput: inTime.length / (capacity * (span - 2 * margin)),
+      answered: counted.filter(each => each.served).length / (capacity * (span - 2 * margin)),
+      servedByUrgency: [shareOf(isInTime, each => each.isUrgent), shareOf(isInTime, each => !each.isUrgent)],
+      servedByTeam: Array.from({ length: teams }, (_each, index) => shareOf(isInTime, ({ team }) => team === index)),
+      answeredByTeam: Array.from({ length: teams }, (_each, index) => shareOf(isServed, ({ team }) => team === index)),
+      largestRatio: shareOf(isServed, ({ size }) => size >= largest) / shareOf(isServed),
+      answeredAfterRefusal: shareOf(isServed, ({ tries }) => tries > 1),
+      answeredAfterFullWait: shareOf(isServed, ({ tries, isImpatient, waitsInFull }) => tries > 1 && !isImpatient && waitsInFull),
+      fullWaitShare: shareOf(({ waitsInFull }) => waitsInFull, ({ tries }) => tries > 1),
+      answeredOnRetry: shareOf(isServed, ({ tries, isImpatient }) => tries > 1 && !isImpatient),
+      refusalTimeP99: refusals[Math.floor(refusals.length * 0.99)] ?? 0,
+      lateRefusalShare: refusals.filter(time => time > objective / 4).length / Math.max(1, refusals.length),
+      requestsDuringRest: this.#heads.reduce((sum, each) => sum + each.requestsDuringRest, 0),
+      headRefusals: this.#heads.reduce((sum, each) => sum + each.refusalCount, 0) / this.#callers.length,
       datagrams: this.#network.sent / this.#callers.length,
-      aboutPlaces: this.#network.aboutPlaces / this.#callers.length
+      placeDatagrams: this.#network.placeDatagrams / this.#callers.length
     }
   }
 }
@@ -337,7 +360,7 @@
   return served
 }
 
-/** Whether the answer began within the objective, counted from the first try, and ended or is still under way. */
+/** Whether the answer was complete and began within the objective, counted from the first attempt. */
 function isInTime ({ sentAt, firstAt, served }: Caller): boolean {
   return served && firstAt !== undefined && firstAt - sentAt <= objective
 }
@@ -350,7 +373,7 @@
   return { name: 'r', host: 'h', prefix: '/', kind: 'stream', resumable: true, timeout: deadline, objective, gap: 300, priority, attempts: 2, open: true, shares: [{ service: 's', weight: 1 }] }
 }
 
-/** Plays one run. */
-export async function playOverload (options: Overload): Promise<OverloadResult> {
-  return await new Run(options).play()
+/** Simulates one run. */
+export async function simulateOverload (scenario: OverloadScenario): Promise<OverloadResult> {
+  return await new Run(scenario).run()
 }
--- a/packages/gateway/test/overloadtable.ts
+++ b/packages/gateway/test/overloadtable.ts
@@ -1,35 +1,36 @@
 /**
- * `npm run overload [-- SEED]`: plays the model of overload over load, gateways and ways of refusing, and prints a table in Markdown; then another one with room by
- * age and shared out, by teams, sizes and returns.
+ * `npm run overload [-- SEED]`: runs the overload simulation and prints two tables in Markdown. The first one varies
+ * load, gateways and the way in which heads refuse. The second one compares a queue by age with a fair one, by team,
+ * size of request and retries.
  */
-import { type Refusing } from './modelhead.js'
-import { playOverload } from './overload.js'
+import { type RefusalMode } from './modelhead.js'
+import { simulateOverload } from './overload.js'
 
 const loads = [0.5, 0.8, 1, 1.2, 1.5, 2, 3, 4]
 const seed = Number(process.argv[2] ?? 1)
 const percent = (part: number): string => (100 * part).toFixed(0)
 
-process.stdout.write('| Refusals | Gateways | Load | Heeded | In time, of what the heads could serve | All answers, likewise | Served in time: urgent, others | Refused after, 99 in 100 | Sent within a rest | Turned away, for each request |\n')
+process.stdout.write('| Refusals | Gateways | Load | Refusals used | In time, of the capacity | All answers, of the capacity | Served in time: urgent, others | Time to refusal, p99 | Sent during a rest | Refused by heads, per caller |\n')
 process.stdout.write(`|${' --- |'.repeat(10)}\n`)
-for (const refusing of ['queue', 'rest'] satisfies Refusing[]) {
+for (const refusalMode of ['queue', 'rest'] satisfies RefusalMode[]) {
   for (const gateways of [1, 3, 13]) {
     for (const load of loads) {
-      for (const heeds of [false, true]) {
-        const { goodput, answered, served, refusalTime, unheeded, turnedAway } = await playOverload({ seed, gateways, load, refusing, slow: 0.2, impatient: 1 / 3, heeds })
-        process.stdout.write(`| ${refusing} | ${gateways} | ${load} | ${heeds ? 'yes' : 'no'} | ${percent(goodput)} | ${percent(answered)} | ${served.map(percent).join(', ')} | ${refusalTime.toFixed(0)} ms | ${unheeded} | ${turnedAway.toFixed(2)} |\n`)
+      for (const usesRefusals of [false, true]) {
+        const { goodput, answered, servedByUrgency, refusalTimeP99, requestsDuringRest, headRefusals } = await simulateOverload({ seed, gateways, load, refusalMode, slowShare: 0.2, impatientShare: 1 / 3, usesRefusals })
+        process.stdout.write(`| ${refusalMode} | ${gateways} | ${load} | ${usesRefusals ? 'yes' : 'no'} | ${percent(goodput)} | ${percent(answered)} | ${servedByUrgency.map(percent).join(', ')} | ${refusalTimeP99.toFixed(0)} ms | ${requestsDuringRest} | ${headRefusals.toFixed(2)} |\n`)
       }
     }
   }
 }
 
-process.stdout.write('\n| Gateways | Load | First team sends | Room | In time, of what the heads could serve | All answers, likewise | In time: urgent, others | In time: first team, other teams | Largest tenth answered, over all | Refused once, answered | Told a time that they heed | Of those, answered |\n')
+process.stdout.write('\n| Gateways | Load | First team sends | Queue | In time, of the capacity | All answers, of the capacity | In time: urgent, others | In time: first team, other teams | Largest tenth answered, over all | Answered after a refusal | Could wait for the whole Retry-After | Answered after the whole wait |\n')
 process.stdout.write(`|${' --- |'.repeat(12)}\n`)
 for (const gateways of [1, 13]) {
-  for (const [load, surge] of [[1, 1], [1.5, 1], [2, 1], [4, 1], [0.7, 1], [0.7, 10]]) {
+  for (const [load, surgeFactor] of [[1, 1], [1.5, 1], [2, 1], [4, 1], [0.7, 1], [0.7, 10]]) {
     for (const fair of [false, true]) {
-      const { goodput, answered, served, teams: [first, ...others], largest, refusedOnce, told, kept } = await playOverload({ seed, gateways, load, surge, fair, refusing: 'queue', slow: 0.2, impatient: 1 / 3, heeds: true })
+      const { goodput, answered, servedByUrgency, servedByTeam: [first, ...others], largestRatio, answeredAfterRefusal, fullWaitShare, answeredAfterFullWait } = await simulateOverload({ seed, gateways, load, surgeFactor, fair, refusalMode: 'queue', slowShare: 0.2, impatientShare: 1 / 3, usesRefusals: true })
       const rest = others.reduce((sum, each) => sum + each, 0) / others.length
-      process.stdout.write(`| ${gateways} | ${load} | ${surge} times its usual | ${fair ? 'shared out' : 'by age'} | ${percent(goodput)} | ${percent(answered)} | ${served.map(percent).join(', ')} | ${percent(first)}, ${percent(rest)} | ${largest.toFixed(2)} | ${percent(refusedOnce)} | ${percent(told)} | ${percent(kept)} |\n`)
+      process.stdout.write(`| ${gateways} | ${load} | ${surgeFactor} times its usual | ${fair ? 'fair' : 'by age'} | ${percent(goodput)} | ${percent(answered)} | ${servedByUrgency.map(percent).join(', ')} | ${percent(first)}, ${percent(rest)} | ${largestRatio.toFixed(2)} | ${percent(answeredAfterRefusal)} | ${percent(fullWaitShare)} | ${percent(answeredAfterFullWait)} |\n`)
     }
   }
 }
--- a/packages/gateway/test/readiness.test.ts
+++ b/packages/gateway/test/readiness.test.ts
@@ -1,10 +1,10 @@
-/** A gateway that runs short of something, on a clock that the test moves: what the balancer and the other gateways hear. */
+/** A gateway that runs short of a resource: which state it reports to the balancer and to the other gateways. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Log } from '@eiderwind/log'
 import { Readiness, type ReadinessLimits } from '../src/readiness.js'
 
-class Setting {
+class Fixture {
   readonly clock = new ManualClock()
   readonly lines: Array<Record<string, unknown>> = []
   readonly readiness: Readiness
@@ -24,7 +24,11 @@
     this.readiness.start()
   }
 
-  /** Runs for some seconds in which each piece of work holds the event loop up for so long, in ms. */
+  /**
+   * Advances the clock.
+   * @param seconds time to advance, not counting the work
+   * @param work time for which the event loop is blocked before each step of 50 ms, in ms
+   */
   run (seconds: number, work = 0): void {
     const end = this.clock.now() + seconds * 1000
     while (this.clock.now() < end) {
@@ -34,50 +38,50 @@
   }
 }
 
-test('a gateway whose event loop is late has callers sent to others, says so, and takes them again once it has time', t => {
-  const setting = new Setting({ lateness: 30 })
-  setting.run(5)
-  t.is(setting.readiness.cause, undefined)
-  setting.run(4, 200)
-  t.is(setting.readiness.cause, 'processor')
-  t.deepEqual(setting.readiness.news, { away: true })
-  setting.run(3)
-  t.is(setting.readiness.cause, undefined)
-  t.deepEqual(setting.readiness.news, {})
-  t.deepEqual(setting.lines.map(({ name, away, cause }) => [name, away, cause]), [['gateway-strained', true, 'processor'], ['gateway-strained', false, 'processor']])
+test('a gateway whose event loop is late sends callers away and logs it, and accepts them again after it has recovered', t => {
+  const fixture = new Fixture({ lateness: 30 })
+  fixture.run(5)
+  t.is(fixture.readiness.cause, undefined)
+  fixture.run(4, 200)
+  t.is(fixture.readiness.cause, 'processor')
+  t.deepEqual(fixture.readiness.news, { away: true })
+  fixture.run(3)
+  t.is(fixture.readiness.cause, undefined)
+  t.deepEqual(fixture.readiness.news, {})
+  t.deepEqual(fixture.lines.map(({ name, away, cause }) => [name, away, cause]), [['gateway-strained', true, 'processor'], ['gateway-strained', false, 'processor']])
 })
 
-test('one pause of the whole process is no shortage of processor', t => {
-  const setting = new Setting({ lateness: 30 })
-  setting.run(2)
-  setting.clock.freeze(4000)
-  setting.run(5)
-  t.deepEqual(setting.lines, [])
+test('a single pause of the process does not count as a shortage of processor time', t => {
+  const fixture = new Fixture({ lateness: 30 })
+  fixture.run(2)
+  fixture.clock.freeze(4000)
+  fixture.run(5)
+  t.deepEqual(fixture.lines, [])
 })
 
-test('memory and descriptors count against their limits', t => {
-  const full = new Setting({ memory: 1000 })
+test('memory and descriptors near their limits count as shortages', t => {
+  const full = new Fixture({ memory: 1000 })
   full.memory = 900
   full.run(4)
   t.is(full.readiness.cause, 'memory')
-  const crowded = new Setting({ descriptors: 1000 })
+  const crowded = new Fixture({ descriptors: 1000 })
   crowded.connections = 800
   crowded.run(4)
   t.is(crowded.readiness.cause, 'descriptors')
 })
 
-test('where most others have sent theirs away, it stays', t => {
-  const setting = new Setting({ memory: 1000 })
-  setting.memory = 900
-  setting.others = [{ away: true }, { away: true }, {}, {}, {}]
-  setting.run(4)
-  t.is(setting.readiness.cause, undefined)
+test('a gateway does not send callers away if too many others have', t => {
+  const fixture = new Fixture({ memory: 1000 })
+  fixture.memory = 900
+  fixture.others = [{ away: true }, { away: true }, {}, {}, {}]
+  fixture.run(4)
+  t.is(fixture.readiness.cause, undefined)
 })
 
-test('without limits nothing is measured', t => {
-  const setting = new Setting({})
-  setting.memory = 1e12
-  setting.run(10, 200)
-  t.is(setting.readiness.cause, undefined)
-  t.deepEqual(setting.lines, [])
+test('without limits no shortage is reported', t => {
+  const fixture = new Fixture({})
+  fixture.memory = 1e12
+  fixture.run(10, 200)
+  t.is(fixture.readiness.cause, undefined)
+  t.deepEqual(fixture.lines, [])
 })
--- a/packages/gateway/test/rooms.test.ts
+++ b/packages/gateway/test/rooms.test.ts
@@ -1,4 +1,4 @@
-/** What gateways tell each other of room at heads, and what follows from it. */
+/** Which messages about room at heads gateways exchange, and the effects of these messages. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight, Rests, Suspects, type InFlightRequest } from '@eiderwind/detect'
@@ -13,6 +13,7 @@
 
 const engine: Engine = { slots: 2, models: [], step: 8, stepPerRequest: 0.1, readRate: 45_000, prompt: 900, answer: 130, loadRate: 3, loadsAtOnce: 6, formTime: 300 }
 const room = roomOf('s', 'm')
+/** The gateway that issues places for this room. */
 const issuer = ranked(room.key, ['g1', 'g2'])[0]
 const other = issuer === 'g1' ? 'g2' : 'g1'
 
@@ -20,7 +21,7 @@
   return { id, service: 's', address: `${id}:1`, dataCentre: 'dc', leaving: false, loaded: ['m'], staged: [], membership: { replica: `r-${id}`, epoch: 1, rank: 0, state: 'open' } }
 }
 
-/** One gateway of two. */
+/** One of two gateways. */
 class Fixture {
   readonly clock = new ManualClock()
   readonly posted: string[] = []
@@ -43,8 +44,8 @@
     this.rooms = new Rooms({ clock, log, id, dataCentre: 'dc', roster, peers, inFlight, rests, queue: new Queue(clock), choice, intake, engine: service => service === 's' ? engine : undefined, random: () => 0 })
   }
 
-  /** The heartbeat of the other gateway. */
-  hear (heartbeat: Partial<Heartbeat> = {}): void {
+  /** Simulates a heartbeat of the other gateway. */
+  receiveHeartbeat (heartbeat: Partial<Heartbeat> = {}): void {
     this.rooms.hear({ id: this.#peer, revision: 1, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: true, loads: {}, ...heartbeat }, { id: this.#peer, address: `${this.#peer}:1` })
   }
 
@@ -57,67 +58,67 @@
     return { room, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, aloneUntil: now + 110, objective: 500, besides: () => [] }
   }
 
-  /** What was posted since the last look. */
-  get sent (): string[] {
+  /** Messages sent since the last access. */
+  get newMessages (): string[] {
     return this.posted.splice(0)
   }
 }
 
-test('where heads have room nothing is asked or told', t => {
-  const { rooms, sent, ...fixture } = new Fixture(other)
-  const request = new Fixture(other)
-  request.inFlight.end(request.begin())
-  t.is(rooms.asker.find(rooms.asker.claim(request.wish())).kind, 'alone')
-  t.deepEqual([...sent, ...fixture.posted, ...request.sent], [])
+test('while heads have room, no message about places is sent', t => {
+  const { rooms, newMessages, ...fixture } = new Fixture(other)
+  const second = new Fixture(other)
+  second.inFlight.end(second.begin())
+  t.is(rooms.asker.find(rooms.asker.claim(second.wish())).kind, 'alone')
+  t.deepEqual([...newMessages, ...fixture.posted, ...second.newMessages], [])
   t.deepEqual(rooms.news, { contended: [], grants: {} })
 })
 
-test('where the counts of all gateways show heads nearly full, a request asks the issuer, and each that ends is told to it', t => {
+test('when the counts of all gateways show almost full heads, a request asks the issuer, and the end of each request is reported to it', t => {
   const fixture = new Fixture(other)
-  fixture.hear({ inFlight: { a: 1 } })
+  fixture.receiveHeartbeat({ inFlight: { a: 1 } })
   const request = fixture.begin()
   const claim = fixture.rooms.asker.claim(fixture.wish())
   t.is(fixture.rooms.asker.find(claim).kind, 'wait')
-  const [asked] = fixture.sent
-  t.true(asked.startsWith(`${issuer} {"place":"ask","service":"s","model":"m"`), asked)
+  const [message] = fixture.newMessages
+  t.true(message.startsWith(`${issuer} {"place":"ask","service":"s","model":"m"`), message)
   fixture.inFlight.end(request)
-  t.deepEqual(fixture.sent, [`${issuer} {"place":"count","service":"s","model":"m","upstream":"a","count":0,"seen":0}`])
+  t.deepEqual(fixture.newMessages, [`${issuer} {"place":"count","service":"s","model":"m","upstream":"a","count":0,"seen":0}`])
   t.deepEqual(fixture.lines, [`room-contended true ${issuer}`])
-  fixture.hear()
+  fixture.receiveHeartbeat()
   fixture.rooms.start()
   fixture.clock.advance(1500)
   t.deepEqual(fixture.lines, [`room-contended true ${issuer}`, `room-contended false ${issuer}`])
   fixture.rooms.stop()
 })
 
-test('a refusal of a head makes its room contended here, and by the next heartbeat elsewhere; the head is left out only for a time of its own', t => {
+test('a refusal by a head makes its room contended, and at other gateways with the next heartbeat; only a rest closes the head', t => {
   const fixture = new Fixture(other)
   fixture.rooms.answered(head('a'), { status: 503, headers: {}, refused: true, sentAt: 0 })
-  t.deepEqual(fixture.sent, [`${issuer} {"place":"count","service":"s","model":"m","upstream":"a","count":0,"seen":0}`])
+  t.deepEqual(fixture.newMessages, [`${issuer} {"place":"count","service":"s","model":"m","upstream":"a","count":0,"seen":0}`])
   t.deepEqual(fixture.rooms.news.contended, [room.key])
   fixture.rests.ask('a', 700)
   fixture.rooms.answered(head('a'), { status: 503, headers: {}, refused: true, sentAt: 0 })
-  t.true(fixture.sent[0].endsWith('"shut":700}'))
+  t.true(fixture.newMessages[0].endsWith('"shut":700}'))
   const second = new Fixture(issuer)
-  second.hear({ contended: [room.key] })
+  second.receiveHeartbeat({ contended: [room.key] })
   t.true(second.rooms.asker.isContended(room))
 })
 
-test('the issuer answers the gateway that asks, and no other sender', t => {
+test('the issuer answers a gateway whose heartbeat it has received, and no other sender', t => {
   const fixture = new Fixture(issuer)
   const ask = Buffer.from(encodeMessage({ place: 'ask', service: 's', model: 'm', number: 5, priority: 1, team: '', work: 1, age: 0, timely: 400, patience: 400, besides: [], near: 'dc' }))
   t.true(fixture.rooms.receive(ask, `${other}:1`))
-  t.deepEqual(fixture.sent, [])
-  fixture.hear()
+  t.deepEqual(fixture.newMessages, [])
+  fixture.receiveHeartbeat()
   t.true(fixture.rooms.receive(ask, `${other}:1`))
-  const [answer] = fixture.sent
+  const [answer] = fixture.newMessages
   t.true(answer.startsWith(`${other} {"place":"grant","number":5,"upstream":"a"`), answer)
   t.false(fixture.rooms.receive(Buffer.from('{"token":"grant","number":5}'), `${other}:1`))
 })
 
-test('a gateway tells by heartbeat which grant it got last', async t => {
+test('a gateway reports the last grant that it received in its heartbeat', async t => {
   const fixture = new Fixture(other)
-  fixture.hear({ inFlight: { a: 2 } })
+  fixture.receiveHeartbeat({ inFlight: { a: 2 } })
   const claim = fixture.rooms.asker.claim(fixture.wish())
   fixture.rooms.asker.find(claim)
   fixture.rooms.receive(Buffer.from(encodeMessage({ place: 'grant', number: 1, upstream: 'a', order: 77 })), `${issuer}:1`)
@@ -125,7 +126,7 @@
   t.deepEqual(fixture.rooms.news.grants, { [issuer]: 77 })
 })
 
-test('what is in a service without engines, or a model without heads, is never contended', t => {
+test('room of a service without engines or a model without heads is never contended', t => {
   const { rooms } = new Fixture(other)
   t.false(rooms.asker.isContended(roomOf('plain', '')))
   t.false(rooms.asker.isContended(roomOf('s', 'unknown')))
--- a/packages/gateway/test/seeker.ts
+++ b/packages/gateway/test/seeker.ts
@@ -1,7 +1,7 @@
-/** A request that looks for room, of no team and in no hurry. */
+/** A waiting request without a team and without a time objective. */
 import { type Seeker } from '@eiderwind/dispatch'
 
-/** @param until when it waits no longer, on `Clock.now` */
+/** @param until time at which the request stops waiting, on `Clock.now` */
 export function seeker (now: number, until: number): Seeker {
   return { room: 's', offered: false, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: Infinity, until }
 }
--- a/packages/gateway/test/suspended.test.ts
+++ b/packages/gateway/test/suspended.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway believes after its machine was suspended: nothing that was confirmed before counts as young. */
+/** A gateway whose machine was suspended: information from before the suspension does not count as recent. */
 import { ManualClock } from '@eiderwind/clock'
 import { Pauses } from '@eiderwind/detect'
 import { type Context } from '@eiderwind/forward'
@@ -7,25 +7,25 @@
 import { Callers, type CallersOptions } from '../src/callers.js'
 import { confirm, gatewayBoard } from '../src/facts.js'
 
-test('keys need a confirmation that was asked for after the suspension', t => {
+test('keys are served only with a confirmation that was requested after the suspension', t => {
   const clock = new ManualClock()
   const board = gatewayBoard()
   const callers = new Callers({ context: { clock } as unknown as Context, board, freshness: 3800, strictKeys: true } as unknown as CallersOptions)
-  const askedAt = clock.bootNow()
+  const requestedAt = clock.bootNow()
   clock.advance(1000)
-  confirm(board, askedAt)
+  confirm(board, requestedAt)
   t.true(callers.servesKeys)
   clock.suspend(6000)
   t.is(clock.now(), 1000)
   t.false(callers.servesKeys)
-  // The answer to a question of before arrives now.
-  confirm(board, askedAt + 1000)
+  // The answer to a request from before the suspension arrives.
+  confirm(board, requestedAt + 1000)
   t.false(callers.servesKeys)
   confirm(board, clock.bootNow())
   t.true(callers.servesKeys)
 })
 
-test('a suspension is a pause: silence that was measured through it says nothing', t => {
+test('a suspension counts as a pause, so that silence during it is ignored', t => {
   const clock = new ManualClock()
   const paused: number[] = []
   const pauses = new Pauses(clock, time => { paused.push(time) })
@@ -39,7 +39,7 @@
   pauses.stop()
 })
 
-test('an upstream that is missing after an outage is kept no longer because the machine slept', t => {
+test('a suspension does not prolong the time for which an upstream that is missing after an outage is retained', t => {
   const clock = new ManualClock()
   const outage = new Outage(clock)
   const roster = new Roster(clock, outage)
--- a/packages/gateway/test/upstreamfeed.test.ts
+++ b/packages/gateway/test/upstreamfeed.test.ts
@@ -1,6 +1,7 @@
 /**
- * A gateway that follows another one's list of upstreams, on loopback: it goes on while what it hears is young, and watches the store itself
- * as soon as it is not. The pattern is a source that answers on although its own way to the store has failed.
+ * A gateway that follows the upstream list of another one, on loopback. It follows while the list is recent, and
+ * watches the store itself as soon as it is not. The tests guard against a source that still answers although it has
+ * lost the store itself.
  */
 import { createServer } from 'node:http'
 import test from 'ava'
@@ -12,29 +13,32 @@
 import { type Platform } from '../src/index.js'
 import { UpstreamFeed } from '../src/upstreamfeed.js'
 
-const patience = 300
+/** Maximum age of the list that is followed, in ms. */
+const maxAge = 300
 
 function upstream (id: string): Upstream {
   return { id, service: 's', address: `${id}:1`, dataCentre: 'dc', leaving: false, loaded: [], staged: [] }
 }
 
-async function until (condition: () => boolean): Promise<void> {
+/** Resolves when the condition holds. It is checked every 10 ms. */
+async function waitUntil (condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise(resolve => setTimeout(resolve, 10))
 }
 
-/** A source and a gateway that follows it. `age` gives how old the source's list is. */
-interface Followed {
-  following: boolean
-  /** How old the newest word was each time when it was followed no longer, in ms. */
+/** A source and a gateway that follows it. `age` returns the age of the list of the source, in ms. */
+interface FeedFixture {
+  isFollowing: boolean
+  /** The age of the newest information each time the gateway stopped following, in ms. */
   readonly ages: number[]
   readonly roster: Roster
   readonly source: { list: Upstream[], age: () => number | undefined }
-  readonly store: (reached: boolean) => void
-  /** For how long this process has stood still, in ms. */
-  stoodStill: number
+  readonly setStoreReached: (reached: boolean) => void
+  /** Total time of pauses of this process, in ms. */
+  pausedTime: number
 }
 
-async function followed (run: (feed: Followed) => Promise<void>): Promise<void> {
+/** Runs a test with a source and a follower, and closes both. */
+async function withFeed (run: (feed: FeedFixture) => Promise<void>): Promise<void> {
   const clock = new SystemClock()
   const source = { list: [upstream('a')], age: (): number | undefined => 0 }
   const server = createServer((_request, response) => {
@@ -45,15 +49,15 @@
   const board = gatewayBoard()
   board.write('store', true)
   const roster = new Roster(clock)
-  const state: Followed = { following: false, ages: [], roster, source, store: reached => board.write('store', reached), stoodStill: 0 }
+  const state: FeedFixture = { isFollowing: false, ages: [], roster, source, setStoreReached: reached => board.write('store', reached), pausedTime: 0 }
   const setFollowing = (following: boolean): void => {
-    if (state.following && !following) state.ages.push(clock.bootNow() - board.read('upstreamsAt'))
-    state.following = following
+    if (state.isFollowing && !following) state.ages.push(clock.bootNow() - board.read('upstreamsAt'))
+    state.isFollowing = following
   }
   const platform = { setFollowing } as unknown as Platform
-  const pauses = new Pauses(clock, time => { state.stoodStill += time })
+  const pauses = new Pauses(clock, time => { state.pausedTime += time })
   const connections = new Connections({ connectTime: 500 })
-  const feed = new UpstreamFeed({ clock, board, roster, platform, connections, patience, sources: () => [{ id: 'source', address: `127.0.0.1:${port}` }], failed: error => { throw error } })
+  const feed = new UpstreamFeed({ clock, board, roster, platform, connections, patience: maxAge, sources: () => [{ id: 'source', address: `127.0.0.1:${port}` }], failed: error => { throw error } })
   feed.start()
   pauses.start()
   try {
@@ -67,38 +71,38 @@
   }
 }
 
-test('a source whose list gets old is followed no longer, and what it says then is not taken', async t => {
-  await followed(async feed => {
-    await until(() => feed.following)
+test('a source whose list is too old is no longer followed, and its answers are ignored', async t => {
+  await withFeed(async feed => {
+    await waitUntil(() => feed.isFollowing)
     t.deepEqual(feed.roster.upstreams.map(each => each.id), ['a'])
     const lostAt = Date.now()
-    feed.stoodStill = 0
+    feed.pausedTime = 0
     feed.source.age = () => Date.now() - lostAt
     feed.source.list = [upstream('a'), upstream('b')]
-    await until(() => !feed.following)
-    const after = Date.now() - lostAt - feed.stoodStill
-    t.true(after < 5 * patience, String(after))
-    t.true(feed.ages[0] > patience, String(feed.ages[0]))
-    // On a busy machine an answer that came too late may have ended it sooner; from here on every answer is too old.
-    while (Date.now() - lostAt <= patience) await new Promise(resolve => setTimeout(resolve, 10))
+    await waitUntil(() => !feed.isFollowing)
+    const after = Date.now() - lostAt - feed.pausedTime
+    t.true(after < 5 * maxAge, String(after))
+    t.true(feed.ages[0] > maxAge, String(feed.ages[0]))
+    // On a busy machine a late answer may have ended the following sooner. After this loop every answer is too old.
+    while (Date.now() - lostAt <= maxAge) await new Promise(resolve => setTimeout(resolve, 10))
     feed.source.list = [upstream('c')]
-    await new Promise(resolve => setTimeout(resolve, 2 * patience))
-    t.false(feed.following)
+    await new Promise(resolve => setTimeout(resolve, 2 * maxAge))
+    t.false(feed.isFollowing)
     t.false(feed.roster.upstreams.some(each => each.id === 'c'))
     feed.source.age = () => 0
-    await until(() => feed.following)
+    await waitUntil(() => feed.isFollowing)
     t.deepEqual(feed.roster.upstreams.map(each => each.id), ['c'])
   })
 })
 
-test('an old list counts where the store cannot be reached, and one without an age only there', async t => {
-  await followed(async feed => {
+test('a list without an age is followed only while the store cannot be reached', async t => {
+  await withFeed(async feed => {
     feed.source.age = () => undefined
-    await new Promise(resolve => setTimeout(resolve, 2 * patience))
-    t.false(feed.following)
+    await new Promise(resolve => setTimeout(resolve, 2 * maxAge))
+    t.false(feed.isFollowing)
     t.deepEqual(feed.roster.upstreams, [])
-    feed.store(false)
-    await until(() => feed.following)
+    feed.setStoreReached(false)
+    await waitUntil(() => feed.isFollowing)
     t.deepEqual(feed.roster.upstreams.map(each => each.id), ['a'])
   })
 })
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -81,7 +81,7 @@
     find: "|| state === 'able'",
     replace: '',
     test: 'packages/gateway/dist/test/election.test.js',
-    title: 'the next in place waits*'
+    title: 'a later candidate waits*'
   },
   {
     name: 'lead-on-beside-a-later-term',
@@ -91,7 +91,7 @@
     find: 'term > own',
     replace: 'false',
     test: 'packages/gateway/dist/test/election.test.js',
-    title: 'a leader gives way*'
+    title: 'a leader steps down for a later term*'
   },
   {
     name: 'targets-for-the-first-few',
@@ -683,7 +683,7 @@
     find: 'return owner === this.#options.id ? undefined : owner',
     replace: 'return undefined',
     test: 'packages/gateway/dist/test/limitfleet.test.js',
-    title: '13 gateways keep a limit together*'
+    title: '13 gateways together keep*'
   },
   {
     name: 'evacuation-not-kept',
@@ -713,7 +713,7 @@
     find: 'evacuation.revision <= known.revision',
     replace: 'false',
     test: 'packages/gateway/dist/test/evacuating.test.js',
-    title: 'the later revision holds*'
+    title: 'the latest revision is applied*'
   },
   {
     name: 'evacuated-engine-taken',
@@ -753,7 +753,7 @@
     find: 'requests.size ?? 0) + (this.#kept.get(upstream) ?? 0)',
     replace: 'requests.size ?? 0)',
     test: 'packages/gateway/dist/test/overload.test.js',
-    title: 'of 1 gateways none sends*'
+    title: 'with 1 gateways no request*'
   },
   {
     name: 'silent-alone',
