--- a/packages/gateway/test/network.ts
+++ b/packages/gateway/test/network.ts
@@ -46,7 +46,7 @@
   }
 }
 
-/** A network that delivers datagrams in the order of sending when `deliver` is called. It needs no timer for each one. */
+/** A network that delivers datagrams in the order of sending when `deliver` is called, without a timer for each. */
 export class SteppedNetwork extends Network {
   /** Number of datagrams about places. */
   placeDatagrams = 0
--- a/packages/gateway/test/overload.ts
+++ b/packages/gateway/test/overload.ts
@@ -134,8 +134,11 @@
   readonly size: number
   /** Whether the `Retry-After` time of the first refusal was short enough to wait for in full. */
   waitsInFull: boolean
+  /** Number of attempts so far. */
   tries: number
+  /** When the first answer began, in ms. */
   firstAt: number | undefined
+  /** Whether an answer was complete. */
   served: boolean
 }
 
@@ -146,8 +149,10 @@
   readonly #random: Random
   readonly #heads: ModelHead[]
   readonly #gateways: Array<{ readonly context: Context, readonly patience: UsualPatience }> = []
+  /** Sizes by the id of the request. */
   readonly #sizes = new Map<string, number>()
   readonly #callers: Caller[] = []
+  /** Times from an attempt to its refusal, in ms. */
   readonly #refusals: number[] = []
   readonly #network: SteppedNetwork
   #id = 0
--- a/packages/gateway/test/rooms.test.ts
+++ b/packages/gateway/test/rooms.test.ts
@@ -24,6 +24,7 @@
 /** One of two gateways. */
 class Fixture {
   readonly clock = new ManualClock()
+  /** Datagrams about places that were sent. */
   readonly posted: string[] = []
   readonly lines: string[] = []
   readonly inFlight = new InFlight(this.clock, request => this.rooms.ended(request))
