--- a/packages/wire/src/answer.ts
+++ b/packages/wire/src/answer.ts
@@ -1,13 +1,16 @@
-/** Answers with a fault, such that the caller gets the whole answer and never takes part of another one as whole. */
+/**
+ * Sends faults to callers. A caller receives the complete fault. If another answer has already begun, the connection is
+ * closed, so that the caller cannot mistake its first part for a complete answer.
+ */
 import { type ServerResponse } from 'node:http'
 import { type Clock } from '@eiderwind/clock'
 import { type Fault } from '@eiderwind/fault'
 import { callerHeaders } from './headers.js'
 
-/** Longest time that the rest of a refused body is read, in ms. */
+/** Maximum time for which the rest of a refused body is read, in ms. */
 const lingerTime = 1000
 
-/** Answers with a fault. Where an answer has begun, closes the connection instead, so that the answer cannot look whole. */
+/** Answers with a fault. Closes the connection instead if an answer has begun, so that it cannot appear complete. */
 export function answerFault (response: ServerResponse, fault: Fault): void {
   if (response.headersSent) {
     response.destroy()
@@ -18,9 +21,10 @@
 }
 
 /**
- * Answers a request whose body may not have been read with a fault. The whole answer is sent at once. Then the rest of the
- * body is read and dropped for a while, and the connection is closed: the rest must not be taken as a request, and
- * closing with unread data would reset the connection, by which the caller may lose the answer (RFC 9112, section 9.6).
+ * Answers a request with a fault when its body may not have been read. The complete answer is sent at once. The rest of
+ * the body is then read and dropped for `lingerTime`, and the connection is closed. It is closed because the rest of
+ * the body must not be parsed as another request. It is read first because closing with unread data resets the
+ * connection, and the caller may then lose the answer (RFC 9112, section 9.6).
  */
 export function refuse (response: ServerResponse, fault: Fault, clock: Clock): void {
   const request = response.req
--- a/packages/wire/src/ask.ts
+++ b/packages/wire/src/ask.ts
@@ -1,14 +1,17 @@
-/** A call whose answer is awaited whole, with a deadline: how the store, engines and other gateways are called. */
+/**
+ * Sends a call and waits for the complete answer, with a deadline. The store, engines and other gateways are called
+ * this way. Relies on `Collector` to store the answer.
+ */
 import { type Clock } from '@eiderwind/clock'
 import { type Call } from './call.js'
 import { Collector, type Collected } from './collector.js'
 import { type Connections } from './connections.js'
 
-/** The error of a call that got no whole answer. */
+/** The error of a call that received no complete answer. */
 export class Unanswered extends Error {
   /** Whether the request may have reached the other side. */
   readonly sent: boolean
-  /** Whether nothing listens at the address, so that the process there has ended. */
+  /** Whether the connection was refused: no process listens at the address any more. */
   readonly refused: boolean
 
   constructor (error: Error, sent: boolean) {
@@ -20,10 +23,10 @@
 }
 
 /**
- * Sends a call and resolves to the whole answer, whatever its status. Rejects with `Unanswered`, after `time` ms at the
- * latest; the connection is then closed.
+ * Sends a call and resolves to the complete answer, whatever its status. Rejects with `Unanswered` if the call fails or
+ * no complete answer arrives within `timeout` ms. The connection is then closed.
  */
-export function ask (connections: Connections, clock: Clock, call: Call, time: number): Promise<Collected> {
+export function ask (connections: Connections, clock: Clock, call: Call, timeout: number): Promise<Collected> {
   return new Promise((resolve, reject) => {
     const failed = (error: Error, sent: boolean): void => {
       timer.cancel()
@@ -36,7 +39,7 @@
       },
       failed: ({ error, sent }) => failed(error, sent)
     })
-    const timer = clock.after(time, () => cancel(new Error(`No answer within ${time} ms.`)))
+    const timer = clock.after(timeout, () => cancel(new Error(`No answer within ${timeout} ms.`)))
     const cancel = connections.send(call, collector)
   })
 }
--- a/packages/wire/src/call.ts
+++ b/packages/wire/src/call.ts
@@ -1,13 +1,13 @@
 /**
- * One HTTP call to another process, and the receiver of its answer. `send` works on the client library's own events, without
- * a stream object for each answer, and decides whether a failed call may have reached the other side. That decision
- * is what retries rest on: a call that is reported as not sent is never sent.
+ * One HTTP call to another process, and the receiver of its answer. `send` uses the events of the client library
+ * directly and creates no stream object for each answer. It also decides whether a failed call may have reached the
+ * other side. Retries rely on that decision: a call that is reported as not sent is never sent.
  */
 import { type Dispatcher } from 'undici'
 
 /** A request to another process. */
 export interface Call {
-  /** Such as `http://127.0.0.1:8090`. */
+  /** Scheme, host and port, such as `http://127.0.0.1:8090`. */
   readonly origin: string
   readonly path: string
   readonly method: string
@@ -15,7 +15,7 @@
   readonly body: Buffer | undefined
 }
 
-/** Headers of an answer, in lower case; several values where a header came more than once. */
+/** Headers of an answer, with names in lower case. A header that occurs more than once has an array of values. */
 export type AnswerHeaders = Readonly<Record<string, string | string[] | undefined>>
 
 /** Flow control of one answer. */
@@ -26,16 +26,16 @@
   abort (reason: Error): void
 }
 
-/** The end of a call that got no whole answer. */
+/** The failure of a call that received no complete answer. */
 export interface CallFailure {
   readonly error: Error
   /** Whether the request may have reached the other side. */
   readonly sent: boolean
 }
 
-/** Receives the answer to one call, part by part. Exactly one of `end` and `fail` is called, last. */
+/** Receives the answer to one call, part by part. The last call is either `end` or `fail`, exactly once. */
 export abstract class Receiver {
-  /** The request is being written: from now on it may reach the other side. */
+  /** Called when the request is about to be written. From then on it may reach the other side. */
   begun (): void {}
   abstract head (status: number, headers: AnswerHeaders, flow: Flow): void
   abstract data (chunk: Buffer): void
@@ -43,42 +43,42 @@
   abstract fail (failure: CallFailure): void
 }
 
-/** The client library's code of a connection that took too long. */
+/** The error code that the client library uses when a connection cannot be established in time. */
 export const connectTimeoutCode = 'UND_ERR_CONNECT_TIMEOUT'
 
-/** Error codes after which a request was certainly not sent: there was no connection. */
+/** Error codes that mean that there was no connection, so that the request was certainly not sent. */
 const unsentCodes = new Set(['ECONNREFUSED', connectTimeoutCode, 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND'])
 
 /**
- * Cancels a call. Its receiver fails at once, unless the call has ended. A call that still waits for a connection fails
- * as not sent, and is not sent afterwards.
+ * Cancels a call. The receiver's `fail` is called at once, unless the call has ended. A call that still waits for a
+ * connection fails as not sent, and it is not sent afterwards.
  */
 export type Cancel = (reason: Error) => void
 
-/** Sends a call through `dispatcher` and hands the answer to `receiver`. */
+/** Sends a call through `dispatcher` and passes the answer to `receiver`. */
 export function send (dispatcher: Dispatcher, call: Call, receiver: Receiver): Cancel {
   let flow: Flow | undefined
-  let over = false
+  let ended = false
   const fail = (failure: CallFailure): void => {
-    if (over) return
-    over = true
+    if (ended) return
+    ended = true
     receiver.fail(failure)
   }
   dispatcher.dispatch({ origin: call.origin, path: call.path, method: call.method as Dispatcher.HttpMethod, headers: call.headers, body: call.body }, {
     onRequestStart (controller) {
-      if (over) return controller.abort(new Error('The call was cancelled before it was sent.'))
+      if (ended) return controller.abort(new Error('The call was cancelled before it was sent.'))
       flow = controller
       receiver.begun()
     },
     onResponseStart (controller, status, headers) {
-      if (!over) receiver.head(status, headers, controller)
+      if (!ended) receiver.head(status, headers, controller)
     },
     onResponseData (_controller, chunk) {
-      if (!over) receiver.data(chunk)
+      if (!ended) receiver.data(chunk)
     },
     onResponseEnd () {
-      if (over) return
-      over = true
+      if (ended) return
+      ended = true
       receiver.end()
     },
     onResponseError (_controller, error) {
--- a/packages/wire/src/calls.ts
+++ b/packages/wire/src/calls.ts
@@ -1,6 +1,7 @@
 /**
- * The calls between `entry` and `worker`: their messages, the abstract classes that processes implement, and the tRPC routers
- * that check inputs and find procedures. Procedures and fields are names on the wire: never rename one.
+ * The calls between `entry` and `worker`: their messages, the abstract classes that processes implement, and the tRPC
+ * routers that check inputs and find procedures. The names of procedures and fields are sent on the wire and must not
+ * be changed.
  */
 import { initTRPC } from '@trpc/server'
 import { z } from 'zod'
@@ -12,13 +13,13 @@
   holder: z.string(),
   term: z.string(),
   period: z.number(),
-  /** Revision of the list of granters that the holder uses. */
+  /** Revision of the holder's list of granters. */
   revision: z.int()
 })
 const Settle = z.object({ attempt: z.string(), incarnation: z.string(), age: z.number() })
-const Service = z.object({ service: z.string() })
-const Aged = z.object({ report: Report, age: z.number() })
-const Beats = z.object({
+const HeadsInput = z.object({ service: z.string() })
+const AgedReport = z.object({ report: Report, age: z.number() })
+const ReportCounters = z.object({
   workers: z.array(z.string()),
   stamps: z.array(z.number()),
   sequences: z.array(z.number()),
@@ -27,52 +28,56 @@
   ages: z.array(z.number())
 })
 
-/** A claim to a lease, with what the granter needs to decide on it. */
+/** A claim to a lease, with the values that the granter needs to decide on it. */
 export type ClaimMessage = z.infer<typeof Claim>
 
-/** A granter's answer, with whether its engine is ready for the holder's work. */
+/** A granter's answer to a claim. */
 export interface ClaimAnswer {
   readonly answer: Answer
+  /** Whether the granter's engine is ready for the holder's work. */
   readonly ready: boolean
   /** Whether the granter is about to stop. The holder should then finish and release. */
   readonly leaving: boolean
 }
 
-/** Asks whether an attempt has started, and keeps it from starting if it has not. */
+/** Asks whether an attempt has started, and prevents its start if it has not. */
 export type SettleMessage = z.infer<typeof Settle>
 
-/** `tombstoned`: it did not start and never will. `started`: it did. `stranger`: the incarnation that would know has ended. */
+/**
+ * `tombstoned`: the attempt has not started and never will. `started`: it has started. `stranger`: the incarnation of
+ * the worker that received the attempt has ended, so the answer is not known.
+ */
 export type SettleAnswer = 'tombstoned' | 'started' | 'stranger'
 
-/** What an entry sends to another one at intervals. */
+/** The message that an entry sends to another entry at intervals. */
 export const Exchange = z.object({
   from: EntryAddress,
   /** The configuration revision in force at the sender. */
   revision: z.int(),
-  /** Digest of the placements, homes, entries and nodes that the sender knows. */
+  /** Digest of the sender's copies of placements, homes, entries and nodes. */
   known: z.int(),
-  /** Whole reports. */
-  reports: z.array(Aged),
-  /** Counters of reports that the receiver already has, by columns. */
-  beats: Beats
+  /** Full reports, each with its age in ms. */
+  reports: z.array(AgedReport),
+  /** Only the counters of reports that the receiver already has, one array for each column. */
+  beats: ReportCounters
 })
 export type Exchange = z.infer<typeof Exchange>
 
-/** What the receiver of an exchange has, so that the sender can fetch what it lacks itself. */
+/** The state of the receiver of an exchange, from which the sender sees what it should fetch itself. */
 export interface ExchangeAnswer {
   readonly revision: number
   readonly known: number
-  /** Workers whose reports the receiver lacks. */
+  /** Workers whose full reports the receiver does not have. */
   readonly lacking: readonly string[]
 }
 
-/** The placements, homes, entries and nodes that an entry knows. */
+/** An entry's copies of placements, homes, entries and nodes. */
 export interface Known {
   readonly placements: readonly Placement[]
   readonly homes: readonly Homes[]
   readonly entries: readonly EntryAddress[]
   readonly nodes: readonly Node[]
-  /** Wall time at which the node list was first seen as it is, in ms. */
+  /** Wall time at which the present node list was first seen, in ms. */
   readonly nodesSeen: number
 }
 
@@ -81,7 +86,7 @@
   abstract claim (message: ClaimMessage): Promise<ClaimAnswer>
   abstract release (message: ClaimMessage): Promise<void>
   abstract settle (message: SettleMessage): Promise<SettleAnswer>
-  /** Offers the records of a slot of keys. Resolves to whether they were taken. */
+  /** Offers the records of a slot of keys. Resolves to whether they were accepted. */
   abstract inherit (handover: Handover): Promise<boolean>
 }
 
@@ -91,15 +96,15 @@
   abstract exchange (message: Exchange): Promise<ExchangeAnswer>
   abstract configuration (): Promise<Configuration>
   abstract known (): Promise<Known>
-  /** The heads of the replicas of a model service that serve in the entry's region. Each has its replica's id. */
+  /** The heads of the serving replicas of a model service in the entry's region. Each `id` is that of the replica. */
   abstract heads (message: { readonly service: string }): Promise<Peer[]>
-  /** Passes on a configuration that was just accepted. Resolves to the revision in force afterwards. */
+  /** Sends a configuration that has just been accepted. Resolves to the revision in force afterwards. */
   abstract offer (configuration: Configuration): Promise<number>
 }
 
 const trpc = initTRPC.create()
 
-/** The tRPC router over a worker's calls. */
+/** Creates the tRPC router for a worker's calls. */
 export function workerRouter (calls: WorkerCalls) {
   return trpc.router({
     claim: trpc.procedure.input(Claim).mutation(({ input }) => calls.claim(input)),
@@ -111,13 +116,13 @@
 /** The router of a worker. */
 export type WorkerRouter = ReturnType<typeof workerRouter>
 
-/** The tRPC router over an entry's calls. */
+/** Creates the tRPC router for an entry's calls. */
 export function entryRouter (calls: EntryCalls) {
   return trpc.router({
     report: trpc.procedure.input(Report).mutation(({ input }) => calls.report(input)),
     exchange: trpc.procedure.input(Exchange).mutation(({ input }) => calls.exchange(input)),
     configuration: trpc.procedure.query(() => calls.configuration()),
-    heads: trpc.procedure.input(Service).mutation(({ input }) => calls.heads(input)),
+    heads: trpc.procedure.input(HeadsInput).mutation(({ input }) => calls.heads(input)),
     known: trpc.procedure.query(() => calls.known()),
     offer: trpc.procedure.input(Configuration).mutation(({ input }) => calls.offer(input))
   })
--- a/packages/wire/src/client.ts
+++ b/packages/wire/src/client.ts
@@ -1,38 +1,41 @@
-/** Clients for the calls between `entry` and `worker`: one for each address, over kept connections, with a deadline a call. */
+/**
+ * Clients for the calls between `entry` and `worker`. There is one client for each address. Connections are kept alive,
+ * and each call has a time-out.
+ */
 import { Agent, request, type Dispatcher } from 'undici'
 import { type Configuration, type Handover, type Peer, type Report, type ReportAnswer } from '@eiderwind/schema'
 import { EntryCalls, WorkerCalls, type ClaimAnswer, type ClaimMessage, type Exchange, type ExchangeAnswer, type Known, type SettleAnswer, type SettleMessage } from './calls.js'
 import { callsPath } from './headers.js'
 import { callStatuses } from './serve.js'
 
-/** Longest time for a call, in ms. */
+/** Default time-out of a call, in ms. */
 const callTimeout = 1500
 
-/** Connections to one address. */
+/** Maximum number of connections to one address. */
 const connections = 4
 
-/** How long an idle connection is kept, in ms: shorter than servers keep it (60 s, `serve.ts`). */
+/** How long an idle connection is kept open, in ms. Shorter than the servers' time of 60 s (`serve.ts`). */
 const keepAliveTime = 30_000
 
-/** The clients through which a process calls others. Makes each once. */
+/** The clients through which a process calls others. Each client is created once. */
 export class Clients {
   readonly #agent: Agent
   readonly #timeout: number
   readonly #workers = new Map<string, RemoteWorker>()
   readonly #entries = new Map<string, RemoteEntry>()
 
-  /** @param timeout longest time for a call, in ms */
+  /** @param timeout maximum time for a call, in ms */
   constructor (timeout = callTimeout) {
     this.#timeout = timeout
     this.#agent = new Agent({ connections, keepAliveTimeout: keepAliveTime, connect: { timeout }, headersTimeout: timeout, bodyTimeout: timeout })
   }
 
-  /** The calls of the worker at `host:port`. They reject where there is no answer in time. */
+  /** The calls of the worker at `host:port`. They reject if there is no answer in time. */
   worker (address: string): WorkerCalls {
     return cached(this.#workers, address, () => new RemoteWorker(this.#caller(address)))
   }
 
-  /** The calls of the entry at `host:port`. They reject where there is no answer in time. */
+  /** The calls of the entry at `host:port`. They reject if there is no answer in time. */
   entry (address: string): EntryCalls {
     return cached(this.#entries, address, () => new RemoteEntry(this.#caller(address)))
   }
@@ -47,7 +50,10 @@
   }
 }
 
-/** Calls the procedures of one process: a POST with the input as JSON, answered with the output as JSON. */
+/**
+ * Calls the procedures of one process: each call is a POST with the input as JSON, and its answer is the output as
+ * JSON.
+ */
 class Caller {
   readonly #dispatcher: Dispatcher
   readonly #url: string
--- a/packages/wire/src/collector.ts
+++ b/packages/wire/src/collector.ts
@@ -1,20 +1,23 @@
-/** A receiver that keeps a whole answer in memory, for calls whose answers are short. It does not bound their length. */
+/**
+ * A receiver that stores the complete answer in memory. It is for short answers, because it does not limit their
+ * length.
+ */
 import { Receiver, type AnswerHeaders, type CallFailure, type Flow } from './call.js'
 
-/** A whole answer. */
+/** A complete answer. */
 export interface Collected {
   readonly status: number
   readonly headers: AnswerHeaders
   readonly body: Buffer
 }
 
-/** Callbacks of a collector. Exactly one of them is called, once. */
+/** Callbacks of a collector: `whole` for a complete answer, `failed` otherwise. Exactly one of them is called, once. */
 export interface CollectorOptions {
   readonly whole: (answer: Collected) => void
   readonly failed: (failure: CallFailure) => void
 }
 
-/** Collects an answer and hands it over when it is whole. */
+/** Collects an answer and delivers it when it is complete. */
 export class Collector extends Receiver {
   readonly #options: CollectorOptions
   readonly #chunks: Buffer[] = []
--- a/packages/wire/src/connections.ts
+++ b/packages/wire/src/connections.ts
@@ -1,47 +1,50 @@
 /**
- * Connections to upstreams, to the store and to other gateways, and the rule by which an answer counts as whole. The
- * client library is too generous there: it takes any answer on a connection that will not be kept as whole once the
- * connection ends, be it by a reset or in the middle of a chunk. Relies on `call.ts` for the calls themselves.
+ * Connections to upstreams, to the store and to other gateways, and the check that an answer is complete. The client
+ * library checks too little: on a connection that will not be reused, it accepts any answer as complete once the
+ * connection ends, even by a reset or in the middle of a chunk. Relies on `call.ts` for the calls themselves.
  */
 import { connect, type Socket } from 'node:net'
 import { Client } from 'undici'
 import { Receiver, connectTimeoutCode, send, type AnswerHeaders, type Call, type CallFailure, type Cancel, type Flow } from './call.js'
 
-/** Options of a set of connections. Spans are in ms. */
+/** Options of a set of connections. Times are in ms. */
 export interface ConnectionsOptions {
-  /** Longest time to establish a connection. Default: 1000. */
+  /** Maximum time to establish a connection. Default: 1000. */
   readonly connectTime?: number
-  /** How long an idle connection is kept where the other side does not say. Default: 1000. */
+  /** How long an idle connection is kept open if the other side sends no `Keep-Alive` time. Default: 1000. */
   readonly idleTime?: number
 }
 
 /** Defaults of the options, in ms. */
-const defaultConnectTime = 1000
+const defaultConnectTimeout = 1000
 const defaultIdleTime = 1000
 
-/** Idle connections kept to one address. */
-const maxIdle = 32
+/** Maximum number of idle connections to one origin. */
+const maxIdlePerOrigin = 32
 
 /**
- * A connection is given up this long before the other side will close it by its `Keep-Alive`, in ms, so that no call is
- * sent on a connection that is being closed.
+ * How long before the end of the other side's `Keep-Alive` time a connection is closed, in ms. The margin prevents
+ * calls on a connection that the other side is closing.
  */
 const keepAliveMargin = 600
 
-/** A connection, with a client of its own that sends one call at a time on it. */
+/** A connection with its own client, which sends one call at a time on it. */
 interface Connection {
   readonly client: Client
-  /** Whether this side has given it up. */
+  /** Whether this side has closed it or must not use it again. */
   closed: boolean
-  /** How the other side ended it, if it has. */
+  /** How the other side ended it, or undefined while it has not. */
   ending: 'closed' | 'reset' | undefined
-  /** Whether an answer on it was not read for a while: the other side may have sent all of it long ago, and be closing a connection that it takes for idle. */
+  /**
+   * Whether reading an answer on it was paused. The other side may have sent the complete answer long before it was
+   * read. For the other side the connection has then been idle since, and it may be closing it.
+   */
   wasPaused: boolean
 }
 
 /**
- * Sends calls, one at a time on each connection. A connection is used again only after a whole answer that was read as it
- * came, with no bytes behind it, and only as long as the other side keeps it.
+ * Sends calls, one at a time on each connection. A connection is reused only after a complete answer that was read
+ * without a pause and is followed by no further bytes, and only while the other side keeps it open.
  */
 export class Connections {
   readonly #connectTime: number
@@ -50,25 +53,28 @@
   readonly #open = new Set<Connection>()
   #opened = 0
 
-  constructor ({ connectTime = defaultConnectTime, idleTime = defaultIdleTime }: ConnectionsOptions = {}) {
+  constructor ({ connectTime = defaultConnectTimeout, idleTime = defaultIdleTime }: ConnectionsOptions = {}) {
     this.#connectTime = connectTime
     this.#idleTime = idleTime
   }
 
-  /** Connections opened since the start. */
+  /** Number of connections opened since the start. */
   get opened (): number {
     return this.#opened
   }
 
-  /** Connections that are open now, idle ones too. */
+  /** Number of open connections, including idle ones. */
   get count (): number {
     return this.#open.size
   }
 
-  /** Sends a call on an idle connection or a new one. @param fresh on a new one in any case */
+  /**
+   * Sends a call on an idle connection, or on a new one if none is idle.
+   * @param fresh whether to use a new connection in any case
+   */
   send (call: Call, receiver: Receiver, fresh = false): Cancel {
     const connection = (fresh ? undefined : this.#takeIdle(call.origin)) ?? this.#make(call.origin)
-    return send(connection.client, call, new FramedReceiver(receiver, connection, whole => this.#done(call.origin, connection, whole)))
+    return send(connection.client, call, new FramedReceiver(receiver, connection, whole => this.#release(call.origin, connection, whole)))
   }
 
   /** Closes every connection. Calls in flight fail. */
@@ -93,8 +99,8 @@
         openSocket({
           host: options.hostname,
           port: Number(options.port),
-          time: this.#connectTime,
-          opened: socket => done(null, watched(socket, connection)),
+          timeout: this.#connectTime,
+          opened: socket => done(null, watchEnding(socket, connection)),
           failed: error => done(error, null)
         })
       },
@@ -110,16 +116,16 @@
     return connection
   }
 
-  #done (origin: string, connection: Connection, whole: boolean): void {
+  #release (origin: string, connection: Connection, whole: boolean): void {
     if (!whole || connection.wasPaused || connection.closed) return this.#close(connection)
-    // The library reads on a turn later. Bytes that came behind the answer close the connection before it is kept.
-    setImmediate(() => setImmediate(() => this.#keep(origin, connection)))
+    // The library continues to read one turn later. Bytes after the answer close the connection before it is pooled.
+    setImmediate(() => setImmediate(() => this.#addIdle(origin, connection)))
   }
 
-  #keep (origin: string, connection: Connection): void {
+  #addIdle (origin: string, connection: Connection): void {
     if (connection.closed) return
     const idle = this.#idle.get(origin) ?? []
-    if (idle.length >= maxIdle) return this.#close(connection)
+    if (idle.length >= maxIdlePerOrigin) return this.#close(connection)
     idle.push(connection)
     this.#idle.set(origin, idle)
   }
@@ -128,26 +134,28 @@
     if (connection.closed) return
     connection.closed = true
     this.#open.delete(connection)
-    // A call in flight fails through its receiver; an error of the closing itself concerns nothing that is still used.
+    // A call in flight fails through its receiver. An error from closing can be ignored: nothing uses the connection.
     connection.client.destroy(new Error('The connection is no longer used.')).catch(() => {})
   }
 }
 
 /**
- * Decides whether an answer that the library takes as whole is whole (RFC 9112, section 8): one with a length or in chunks
- * must be complete before its connection ends; one without either may end with its connection, but not by a reset.
+ * Checks whether an answer that the library accepts as complete is complete (RFC 9112, section 8). An answer with a
+ * length or in chunks must be complete before its connection ends. An answer with neither ends when the other side
+ * closes the connection, but is incomplete if the connection is reset.
  */
 class FramedReceiver extends Receiver {
   readonly #receiver: Receiver
   readonly #connection: Connection
-  readonly #done: (whole: boolean) => void
+  readonly #release: (whole: boolean) => void
+  /** Whether the answer has a length or comes in chunks. */
   #framed = false
 
   constructor (receiver: Receiver, connection: Connection, done: (whole: boolean) => void) {
     super()
     this.#receiver = receiver
     this.#connection = connection
-    this.#done = done
+    this.#release = done
   }
 
   override begun (): void {
@@ -175,23 +183,24 @@
     if (ending === 'reset' || (ending === 'closed' && this.#framed)) {
       return this.fail({ error: new Error(`The connection was ${ending} before the answer was whole.`), sent: true })
     }
-    this.#done(true)
+    this.#release(true)
     this.#receiver.end()
   }
 
   fail (failure: CallFailure): void {
-    this.#done(false)
+    this.#release(false)
     this.#receiver.fail(failure)
   }
 }
 
 /**
- * Notes how a socket ends, before the library's own listeners run. Where a reset comes together with the last bytes, Node.js reports a plain end (139 of 1,500
- * connections that were reset right behind their bytes); that there is no other side any more tells the two apart (in all of those, and in none of 1,500
- * that were closed). Its address must not be asked for earlier: it is remembered from then on.
+ * Records how a socket ends, before the listeners of the library run. If a reset arrives together with the last bytes,
+ * Node.js may report an ordinary end (139 of 1,500 connections that were reset right after their bytes). A missing
+ * remote address distinguishes the two cases: it was missing in all of those 139, and in none of 1,500 connections that
+ * were closed. `remoteAddress` must not be read earlier, because Node.js caches it at the first read.
  */
-function watched (socket: Socket, connection: Connection): Socket {
-  // The library gets the same error and fails the call with it.
+function watchEnding (socket: Socket, connection: Connection): Socket {
+  // The library receives the same error and fails the call with it.
   socket.on('error', () => { connection.ending = 'reset' })
   socket.on('end', () => { connection.ending ??= socket.remoteAddress === undefined ? 'reset' : 'closed' })
   return socket
@@ -200,25 +209,25 @@
 interface SocketOptions {
   readonly host: string
   readonly port: number
-  /** Longest time that it may take, in ms. */
-  readonly time: number
+  /** Maximum time to connect, in ms. */
+  readonly timeout: number
   readonly opened: (socket: Socket) => void
   readonly failed: (error: Error) => void
 }
 
-function openSocket ({ host, port, time, opened, failed }: SocketOptions): void {
+function openSocket ({ host, port, timeout, opened, failed }: SocketOptions): void {
   const socket = connect({ host, port, noDelay: true })
   const timer = setTimeout(() => {
-    socket.destroy(Object.assign(new Error(`No connection to ${host}:${port} within ${time} ms.`), { code: connectTimeoutCode }))
-  }, time)
-  const broke = (error: Error): void => {
+    socket.destroy(Object.assign(new Error(`No connection to ${host}:${port} within ${timeout} ms.`), { code: connectTimeoutCode }))
+  }, timeout)
+  const onError = (error: Error): void => {
     clearTimeout(timer)
     failed(error)
   }
-  socket.once('error', broke)
+  socket.once('error', onError)
   socket.once('connect', () => {
     clearTimeout(timer)
-    socket.off('error', broke)
+    socket.off('error', onError)
     opened(socket)
   })
 }
--- a/packages/wire/src/headers.ts
+++ b/packages/wire/src/headers.ts
@@ -1,18 +1,18 @@
 /**
- * Header names and paths of the roles `entry` and `worker`, and what is true of headers in general. The gateway's header
- * names come from its platform (`platform/src/names.ts`). All of these are on the wire: never rename one.
+ * Header names and paths of the roles `entry` and `worker`, and functions for headers in general. The gateway's header
+ * names are in `platform/src/names.ts`. All of these names are sent on the wire and must not be changed.
  */
 import { type IncomingMessage } from 'node:http'
 
 /** Header names between caller and entry. */
 export const callerHeaders = {
   session: 'eiderwind-session',
-  /** Time that the caller will wait, in ms. */
+  /** How long the caller waits for an answer, in ms. */
   deadline: 'eiderwind-deadline-ms',
-  /** `false` marks a request that may not be repeated. */
+  /** `false` marks a request that must not run more than once. */
   repeatable: 'eiderwind-repeatable',
   key: 'idempotency-key',
-  /** Offset of the last event that the caller has, where it resumes a stream (HTML, server-sent events). */
+  /** Offset of the last event that the caller has received; sent to resume a stream (HTML, server-sent events). */
   lastEvent: 'last-event-id',
   outcome: 'eiderwind-outcome'
 } as const
@@ -26,13 +26,16 @@
   team: 'eiderwind-team',
   service: 'eiderwind-service',
   key: 'eiderwind-key',
-  /** The home's tenure, where the entry made the key for this very attempt, so that no earlier one can have used it. */
+  /**
+   * The home's tenure. Sent if the entry made the key for this attempt, so that no earlier attempt can have used the
+   * key.
+   */
   fresh: 'eiderwind-fresh',
-  /** `1` on a refusal by the home of a key, where no earlier attempt with the key has run either. */
+  /** `1` on a refusal by the home of a key if no earlier attempt with the key has run either. */
   judged: 'eiderwind-judged',
-  /** The caller's session, with its team, by which the engine keeps its KV cache. Forwarded to the engine. */
+  /** The caller's session and team, by which the engine stores the KV cache. Forwarded to the engine. */
   session: 'eiderwind-session-key',
-  /** The version that a session's KV cache belongs to. */
+  /** The model version to which a session's KV cache belongs. */
   version: 'eiderwind-version',
   /** `1` on the stored answer of an earlier attempt with the same key. */
   replayed: 'eiderwind-replayed'
@@ -46,10 +49,10 @@
 /** Path at which a worker receives the KV cache of a session from another worker. */
 export const sessionsPath = '/sessions/'
 
-/** Path below which processes serve each other's calls. */
+/** Path prefix of the calls between processes. */
 export const callsPath = '/trpc'
 
-/** A header of a request; its first value where it came more than once. */
+/** The value of a request's header, or the first one if the header occurs more than once. */
 export function header (request: IncomingMessage, name: string): string | undefined {
   const value = request.headers[name]
   return Array.isArray(value) ? value[0] : value
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,4 +1,4 @@
-/** HTTP between processes: connections and calls, receivers of answers, servers, and the calls of `entry` and `worker`. */
+/** HTTP between processes: connections, calls, receivers of answers, servers, and the calls of `entry` and `worker`. */
 export { callerHeaders, callsPath, header, hopHeaders, sessionsPath, wireHeaders } from './headers.js'
 export {
   EntryCalls, Exchange, WorkerCalls, entryRouter, workerRouter,
--- a/packages/wire/src/json.ts
+++ b/packages/wire/src/json.ts
@@ -1,11 +1,11 @@
-/** JSON of anybody's making, as it arrives on an open port. */
+/** Parses untrusted JSON, as it arrives on an open port. */
 
-/** What a text says in JSON, or undefined where it is none: whoever checks the shape finds that it does not fit. */
+/** The value of a JSON text, or undefined if the text is not JSON. The caller's schema check then rejects undefined. */
 export function parseJson (text: string): unknown {
   try {
     return JSON.parse(text)
   } catch {
-    // Anything can arrive on an open port.
+    // Invalid text is expected on an open port and is no error of this process.
     return undefined
   }
 }
--- a/packages/wire/src/listens.ts
+++ b/packages/wire/src/listens.ts
@@ -1,10 +1,13 @@
-/** Whether a process still listens at an address: a connection is made and closed, and nothing is asked. */
+/** Checks whether a process still listens at an address. It opens and closes a connection and sends nothing on it. */
 import { connect } from 'node:net'
 import { type Clock } from '@eiderwind/clock'
 import { splitAddress } from './serve.js'
 
-/** Resolves to whether a connection to `host:port` comes up within `time` ms. A port without a process refuses at once. */
-export function listensAt (address: string, clock: Clock, time: number): Promise<boolean> {
+/**
+ * Resolves to whether a connection to `host:port` is established within `timeout` ms. A port on which no process
+ * listens refuses the connection at once.
+ */
+export function listensAt (address: string, clock: Clock, timeout: number): Promise<boolean> {
   return new Promise(resolve => {
     const socket = connect(splitAddress(address))
     const end = (listens: boolean): void => {
@@ -12,9 +15,9 @@
       socket.destroy()
       resolve(listens)
     }
-    const timer = clock.after(time, () => end(false))
+    const timer = clock.after(timeout, () => end(false))
     socket.once('connect', () => end(true))
-    // Why it does not come up makes no difference to the answer.
+    // The cause of the failure does not change the result.
     socket.on('error', () => end(false))
   })
 }
--- a/packages/wire/src/relay.ts
+++ b/packages/wire/src/relay.ts
@@ -1,6 +1,6 @@
 /**
- * Passes an answer on to a caller's response as it arrives. An answer that breaks off breaks the response off too, so that
- * no part of an answer ever looks whole.
+ * Forwards an answer to a caller's response as it arrives. If the answer ends early, the response is cut off too, so
+ * that an incomplete answer never appears complete.
  */
 import { type ServerResponse } from 'node:http'
 import { Receiver, type AnswerHeaders, type CallFailure, type Flow } from './call.js'
@@ -11,15 +11,15 @@
   readonly response: ServerResponse
   /** Headers added to those of the answer. */
   readonly headers?: Readonly<Record<string, string>>
-  /** Checked before each part is passed on; false closes both connections. Default: always true. */
+  /** Checked before each part is forwarded; false closes both connections. Default: always true. */
   readonly guard?: () => boolean
-  /** Called once when an answer that had begun has ended. `whole` is false where it broke off. */
+  /** Called once when an answer that had begun has ended. `whole` is false if the answer is incomplete. */
   readonly done: (whole: boolean) => void
-  /** Called once when the call failed before an answer began; nothing was written to the response. */
+  /** Called once if the call fails before an answer begins. Nothing has then been written to the response. */
   readonly failed: (failure: CallFailure) => void
 }
 
-/** Passes an answer on, no faster than the response takes it. */
+/** Forwards an answer, no faster than the response accepts it. */
 export class Relay extends Receiver {
   readonly #options: RelayOptions
   #flow: Flow | undefined
@@ -32,7 +32,7 @@
 
   head (status: number, headers: AnswerHeaders, flow: Flow): void {
     this.#flow = flow
-    if (!this.#allowed()) return
+    if (!this.#checkGuard()) return
     this.#begun = true
     const { response, headers: more } = this.#options
     response.writeHead(status, { ...endToEnd(headers), ...more })
@@ -40,12 +40,12 @@
   }
 
   data (chunk: Buffer): void {
-    if (!this.#allowed()) return
+    if (!this.#checkGuard()) return
     this.write(chunk)
   }
 
   end (): void {
-    if (!this.#allowed()) return
+    if (!this.#checkGuard()) return
     this.#options.response.end()
     this.#options.done(true)
   }
@@ -68,18 +68,18 @@
     response.once('drain', () => flow.resume())
   }
 
-  #allowed (): boolean {
+  #checkGuard (): boolean {
     if (this.#options.guard?.() !== false) return true
-    this.#flow?.abort(new Error('The answer may no longer be passed on.'))
+    this.#flow?.abort(new Error('The answer may no longer be forwarded.'))
     return false
   }
 }
 
-/** The headers of an answer without those that belong to one connection (RFC 9110, section 7.6.1). */
+/** The headers of an answer, without the headers that belong to one connection (RFC 9110, section 7.6.1). */
 export function endToEnd (headers: AnswerHeaders): Record<string, string | string[]> {
-  const kept: Record<string, string | string[]> = {}
+  const forwarded: Record<string, string | string[]> = {}
   for (const [name, value] of Object.entries(headers)) {
-    if (value !== undefined && !hopHeaders.has(name)) kept[name] = value
+    if (value !== undefined && !hopHeaders.has(name)) forwarded[name] = value
   }
-  return kept
+  return forwarded
 }
--- a/packages/wire/src/serve.ts
+++ b/packages/wire/src/serve.ts
@@ -1,4 +1,6 @@
-/** HTTP servers: for callers' requests, and for calls between processes by tRPC procedures. */
+/**
+ * HTTP servers for callers' requests and for calls between processes. Relies on tRPC for the procedures of the calls.
+ */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { TRPCError } from '@trpc/server'
 import { type EntryRouter, type WorkerRouter } from './calls.js'
@@ -6,14 +8,14 @@
 import { readBody } from './body.js'
 import { callsPath } from './headers.js'
 
-/** Longest body of a call between processes, in bytes: a configuration is the longest. */
-const callLimit = 8 * 2 ** 20
+/** Maximum body of a call between processes, in bytes. The longest bodies are configurations. */
+const maxCallBody = 8 * 2 ** 20
 
-/** How long an idle connection is kept, in ms. */
+/** How long an idle connection is kept open, in ms. */
 const keepAliveTime = 60_000
 
-/** Longest time for a request's head, in ms. Longer than an idle connection is kept, as Node.js advises. */
-const headTime = 65_000
+/** Maximum time to receive the head of a request, in ms. Longer than `keepAliveTime`, as Node.js advises. */
+const headTimeout = 65_000
 
 /** Statuses of calls between processes. */
 export const callStatuses = { ok: 200, badRequest: 400, notFound: 404, internalError: 500 } as const
@@ -29,15 +31,15 @@
   readonly handler?: Handler
 }
 
-/** Makes a server that does not listen yet. Without options it answers 404 until `serve` is called. */
+/** Creates a server that does not listen yet. Without options it answers 404 until `serve` is called. */
 export function makeServer (options: ServeOptions = {}): Server {
   const server = createServer({ keepAliveTimeout: keepAliveTime, requestTimeout: 0, noDelay: true })
-  server.headersTimeout = headTime
+  server.headersTimeout = headTimeout
   serve(server, options)
   return server
 }
 
-/** Replaces what a server serves. */
+/** Replaces the router and handler of a server. */
 export function serve (server: Server, options: ServeOptions): void {
   const calls = options.router === undefined ? undefined : callsHandler(options.router)
   const handler = options.handler ?? notFound
@@ -48,7 +50,9 @@
   })
 }
 
-/** Listens on `host:port` and resolves to the port, which the system chooses where port 0 is given. Rejects where it is taken. */
+/**
+ * Listens on `host:port` and resolves to the port; the system chooses it if port 0 is given. Rejects if it is in use.
+ */
 export function listen (server: Server, address: string): Promise<number> {
   const { host, port } = splitAddress(address)
   return new Promise((resolve, reject) => {
@@ -60,7 +64,7 @@
   })
 }
 
-/** The parts of `host:port`, whose form the settings have checked. */
+/** The parts of `host:port`. The form of the address was checked when the settings were read. */
 export function splitAddress (address: string): { host: string, port: number } {
   const colon = address.lastIndexOf(':')
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) }
@@ -70,9 +74,9 @@
 type Procedure = (input: unknown) => Promise<unknown>
 
 /**
- * Serves a router's procedures on Node's own requests and responses. tRPC checks the input and finds the procedure;
- * its own HTTP adapter is not used, because it makes web requests, responses and streams for each call, which cost
- * more than eight times as much.
+ * Serves a router's procedures with the requests and responses of Node.js. tRPC checks the input and finds the
+ * procedure. The HTTP adapter of tRPC is not used: it creates a web request, a response and streams for each call,
+ * which costs more than eight times as much.
  */
 function callsHandler (router: EntryRouter | WorkerRouter): Handler {
   const caller = router.createCaller({}) as unknown as Readonly<Record<string, Procedure | undefined>>
@@ -81,20 +85,20 @@
     const name = (request.url ?? '').slice(callsPath.length + 1)
     const procedure = names.has(name) ? caller[name] : undefined
     if (procedure === undefined) return notFound(request, response)
-    // `answerCall` answers errors itself. Where even that fails, the caller sees a closed connection.
+    // `answerCall` answers errors itself. If that fails too, the connection is closed.
     answerCall(procedure, request, response).catch(() => response.destroy())
   }
 }
 
 async function answerCall (procedure: Procedure, request: IncomingMessage, response: ServerResponse): Promise<void> {
-  const body = await readBody(request, callLimit)
+  const body = await readBody(request, maxCallBody)
   if (body.isErr()) return answerFault(response, body.error)
   try {
     const input: unknown = body.value.length === 0 ? undefined : JSON.parse(body.value.toString())
     const output = await procedure(input)
     response.end(output === undefined ? '' : JSON.stringify(output))
   } catch (error) {
-    // The caller reports it: the message is part of the error that its call rejects with.
+    // The caller reports the error: its call rejects with an error that contains this message.
     response.statusCode = error instanceof TRPCError || error instanceof SyntaxError ? callStatuses.badRequest : callStatuses.internalError
     response.end(JSON.stringify({ message: (error as Error).message }))
   }
--- a/packages/wire/test/call.test.ts
+++ b/packages/wire/test/call.test.ts
@@ -1,4 +1,4 @@
-/** What a receiver is told of a call that is cancelled, and of refused bodies. */
+/** Calls that are cancelled before or after they were sent, and refusals of request bodies that were not read. */
 import { connect, type Socket } from 'node:net'
 import test, { type ExecutionContext } from 'ava'
 import { Agent } from 'undici'
@@ -6,36 +6,36 @@
 import { Fault } from '@eiderwind/fault'
 import { Receiver, listen, makeServer, readBody, refuse, send, type CallFailure, type Call, type Handler } from '../src/index.js'
 
-/** Notes what it is told, and how it ended. */
-class Notes extends Receiver {
+/** Records the callbacks of one call and how the call ended. */
+class RecordingReceiver extends Receiver {
   readonly ended: Promise<CallFailure | undefined>
-  readonly told: string[] = []
-  #settle!: (failure: CallFailure | undefined) => void
+  readonly events: string[] = []
+  #resolveEnded!: (failure: CallFailure | undefined) => void
 
   constructor () {
     super()
-    this.ended = new Promise(resolve => { this.#settle = resolve })
+    this.ended = new Promise(resolve => { this.#resolveEnded = resolve })
   }
 
   head (status: number): void {
-    this.told.push(`head ${status}`)
+    this.events.push(`head ${status}`)
   }
 
   data (): void {}
 
   end (): void {
-    this.told.push('end')
-    this.#settle(undefined)
+    this.events.push('end')
+    this.#resolveEnded(undefined)
   }
 
   fail (failure: CallFailure): void {
-    this.told.push('fail')
-    this.#settle(failure)
+    this.events.push('fail')
+    this.#resolveEnded(failure)
   }
 }
 
-/** A caller that sends what it likes and notes how its connection ended. */
-class RawCaller {
+/** A client that sends raw bytes and records how its connection ended. */
+class RawClient {
   readonly socket: Socket
   /** Whether the connection was reset. */
   readonly closed: Promise<boolean>
@@ -50,7 +50,7 @@
     this.socket.write(body)
   }
 
-  /** What has come once the answer is whole, or once nothing more can come. */
+  /** The text received once the answer is complete or the connection is closed. */
   async answer (): Promise<string> {
     while (!this.#text.endsWith('}}') && !this.socket.closed) await new Promise(resolve => setImmediate(resolve))
     return this.#text
@@ -71,7 +71,7 @@
   return { origin, path, method: 'POST', headers: {}, body: Buffer.from('x') }
 }
 
-test('a call that is cancelled while it waits for a connection fails at once as not sent, and never is', async t => {
+test('a call that is cancelled while it waits for a connection fails at once as not sent, and is never sent', async t => {
   const seen: string[] = []
   let release = (): void => {}
   const { origin } = await serveAt(t, (request, response) => {
@@ -80,29 +80,29 @@
     else response.end()
   })
   const agent = new Agent({ connections: 1, pipelining: 1 })
-  const [first, second, third] = [new Notes(), new Notes(), new Notes()]
+  const [first, second, third] = [new RecordingReceiver(), new RecordingReceiver(), new RecordingReceiver()]
   send(agent, call(origin, '/first'), first)
   while (seen.length === 0) await new Promise(resolve => setImmediate(resolve))
   const cancel = send(agent, call(origin, '/second'), second)
   cancel(new Error('The deadline has passed.'))
-  t.deepEqual(second.told, ['fail'], 'told before the cancelling returns')
+  t.deepEqual(second.events, ['fail'], 'the failure is reported before cancel returns')
   t.false((await second.ended)?.sent)
   send(agent, call(origin, '/third'), third)
   release()
   await Promise.all([first.ended, third.ended])
   cancel(new Error('once more'))
   t.deepEqual(seen, ['/first', '/third'])
-  t.deepEqual(second.told, ['fail'], 'told once')
-  t.deepEqual(third.told, ['head 200', 'end'])
+  t.deepEqual(second.events, ['fail'], 'the failure is reported once')
+  t.deepEqual(third.events, ['head 200', 'end'])
   await agent.destroy()
 })
 
-test('a call that is cancelled after it was sent may have run', async t => {
+test('a call that is cancelled after it was sent fails as sent', async t => {
   let arrived = (): void => {}
   const seen = new Promise<void>(resolve => { arrived = resolve })
   const { origin } = await serveAt(t, () => arrived())
   const agent = new Agent()
-  const notes = new Notes()
+  const notes = new RecordingReceiver()
   const cancel = send(agent, call(origin, '/'), notes)
   await seen
   cancel(new Error('The deadline has passed.'))
@@ -110,16 +110,16 @@
   await agent.destroy()
 })
 
-test('the refusal of a body goes out whole at once, and the connection is closed when the rest was read, or after a while', async t => {
+test('the refusal of a body is sent completely at once, and the connection is closed without a reset after the rest was read or the linger time has passed', async t => {
   const clock = new ManualClock()
   const { port } = await serveAt(t, async (request, response) => {
     const body = await readBody(request, 1000)
     if (body.isErr()) refuse(response, body.error, clock)
   })
-  const declared = new RawCaller(port, 'content-length: 5000000', Buffer.alloc(5_000_000))
+  const declared = new RawClient(port, 'content-length: 5000000', Buffer.alloc(5_000_000))
   t.regex(await declared.answer(), /^HTTP\/1\.1 413/)
   t.false(await declared.closed, 'closed without a reset')
-  const endless = new RawCaller(port, 'transfer-encoding: chunked', `7d0\r\n${'y'.repeat(2000)}\r\n`)
+  const endless = new RawClient(port, 'transfer-encoding: chunked', `7d0\r\n${'y'.repeat(2000)}\r\n`)
   t.regex(await endless.answer(), new RegExp(`"code":"${new Fault('too-large').code}"`))
   clock.advance(1000)
   t.false(await endless.closed, 'closed without a reset')
--- a/packages/wire/test/connections.test.ts
+++ b/packages/wire/test/connections.test.ts
@@ -1,4 +1,7 @@
-/** Which answers count as whole, whatever an upstream does with its connection. */
+/**
+ * Which answers count as complete, depending on their framing and on how the connection ends, and when connections are
+ * reused.
+ */
 import { createServer, type Server, type Socket } from 'node:net'
 import test from 'ava'
 import { SystemClock } from '@eiderwind/clock'
@@ -6,13 +9,13 @@
 
 const clock = new SystemClock()
 
-/** Lets the turns pass after which a connection may be used again. */
-async function settle (): Promise<void> {
+/** Waits for the turns of the event loop after which a connection may be reused. */
+async function passTurns (): Promise<void> {
   for (let turn = 0; turn < 4; turn++) await new Promise(resolve => setImmediate(resolve))
 }
 
-/** A server that answers each request with what `answer` writes. */
-async function upstream (answer: (socket: Socket, count: number) => void): Promise<{ origin: string, server: Server, sockets: () => number }> {
+/** Starts a server that calls `answer` for each request. */
+async function startUpstream (answer: (socket: Socket, count: number) => void): Promise<{ origin: string, server: Server, sockets: () => number }> {
   let count = 0
   let sockets = 0
   const server = createServer(socket => {
@@ -29,33 +32,33 @@
   return answer.body.toString()
 }
 
-/** A port below those that the system gives out, so that no other process listens there. */
-const nobodyListens = 'http://127.0.0.1:1'
+/** A port below the range that the system assigns, so that no other process listens on it. */
+const closedPortOrigin = 'http://127.0.0.1:1'
 
 const whole = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
 
-/** What the upstream writes, how it ends the connection, and the body that counts as whole, if any does. */
+/** What the upstream writes, how it ends the connection, and the body if the answer counts as complete. */
 const cases: ReadonlyArray<readonly [name: string, text: string, end: 'close' | 'reset' | 'keep', body: string | undefined]> = [
-  ['a length, kept open', whole, 'keep', 'ok'],
-  ['a length, closed after it', whole, 'close', 'ok'],
-  ['a length, closed before its end', 'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok', 'close', undefined],
-  ['a length, to be closed, closed before its end', 'HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 9\r\n\r\nok', 'close', undefined],
+  ['a length, connection stays open', whole, 'keep', 'ok'],
+  ['a length, closed after the body', whole, 'close', 'ok'],
+  ['a length, closed within the body', 'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok', 'close', undefined],
+  ['a length and connection: close, closed within the body', 'HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 9\r\n\r\nok', 'close', undefined],
   ['no length, closed', 'HTTP/1.1 200 OK\r\n\r\nok', 'close', 'ok'],
   ['no length, reset', 'HTTP/1.1 200 OK\r\n\r\nok', 'reset', undefined],
-  ['no length, to be closed, reset', 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nok', 'reset', undefined],
-  ['chunks with their end', 'HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n', 'close', 'ok'],
-  ['chunks without their end, closed', 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n', 'close', undefined],
-  ['chunks without their end, to be closed, closed', 'HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n', 'close', undefined],
-  ['chunks without their end, to be closed, reset', 'HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n', 'reset', undefined],
-  ['bytes that are no answer', 'nonsense\r\n\r\n', 'keep', undefined]
+  ['no length but connection: close, reset', 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nok', 'reset', undefined],
+  ['chunks and the last chunk, closed', 'HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n', 'close', 'ok'],
+  ['chunks without the last chunk, closed', 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n', 'close', undefined],
+  ['chunks without the last chunk, connection: close, closed', 'HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n', 'close', undefined],
+  ['chunks without the last chunk, connection: close, reset', 'HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n', 'reset', undefined],
+  ['bytes that are not HTTP', 'nonsense\r\n\r\n', 'keep', undefined]
 ]
 
 for (const [name, text, end, body] of cases) {
-  test(`${name}: ${body === undefined ? 'not whole' : 'whole'}`, async t => {
-    const { origin, server } = await upstream(socket => {
+  test(`${name}: ${body === undefined ? 'incomplete' : 'complete'}`, async t => {
+    const { origin, server } = await startUpstream(socket => {
       socket.write(text, () => {
         if (end === 'close') socket.end()
-        // The reset goes out only after the client has the bytes before it.
+        // The reset is sent only after the client has received the bytes before it.
         else if (end === 'reset') setImmediate(() => setImmediate(() => setTimeout(() => socket.resetAndDestroy(), 30)))
       })
     })
@@ -67,9 +70,9 @@
   })
 }
 
-test('an answer without a length that is reset together with its last bytes is not whole, and one that is closed so is', async t => {
+test('an answer without a length is incomplete if a reset arrives with its last bytes, and complete if a close does', async t => {
   for (const [end, body] of [['reset', undefined], ['close', 'ok']] as const) {
-    const { origin, server } = await upstream(socket => {
+    const { origin, server } = await startUpstream(socket => {
       socket.write('HTTP/1.1 200 OK\r\n\r\nok', () => setImmediate(() => end === 'reset' ? socket.resetAndDestroy() : socket.end()))
     })
     const connections = new Connections()
@@ -80,35 +83,35 @@
   }
 })
 
-test('bytes behind an answer belong to no request: the connection is not used again', async t => {
-  const { origin, server, sockets } = await upstream((socket, count) => socket.write(count === 1 ? whole + whole : whole))
+test('a connection with bytes after the answer is not reused', async t => {
+  const { origin, server, sockets } = await startUpstream((socket, count) => socket.write(count === 1 ? whole + whole : whole))
   const connections = new Connections()
   t.is(await call(connections, origin), 'ok')
-  await settle()
+  await passTurns()
   t.is(await call(connections, origin), 'ok')
   t.is(sockets(), 2)
   connections.close()
   server.close()
 })
 
-test('a connection is used again after a whole answer, and a fresh one where that is asked for', async t => {
-  const { origin, server, sockets } = await upstream(socket => socket.write(whole))
+test('a connection is reused after a complete answer', async t => {
+  const { origin, server, sockets } = await startUpstream(socket => socket.write(whole))
   const connections = new Connections()
   for (let index = 0; index < 3; index++) {
     t.is(await call(connections, origin), 'ok')
-    await settle()
+    await passTurns()
   }
   t.is(sockets(), 1)
   connections.close()
   server.close()
 })
 
-test('a call that nobody takes was not sent', async t => {
-  const error = await t.throwsAsync(call(new Connections(), nobodyListens))
+test('a call to a port on which no process listens fails as refused and not sent', async t => {
+  const error = await t.throwsAsync(call(new Connections(), closedPortOrigin))
   t.like(error, { sent: false, refused: true })
 })
 
-/** Reads an answer at once, or not before a while. */
+/** Reads an answer at once, or after a pause of 50 ms. */
 class PausingReceiver extends Receiver {
   readonly #pauses: boolean
   readonly #ended: () => void
@@ -136,12 +139,12 @@
   }
 }
 
-for (const [how, pauses, count] of [['was paused is not', true, 2], ['was read as it came is', false, 1]] as const) {
-  test(`a connection whose answer ${how} used again`, async t => {
-    const { origin, server, sockets } = await upstream(socket => socket.write(whole))
+for (const [how, pauses, count] of [['was paused is not', true, 2], ['was read without a pause is', false, 1]] as const) {
+  test(`a connection whose answer ${how} reused`, async t => {
+    const { origin, server, sockets } = await startUpstream(socket => socket.write(whole))
     const connections = new Connections()
     await new Promise<void>(resolve => connections.send({ origin, path: '/', method: 'GET', headers: {}, body: undefined }, new PausingReceiver(pauses, resolve)))
-    await settle()
+    await passTurns()
     t.is(await call(connections, origin), 'ok')
     t.is(sockets(), count)
     connections.close()
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -267,7 +267,7 @@
     point: 4,
     rule: 'a call that was reported as not sent is never sent',
     file: 'packages/wire/dist/src/call.js',
-    find: 'if (over)\n                return controller.abort',
+    find: 'if (ended)\n                return controller.abort',
     replace: 'if (false)\n                return controller.abort',
     test: 'packages/wire/dist/test/call.test.js',
     title: 'a call that is cancelled while*'
@@ -513,7 +513,7 @@
     find: 'ending === \'reset\' || ',
     replace: '',
     test: 'packages/wire/dist/test/connections.test.js',
-    title: 'no length, reset: not whole'
+    title: 'no length, reset: incomplete'
   },
   {
     name: 'foreign-answer',
