--- a/packages/log/src/index.ts
+++ b/packages/log/src/index.ts
@@ -1,4 +1,4 @@
-/** The structured log with its catalogue of events, its bounded writer, and the StatsD metrics. */
+/** The structured log, its catalogue of events, the bounded writer of log lines, and the StatsD metrics. */
 export { events, type Event, type EventName, type Level } from './events.js'
 export { Log, type Fields, type LogOptions, type Sink } from './log.js'
 export { Metric, metrics, type MetricName, type MetricOptions, type Tags } from './metric.js'
--- a/packages/log/src/linewriter.ts
+++ b/packages/log/src/linewriter.ts
@@ -1,6 +1,7 @@
 /**
- * Writes log lines for a process that must not wait for the reader of its log while it serves. It owns a token bucket and a
- * bounded buffer; lines beyond either are dropped and counted, and the process reports the count as `lines-dropped`.
+ * Writes log lines without blocking, because a process that serves must not wait for the reader of its log. It owns a
+ * token bucket and a bounded buffer. Lines beyond either limit are dropped and counted, and the process logs the count
+ * as `lines-dropped`.
  */
 import { fstatSync } from 'node:fs'
 import { Socket } from 'node:net'
@@ -10,49 +11,49 @@
 /** File descriptor of standard output. */
 const standardOutput = 1
 
-/** Lines a second on average. */
-const rate = 100
+/** Refill rate of the token bucket, in lines per second. */
+const linesPerSecond = 100
 
-/** Lines at once after a pause: three seconds' worth. */
-const burst = 300
+/** Size of the token bucket, in lines: what accumulates in three seconds. */
+const burstLines = 300
 
-/** Bytes that wait for a slow reader: somewhat more than a burst of lines of 800 bytes. */
+/** Size of the buffer for a slow reader, in bytes: slightly more than a burst of lines of 800 bytes each. */
 const bufferSize = 256 * 1024
 
 /** Options of a line writer. */
 export interface LineWriterOptions {
-  /** File descriptor that lines go to. Default: standard output. */
+  /** File descriptor to which lines are written. Default: standard output. */
   readonly fd?: number
-  /** Steady time, in ms. */
+  /** Monotonic time, in ms. */
   readonly now: () => number
 }
 
-/** Writes lines without blocking, and counts those that it drops. */
+/** Writes lines without blocking, and counts dropped lines. */
 export class LineWriter {
   readonly #stream: SonicBoom
   readonly #now: () => number
-  #tokens = burst
-  /** When the tokens were last counted. */
-  #at: number
+  #tokens = burstLines
+  /** When the tokens were last refilled. */
+  #refilledAt: number
   #dropped = 0
   #ending = false
 
   constructor ({ fd = standardOutput, now }: LineWriterOptions) {
-    unblock(fd)
-    // Full pipes are tried again later while the process serves, and never at its end.
+    setNonBlocking(fd)
+    // A write to a full pipe is retried while the process serves, but not while the process ends.
     this.#stream = new sonic.SonicBoom({ fd, sync: false, maxLength: bufferSize, retryEAGAIN: () => !this.#ending })
     this.#stream.on('drop', () => { this.#dropped++ })
-    // There is no better place to report it: this is the log. A process serves on also when its log has lost its reader.
+    // Errors of the log cannot be reported anywhere. A process continues to serve when its log has lost its reader.
     this.#stream.on('error', () => {})
     this.#now = now
-    this.#at = now()
+    this.#refilledAt = now()
   }
 
-  /** The sink, for a log. */
+  /** The sink to pass to a `Log`. */
   readonly sink: Sink = line => {
     const now = this.#now()
-    this.#tokens = Math.min(burst, this.#tokens + (now - this.#at) / 1000 * rate)
-    this.#at = now
+    this.#tokens = Math.min(burstLines, this.#tokens + (now - this.#refilledAt) / 1000 * linesPerSecond)
+    this.#refilledAt = now
     if (this.#tokens < 1) {
       this.#dropped++
       return
@@ -61,30 +62,30 @@
     this.#stream.write(`${line}\n`)
   }
 
-  /** Lines dropped since the last call. */
+  /** Number of lines dropped since the last call. */
   takeDropped (): number {
     const dropped = this.#dropped
     this.#dropped = 0
     return dropped
   }
 
-  /** Writes what is buffered, as far as the reader takes it at once; for the end of the process. */
+  /** Writes as much of the buffer as the reader takes at once. Called at the end of the process. */
   end (): void {
     this.#ending = true
     try {
       this.#stream.flushSync()
     } catch {
-      // A reader that is gone, or has stopped reading, loses the last lines. There is nowhere else to report it.
+      // If the reader is gone or has stopped reading, the last lines are lost. This cannot be reported anywhere.
     }
   }
 }
 
 /**
- * Has writes to a pipe or socket return at once where it is full: a write that waits for a reader that has stopped reading would
- * hold up the exit of the process. A socket object sets the descriptor to non-blocking when it is made, and does nothing else
- * here. Files never wait, so they stay as they are.
+ * Sets a pipe or socket to non-blocking mode. A write that waits for a reader that has stopped reading would delay the
+ * exit of the process. Creating a `Socket` object sets the mode; the object is not used otherwise. Writes to files do
+ * not wait for a reader, so files are left unchanged.
  */
-function unblock (fd: number): void {
+function setNonBlocking (fd: number): void {
   const kind = fstatSync(fd)
   if (kind.isFIFO() || kind.isSocket()) new Socket({ fd, readable: false, writable: true }).unref()
 }
--- a/packages/log/src/log.ts
+++ b/packages/log/src/log.ts
@@ -1,35 +1,37 @@
 /**
- * The structured log: one JSON object a line, with the number of its event. A process makes one `Log` and passes it to its
- * parts. It relies on the catalogue in `events.ts`, and on its callers to keep secrets out of fields.
+ * The structured log: one JSON object per line, with the number of the event. A process creates one `Log` and passes it
+ * to its parts. It relies on the catalogue in `events.ts`, and on its callers not to put secrets into fields.
  */
 import loglevel from 'loglevel'
 import { events, type EventName, type Level } from './events.js'
 
-/** What each line says of itself: no field of an event may take one of these names, since it would replace it. */
-interface Reserved {
+/**
+ * Names of the fields that every line has. An event's own fields must not use them, because they would replace these.
+ */
+interface ReservedFields {
   readonly time?: never
   readonly event?: never
   readonly name?: never
   readonly level?: never
 }
 
-/** Fields of an event beside its number and name. Never keys or tokens. */
-export type Fields = Readonly<Record<string, string | number | boolean | undefined>> & Reserved
+/** Fields of an event in addition to its number and name. They must not contain keys or tokens. */
+export type Fields = Readonly<Record<string, string | number | boolean | undefined>> & ReservedFields
 
-/** Takes one line, without its line break. */
+/** Receives one line, without its line break. */
 export type Sink = (line: string) => void
 
 /** Options of a log. */
 export interface LogOptions {
   /** Lowest level that is written. Default: `info`. */
   readonly level?: Level
-  /** Where lines go. Default: standard error. */
+  /** Receives each line. Default: writes it to standard error. */
   readonly sink?: Sink
-  /** Fields of every line, such as the process's id. */
+  /** Fields that are added to every line, such as the id of the process. */
   readonly fields?: Fields
 }
 
-/** Writes events as lines. */
+/** Writes events as lines of JSON. */
 export class Log {
   readonly #logger: loglevel.Logger
   readonly #fields: Fields
@@ -37,7 +39,7 @@
   constructor (options: LogOptions = {}) {
     const sink = options.sink ?? (line => { process.stderr.write(`${line}\n`) })
     this.#fields = options.fields ?? {}
-    // The library keeps loggers by name; a symbol of its own keeps two logs of one process apart.
+    // The library shares loggers with the same name. A new symbol as the name keeps two logs of one process separate.
     this.#logger = loglevel.getLogger(Symbol('eiderwind'))
     this.#logger.methodFactory = () => sink
     this.#logger.setLevel(options.level ?? 'info', false)
--- a/packages/log/src/metric.ts
+++ b/packages/log/src/metric.ts
@@ -1,16 +1,17 @@
 /**
- * The StatsD metrics of the roles `entry` and `worker`. Names and kinds are an interface; docs/operators/metrics.md holds
- * the same list, and a test compares them. The gateway has its own metrics, in Prometheus' form (`gateway/src/metrics.ts`).
+ * The StatsD metrics of the roles `entry` and `worker`. Names and kinds are an interface. docs/operators/metrics.md
+ * contains the same list, and a test compares them. The gateway has its own metrics in the format of Prometheus
+ * (`gateway/src/metrics.ts`).
  */
 import { StatsD } from 'hot-shots'
 
-/** Largest datagram, in bytes: fits into an Ethernet frame of 1500 together with the IP and UDP headers. */
+/** Maximum size of a datagram, in bytes. With the IP and UDP headers it fits into an Ethernet frame of 1500 bytes. */
 const datagramSize = 1400
 
-/** How long metrics are gathered into one datagram, in ms. */
+/** How long metrics are collected for one datagram, in ms. */
 const flushInterval = 500
 
-/** Every metric, with its kind and meaning. */
+/** All metrics by name, with kind and meaning. */
 export const metrics = {
   'request.count': { kind: 'counter', text: 'Requests answered, by service, team and status.' },
   'request.first_byte_ms': { kind: 'timing', text: 'Time from a request to the first byte of its answer.' },
@@ -33,11 +34,11 @@
 /** Tags of a metric. */
 export type Tags = Readonly<Record<string, string>>
 
-/** Where StatsD listens, and what every metric says. */
+/** The address of StatsD, and the tags of every metric. */
 export interface MetricOptions {
   readonly host: string
   readonly port: number
-  /** Tags of every metric. */
+  /** Tags that are added to every metric. */
   readonly tags?: Tags
 }
 
@@ -54,7 +55,7 @@
       globalTags: { ...options.tags },
       maxBufferSize: datagramSize,
       bufferFlushInterval: flushInterval,
-      // A lost metric is no reason to fail or to fill the log; StatsD shows the gap itself.
+      // A lost metric must not cause a failure or fill the log. StatsD shows the gap.
       errorHandler: () => {}
     })
   }
@@ -74,7 +75,7 @@
 
   /** Sends what is buffered and closes the socket. */
   close (): void {
-    // The process ends next; a metric that cannot be sent any more is dropped as above.
+    // The process ends next. A metric that cannot be sent is dropped, as in `errorHandler`.
     this.#client?.close(() => {})
   }
 }
--- a/packages/log/test/catalogue.test.ts
+++ b/packages/log/test/catalogue.test.ts
@@ -1,4 +1,4 @@
-/** The catalogues in docs and the code hold together. */
+/** The catalogues of events and metrics in the docs agree with the code. Also tests the form of log lines. */
 import { readFileSync, readdirSync } from 'node:fs'
 import test from 'ava'
 import { Log, events, metrics } from '../src/index.js'
@@ -6,7 +6,7 @@
 const root = new URL('../../../../', import.meta.url)
 const operators = new URL('docs/operators/', root)
 
-/** The folders whose sources make up a program, apart from those of all programs. */
+/** The folders with the sources of each program. `all` has the sources that are part of every program. */
 const programs: Readonly<Record<string, readonly string[]>> = {
   all: ['packages/life'],
   gateway: ['platform', 'packages/gateway', 'packages/forward', 'packages/dispatch', 'packages/detect', 'packages/forming', 'packages/peers', 'packages/roster'],
@@ -14,12 +14,12 @@
   '`eiderwind worker`': ['packages/worker']
 }
 
-/** A call that writes an event, or one of two. */
-const calls = /log\.write\([^'()]*'([a-z-]+)'(?:\s*:\s*'([a-z-]+)')?/g
+/** Matches a call that writes an event, or one of two events. */
+const writeCall = /log\.write\([^'()]*'([a-z-]+)'(?:\s*:\s*'([a-z-]+)')?/g
 
-/** Numbers of the events that sources in these folders write. */
-function written (folders: readonly string[]): Set<number> {
-  const names = folders.flatMap(sources).flatMap(source => [...source.matchAll(calls)].flatMap(([, first, second = first]) => [first, second]))
+/** Numbers of the events that the sources in these folders write. */
+function eventsWrittenIn (folders: readonly string[]): Set<number> {
+  const names = folders.flatMap(sources).flatMap(source => [...source.matchAll(writeCall)].flatMap(([, first, second = first]) => [first, second]))
   return new Set(Object.entries(events).filter(([name]) => names.includes(name)).map(([, { number }]) => number))
 }
 
@@ -28,8 +28,10 @@
   return names.map(name => readFileSync(new URL(`${folder}/src/${name}`, root), 'utf8'))
 }
 
-/** Numbers of the events that the table in events.md says a program writes: single ones, and ranges such as `200 to 202`. */
-function said (program: string): Set<number> {
+/**
+ * Numbers of the events of a program in the table of events.md, which lists single numbers and ranges (`200 to 202`).
+ */
+function eventsListedFor (program: string): Set<number> {
   const row = readFileSync(new URL('events.md', operators), 'utf8').split('\n').find(line => line.startsWith(`| ${program} | `)) ?? ''
   const ranges = [...row.matchAll(/(\d{3})(?: to (\d{3}))?/g)].map(([, first, last = first]) => [Number(first), Number(last)])
   return new Set(Object.values(events).map(({ number }) => number).filter(number => ranges.some(([first, last]) => first <= number && number <= last)))
@@ -42,11 +44,11 @@
 })
 
 for (const [program, folders] of Object.entries(programs)) {
-  test(`the catalogue says which events are written by ${program}`, t => {
-    const found = written(folders)
-    // What a controller or a planner fails with is written by every program, each in its own sources.
+  test(`the catalogue lists exactly the events that are written by ${program}`, t => {
+    const found = eventsWrittenIn(folders)
+    // Every program writes `controller-failed`, each in its own sources.
     const own = program === 'all' ? [...found, events['controller-failed'].number] : [...found].filter(number => number !== events['controller-failed'].number)
-    t.deepEqual([...said(program)].sort(), own.sort())
+    t.deepEqual([...eventsListedFor(program)].sort(), own.sort())
   })
 }
 
@@ -61,7 +63,7 @@
   t.is(new Set(numbers).size, numbers.length)
 })
 
-test('a log writes one JSON object a line, from its least level on', t => {
+test('a log writes one JSON object per line, and only events of its lowest level or above', t => {
   const lines: string[] = []
   const log = new Log({ level: 'warn', sink: line => lines.push(line), fields: { role: 'entry' } })
   log.write('started', { callers: 'a:1' })
--- a/packages/log/test/forms.test.ts
+++ b/packages/log/test/forms.test.ts
@@ -1,4 +1,6 @@
-/** Numbers, names and levels of events, and names and kinds of metrics: operators' tools read them. */
+/**
+ * Numbers, names and levels of events, and names and kinds of metrics, must not change: operators' tools rely on them.
+ */
 import test from 'ava'
 import { events, metrics } from '../src/index.js'
 
--- a/packages/log/test/linewriter.test.ts
+++ b/packages/log/test/linewriter.test.ts
@@ -1,23 +1,23 @@
-/** The writer of log lines drops what is too much, and says how much that was. */
+/** A line writer drops lines beyond its rate or its buffer, and counts them. */
 import { closeSync, mkdtempSync, openSync, readFileSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import test, { type ExecutionContext } from 'ava'
 import { LineWriter } from '../src/index.js'
 
-/** Lines that a writer takes at once, and in a second after that. */
+/** Lines that a writer accepts at once, and per second after that. */
 const burst = 300
 const rate = 100
 
-/** Bytes that it keeps for a reader. */
+/** Bytes that it buffers for a slow reader. */
 const bufferSize = 262_144
 
-interface File {
+interface LogFile {
   readonly fd: number
   lines (): string[]
 }
 
-function file (t: ExecutionContext): File {
+function openLogFile (t: ExecutionContext): LogFile {
   const folder = mkdtempSync(join(tmpdir(), 'eiderwind-lines-'))
   const path = join(folder, 'log')
   const fd = openSync(path, 'w')
@@ -28,14 +28,14 @@
   return { fd, lines: () => readFileSync(path, 'utf8').split('\n').slice(0, -1) }
 }
 
-/** Resolves once a file has as many lines, to all of them. */
-async function linesOf ({ lines }: File, count: number): Promise<string[]> {
+/** Waits until a file has `count` lines, and resolves to all its lines. */
+async function readLines ({ lines }: LogFile, count: number): Promise<string[]> {
   while (lines().length < count) await new Promise(resolve => setImmediate(resolve))
   return lines()
 }
 
 test('lines beyond the burst and the rate are dropped and counted once', async t => {
-  const log = file(t)
+  const log = openLogFile(t)
   let now = 0
   const writer = new LineWriter({ fd: log.fd, now: () => now })
   const write = (count: number): void => {
@@ -50,16 +50,16 @@
   now += 3_600_000
   write(burst + 1)
   t.is(writer.takeDropped(), 1, 'a long pause allows one burst and no more')
-  t.is((await linesOf(log, 2 * burst + rate)).length, 2 * burst + rate)
+  t.is((await readLines(log, 2 * burst + rate)).length, 2 * burst + rate)
 })
 
-test('lines that a reader has not taken fill the buffer, and those beyond it are dropped and counted', async t => {
-  const log = file(t)
+test('lines that do not fit into the buffer are dropped and counted', async t => {
+  const log = openLogFile(t)
   const writer = new LineWriter({ fd: log.fd, now: () => 0 })
   const line = 'x'.repeat(8 * 1024 - 1)
-  // Writing begins only after this turn.
+  // The file is written only after this turn of the event loop.
   for (let index = 0; index < 40; index++) writer.sink(line)
   const fitting = bufferSize / (line.length + 1)
   t.is(writer.takeDropped(), 40 - fitting)
-  t.deepEqual(await linesOf(log, fitting), Array.from({ length: fitting }, () => line))
+  t.deepEqual(await readLines(log, fitting), Array.from({ length: fitting }, () => line))
 })
