--- a/packages/clock/src/suspension.ts
+++ b/packages/clock/src/suspension.ts
@@ -1,30 +1,40 @@
 /**
- * How long the machine was suspended: time that the steady clock did not count and the time of day did. Pure but for the two readings before. The time of
- * day also steps by itself, so the two are held against each other from one look to the next: a step ahead counts as a suspension, which ends beliefs
- * early; a step back counts as nothing, and hides a suspension only if both fall between two looks.
+ * Measures how long the machine was suspended: time that the wall clock counted and the monotonic clock did not. Its
+ * only state are the previous readings of both clocks and the total. The wall clock can also step, so the two clocks
+ * are compared from one reading to the next. A step ahead counts as a suspension, so that leases and confirmations
+ * expire early. A step back counts as nothing. It hides a suspension only if both happen between two readings.
  */
 
-/** Least gain of the time of day between two looks that counts as a suspension, in ms: above what adjusting the time of day gains meanwhile. */
-const leastSuspension = 50
+/**
+ * Minimum gain of the wall clock between two readings that counts as a suspension, in ms. It is more than the wall
+ * clock gains in that time when it is adjusted gradually.
+ */
+const minSuspension = 50
 
-/** Adds up suspensions. */
+/** Sums up the suspensions of the machine. */
 export class Suspension {
   #steady: number
   #wall: number
   #total = 0
 
-  /** @param steady the steady clock now, in ms  @param wall the time of day now, in ms */
+  /**
+   * @param steady the present monotonic time, in ms
+   * @param wall the present wall time, in ms
+   */
   constructor (steady: number, wall: number) {
     this.#steady = steady
     this.#wall = wall
   }
 
-  /** All suspensions up to now, in ms. It has to be asked often: what is between two looks is judged as a whole. */
+  /**
+   * The sum of all suspensions up to now, in ms. It must be called often, because steps and suspensions between two
+   * calls cannot be told apart.
+   */
   total (steady: number, wall: number): number {
     const gained = (wall - this.#wall) - (steady - this.#steady)
     this.#steady = steady
     this.#wall = wall
-    if (gained >= leastSuspension) this.#total += gained
+    if (gained >= minSuspension) this.#total += gained
     return this.#total
   }
 }
--- a/packages/clock/src/system.ts
+++ b/packages/clock/src/system.ts
@@ -1,11 +1,12 @@
 /**
- * The timer service of production, over Node's `performance.now`, `Date.now` and `setTimeout`. `os.uptime` counts suspensions too, but a library may read it
- * with a resolution of a second, and each reading opens a file.
+ * The timer service of production. Relies on `performance.now`, `Date.now` and `setTimeout` of Node.js. `os.uptime`
+ * includes suspensions too, but is not used: a library may read it with a resolution of only one second, and each
+ * reading opens a file.
  */
 import { Clock, type Subscription, type Task } from './clock.js'
 import { Suspension } from './suspension.js'
 
-/** The clock of the machine: `performance.now` (CLOCK_MONOTONIC, which runs on through SIGSTOP) and `Date.now`. */
+/** The clocks of the machine: `performance.now` (CLOCK_MONOTONIC, which continues during SIGSTOP) and `Date.now`. */
 export class SystemClock extends Clock {
   readonly #suspension = new Suspension(performance.now(), Date.now())
 
--- a/packages/clock/test/clock.test.ts
+++ b/packages/clock/test/clock.test.ts
@@ -2,7 +2,7 @@
 import { ManualClock, SystemClock, seeded } from '../src/index.js'
 import { ViewClock } from './view.js'
 
-test('a manual clock runs what falls due, in order, and not what was cancelled', t => {
+test('a manual clock runs due timers in order, and no cancelled timer', t => {
   const clock = new ManualClock()
   const ran: string[] = []
   clock.after(20, () => ran.push('b'))
@@ -15,13 +15,13 @@
   t.deepEqual(ran, ['each', 'a', 'each', 'b'])
 })
 
-test('a holder counts time that the steady clock missed, a granter does not', t => {
+test('a suspension of the machine counts in bootNow and wall, but not in now', t => {
   const clock = new ManualClock(1000)
   clock.suspend(500)
   t.deepEqual([clock.now(), clock.bootNow(), clock.wall()], [0, 500, 1500])
 })
 
-test('the system clock gives holders at least the steady time, and never goes back', t => {
+test('bootNow of the system clock is at least now, and never goes back', t => {
   const clock = new SystemClock()
   let last = clock.bootNow()
   for (let index = 0; index < 10_000; index++) {
@@ -32,7 +32,7 @@
   }
 })
 
-test('a paused process does what fell due once it goes on', t => {
+test('timers that become due while a process is paused run when it resumes', t => {
   const clock = new ManualClock()
   const view = new ViewClock(clock, 1.01, 50)
   const ran: number[] = []
@@ -45,14 +45,14 @@
   t.is(view.wall(), 90)
 })
 
-test('a seeded source gives the same numbers on every run', t => {
+test('a seeded random source gives the same numbers on every run', t => {
   const [a, b] = [seeded(7), seeded(7)]
   const first = Array.from({ length: 100 }, a)
   t.deepEqual(first, Array.from({ length: 100 }, b))
   t.true(first.every(each => each >= 0 && each < 1))
 })
 
-test('neighbouring seeds give unlike numbers from the first on', t => {
+test('the first numbers of neighbouring seeds fall on both sides of 0.5', t => {
   const firsts = Array.from({ length: 100 }, (_each, index) => seeded(index)())
   t.true(firsts.filter(each => each < 0.5).length > 30)
   t.true(firsts.filter(each => each >= 0.5).length > 30)
--- a/packages/clock/test/view.ts
+++ b/packages/clock/test/view.ts
@@ -1,19 +1,19 @@
 import { Clock, type Subscription, type Task } from '../src/index.js'
 
 /**
- * The clock of one process of a test: another clock seen at another rate and with a skewed wall clock. A paused
- * process does nothing, as under SIGSTOP; what fell due meanwhile happens when it goes on, in its order.
+ * The clock of one process in a test: a view of another clock with a different rate and a skewed wall clock. A paused
+ * process runs nothing, as under SIGSTOP. Tasks that become due meanwhile run in their order when the process resumes.
  */
 export class ViewClock extends Clock {
   readonly #base: Clock
   readonly #rate: number
   readonly #skew: number
   #paused = false
-  #held: Task[] = []
+  #deferred: Task[] = []
 
   /**
-   * @param rate ms of this clock in one ms of the base
-   * @param skew ms by which its wall clock is ahead
+   * @param rate ms that pass on this clock in one ms of `base`
+   * @param skew ms by which the wall clock is ahead
    */
   constructor (base: Clock, rate = 1, skew = 0) {
     super()
@@ -36,10 +36,10 @@
 
   after (delay: number, task: Task): Subscription {
     let cancelled = false
-    const due = (): void => this.run(() => {
+    const onDue = (): void => this.run(() => {
       if (!cancelled) task()
     })
-    const inner = this.#base.after(delay / this.#rate, due)
+    const inner = this.#base.after(delay / this.#rate, onDue)
     return {
       cancel: () => {
         cancelled = true
@@ -48,9 +48,9 @@
     }
   }
 
-  /** Does `task` now, or when the process goes on. */
+  /** Runs `task` now, or when the process resumes if it is paused. */
   run (task: Task): void {
-    if (this.#paused) this.#held.push(task)
+    if (this.#paused) this.#deferred.push(task)
     else task()
   }
 
@@ -60,6 +60,6 @@
 
   resume (): void {
     this.#paused = false
-    for (const task of this.#held.splice(0)) this.run(task)
+    for (const task of this.#deferred.splice(0)) this.run(task)
   }
 }
--- a/packages/settings/src/read.ts
+++ b/packages/settings/src/read.ts
@@ -1,14 +1,15 @@
 /**
- * Reads settings files and checks them against the schema of their role. Every problem is reported at once, each with its
- * place and a remedy, so that an operator corrects a file in one go.
+ * Reads settings files and checks them against the schema of their role. All problems of a file are reported together,
+ * each with its section, its key and a remedy, so that an operator can correct the file in one pass. Relies on
+ * `shapes.ts` for the schemas.
  */
 import { readFileSync } from 'node:fs'
 import { parse } from 'ini'
 import { Err, Ok, type Result } from 'ts-results-es'
 import { type z } from 'zod'
-import { shapes, type DirectSettings, type EntrySettings, type Role, type WorkerSettings } from './shapes.js'
+import { schemas, type DirectSettings, type EntrySettings, type Role, type WorkerSettings } from './shapes.js'
 
-/** One thing that is wrong with a settings file. */
+/** One problem of a settings file. */
 export interface Problem {
   readonly file: string
   readonly section: string
@@ -23,7 +24,7 @@
   | { readonly role: 'worker', readonly worker: WorkerSettings }
   | { readonly role: 'direct', readonly direct: DirectSettings }
 
-/** Reads and checks a settings file. A file that cannot be read is a problem like any other. */
+/** Reads and checks a settings file. A file that cannot be read is reported as a problem too. */
 export function readSettings (file: string, role?: Role): Result<Settings, Problem[]> {
   let text: string
   try {
@@ -34,22 +35,22 @@
   return checkSettings(file, text, role)
 }
 
-/** Checks the text of a settings file. Without a role, its sections decide which it is. */
+/** Checks the text of a settings file. If no role is given, it is inferred from the sections. */
 export function checkSettings (file: string, text: string, role?: Role): Result<Settings, Problem[]> {
   const found: unknown = JSON.parse(JSON.stringify(parse(text)))
-  const guessed = role ?? guess(found as object)
-  if (guessed === 'entry') return check(file, shapes.entry, found).map(entry => ({ role: 'entry', entry }))
-  if (guessed === 'direct') return check(file, shapes.direct, found).map(direct => ({ role: 'direct', direct }))
-  return check(file, shapes.worker, found).map(worker => ({ role: 'worker', worker }))
+  const inferredRole = role ?? inferRole(found as object)
+  if (inferredRole === 'entry') return check(file, schemas.entry, found).map(entry => ({ role: 'entry', entry }))
+  if (inferredRole === 'direct') return check(file, schemas.direct, found).map(direct => ({ role: 'direct', direct }))
+  return check(file, schemas.worker, found).map(worker => ({ role: 'worker', worker }))
 }
 
-/** The role that the sections and keys belong to. */
-function guess (found: object): Role {
+/** The role to which the sections and keys belong. */
+function inferRole (found: object): Role {
   if ('upstream' in found || 'node' in found) return 'worker'
   return 'bounds' in found || 'store' in ((found as { platform?: object }).platform ?? {}) ? 'direct' : 'entry'
 }
 
-/** A problem in one line: file, section, key, what is wrong and what to do. */
+/** Formats a problem as one line: file, section, key, message and remedy. */
 export function problemLine ({ file, section, key, message, remedy }: Problem): string {
   const place = [section === '' ? '' : `[${section}]`, key].filter(each => each !== '').join(' ')
   return `${file}: ${place === '' ? '' : `${place}: `}${message} ${remedy}`
@@ -63,14 +64,14 @@
 
 function problems (file: string, issue: z.core.$ZodIssue, found: unknown): Problem[] {
   const [section = '', key = ''] = issue.path.map(String)
-  if (issue.code === 'unrecognized_keys') return issue.keys.map(unknown => unrecognized(file, section, unknown))
+  if (issue.code === 'unrecognized_keys') return issue.keys.map(unknown => unknownName(file, section, unknown))
   const missing = valueAt(found, issue.path) === undefined
   if (missing && key === '') return [problem(file, section, '', 'The section is missing.', 'Add it as in the example for this role in docs/operators/settings.md.')]
   if (missing) return [problem(file, section, key, 'The key is missing.', 'Add it as in the example for this role in docs/operators/settings.md.')]
   return [problem(file, section, key, `"${String(valueAt(found, issue.path.slice(0, 2)))}" does not fit.`, `Give ${issue.message}.`)]
 }
 
-function unrecognized (file: string, section: string, key: string): Problem {
+function unknownName (file: string, section: string, key: string): Problem {
   if (section === '') return problem(file, key, '', 'The section is unknown.', 'Remove it or correct its name.')
   return problem(file, section, key, 'The key is unknown.', 'Remove it or correct its name.')
 }
--- a/packages/settings/test/forms.test.ts
+++ b/packages/settings/test/forms.test.ts
@@ -1,4 +1,4 @@
-/** The sections and keys of the settings of an entry that calls its upstreams directly, as operators write them. */
+/** The sections and keys of the settings of a gateway (role `direct`), as operators write them, and their defaults. */
 import test from 'ava'
 import { checkSettings } from '../src/index.js'
 
@@ -31,7 +31,7 @@
   })
 })
 
-test('what is left out or empty has its default', t => {
+test('a key that is missing or empty has its default', t => {
   const short = text.split('\n').filter(each => !/^(first|revoke|strict_keys|drain|evacuate|grace|pulse|retry_|cold_|fair|shared|keep_unlisted|warm_spares|caller =|total|patience|lateness|memory|descriptors|level|metrics)/.test(each)).join('\n')
   const settings = checkSettings('x.ini', short.replace('[bounds]', '[bounds]\nrevoke =\nstrict_keys =\ndrain =\nevacuate =\ngrace =\npulse =\nretry_ratio =\nretry_slack =\nretry_window =\ncold_overshoot =\ncold_slack =').replace('[planner]', '[planner]\nkeep_unlisted =').replace('[readiness]', '[readiness]\nlateness = ms\nmemory = MiB\ndescriptors =').replace('[observe]', '[observe]\nmetrics =')).unwrap() as { direct: object }
   t.like(settings.direct, {
@@ -45,7 +45,7 @@
   })
 })
 
-test('a bound on evacuations of which only the unit was filled in is none', t => {
+test('a bound on evacuations that is empty or only a unit is undefined, and other text is refused', t => {
   for (const empty of ['evacuate =', 'evacuate =  ms', 'evacuate = ms', 'evacuate = s']) {
     const settings = checkSettings('x.ini', text.replace('evacuate = 5 s', empty), 'direct').unwrap() as { direct: { bounds: { evacuate?: number } } }
     t.is(settings.direct.bounds.evacuate, undefined, empty)
@@ -53,14 +53,14 @@
   t.true(checkSettings('x.ini', text.replace('evacuate = 5 s', 'evacuate = soon'), 'direct').isErr())
 })
 
-test('limits of what a gateway uses may be left empty, with their units, and are numbers else', t => {
+test('limits on the resources of a gateway that are not numbers, or have an unknown unit, are refused', t => {
   for (const key of ['lateness = soon', 'memory = much', 'memory = 350 MB', 'descriptors = many', 'descriptors = 1.5']) {
     const [name] = key.split(' ')
     t.true(checkSettings('x.ini', text.replace(new RegExp(`^${name} = .*$`, 'm'), key), 'direct').isErr(), key)
   }
 })
 
-test('an amount of memory has a unit that is known, or none', t => {
+test('an amount of memory is a whole number with a known unit or none; other amounts are refused', t => {
   const given = (amount: string): ReturnType<typeof checkSettings> => checkSettings('x.ini', text.replace('caller = 128 KiB', `caller = ${amount}`), 'direct')
   for (const [amount, bytes] of [['100', 100], ['100 B', 100], ['64KiB', 65_536], ['2 MiB', 2_097_152]] as const) {
     t.is((given(amount).unwrap() as { direct: { unread: { caller: number } } }).direct.unread.caller, bytes, amount)
--- a/packages/settings/test/settings.test.ts
+++ b/packages/settings/test/settings.test.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from 'node:fs'
 import test from 'ava'
-import { checkSettings, problemLine, readSettings, shapes, type Role } from '../src/index.js'
+import { checkSettings, problemLine, readSettings, schemas, type Role } from '../src/index.js'
 
 const root = new URL('../../../../', import.meta.url)
 
@@ -9,10 +9,10 @@
 }
 
 for (const role of ['entry', 'worker', 'direct'] as const) {
-  test(`the commented example of role ${role} is in order and names every key`, t => {
+  test(`the commented example of role ${role} is valid and contains every section and key`, t => {
     const text = readFileSync(new URL(`examples/${role}.ini`, root), 'utf8')
     t.is(checkSettings('example', text).unwrap().role, role)
-    for (const [section, shape] of Object.entries(shapes[role].shape)) {
+    for (const [section, shape] of Object.entries(schemas[role].shape)) {
       const inner = ('shape' in shape ? shape.shape : shape.def.innerType.shape) as object
       t.true(text.includes(`[${section}]`), section)
       for (const key of Object.keys(inner)) t.regex(text, new RegExp(`^${key} = `, 'm'), `${section} ${key}`)
@@ -20,7 +20,7 @@
   })
 }
 
-test('every problem is reported at once, with file, section, key and remedy', t => {
+test('all problems are reported together, with file, section, key and remedy', t => {
   const found = lines('[process]\nid = x\nfoo = 1\n[listen]\ncallers = abc\n[platform]\nurl = ftp://x\ntimeout = -1\n[zzz]\n')
   t.is(found.length, 9)
   t.true(found.includes('x.ini: [listen] callers: "abc" does not fit. Give an address as host:port, such as 127.0.0.1:7000.'))
@@ -29,11 +29,11 @@
   t.true(found.includes('x.ini: [zzz]: The section is unknown. Remove it or correct its name.'))
 })
 
-test('a worker needs an entry to report to', t => {
+test('worker settings without an entry as seed are refused', t => {
   const text = '[process]\nid = n\ndata_centre = d\nregion = r\n[listen]\npeers = a:1\n[node]\nid = n\n[upstream]\nkind = engine\nurl = http://a:1\n[entries]\nseeds =\n'
   t.deepEqual(lines(text), ['x.ini: [entries] seeds: "" does not fit. Give at least one address.'])
 })
 
-test('a file that cannot be read is a problem like any other', t => {
+test('a file that cannot be read is reported as a problem', t => {
   t.is(problemLine(readSettings('/nowhere.ini').unwrapErr()[0]), '/nowhere.ini: The file cannot be read (ENOENT). Give the path of a readable file.')
 })
