--- a/packages/schema/src/handover.ts
+++ b/packages/schema/src/handover.ts
@@ -1,18 +1,19 @@
 /**
- * What a home of keys hands to the next one: the marks of its lease and its book of runs. Sent between workers, never stored;
- * workers of two versions serve side by side, so fields are added as optional only.
+ * The handover of a slot of idempotency keys from one home to the next: the marks of its lease, and its records of runs
+ * (the book). It is sent between workers and never stored. Workers of two versions run at the same time, so new fields
+ * must be optional.
  */
 import { z } from 'zod'
 
-/** Where a grant stands among those that one granter has given. */
+/** The position of a grant in the sequence of grants of one granter. */
 export const Mark = z.object({ origin: z.string(), turn: z.int() })
 export type Mark = z.infer<typeof Mark>
 
-/** An answer that was given for a key. The body is Base64. */
+/** The stored answer to the request with a key. The body is in Base64. */
 export const KeptAnswer = z.object({ status: z.int(), headers: z.record(z.string(), z.string()), body: z.string() })
 export type KeptAnswer = z.infer<typeof KeptAnswer>
 
-/** What a home knows of one key. */
+/** A home's record of one key. */
 export const KeptRun = z.object({
   key: z.string(),
   /** Digest of the request. */
@@ -22,21 +23,21 @@
 })
 export type KeptRun = z.infer<typeof KeptRun>
 
-/** All that a home knows of the keys of its slot. */
+/** All records of a home for the keys of its slot. */
 export const KeptBook = z.object({
-  /** Time of minting up to which it cannot judge, in ms since the Unix epoch. */
+  /** For keys created up to this time, the home cannot tell whether a request ran. In ms since the Unix epoch. */
   floor: z.number(),
   runs: z.array(KeptRun)
 })
 export type KeptBook = z.infer<typeof KeptBook>
 
-/** A slot's book on its way from a home that goes away to the next one. */
+/** The book of a slot, as a leaving home sends it to the next home. */
 export const Handover = z.object({
   service: z.string(),
   slot: z.int(),
-  /** The voters that the old home went by. */
+  /** The voters of the old home. */
   voters: z.array(z.string()),
-  /** The mark that each voter gave the old home. */
+  /** The mark of the grant that each voter gave to the old home. */
   marks: z.array(z.object({ voter: z.string(), mark: Mark })),
   book: KeptBook
 })
--- a/packages/schema/src/index.ts
+++ b/packages/schema/src/index.ts
@@ -1,4 +1,4 @@
-/** The shapes of everything that is stored or sent between the system's processes. */
+/** The schemas of all objects that the processes of the system store or send to each other. */
 export * from './configuration.js'
 export * from './placement.js'
 export * from './report.js'
--- a/packages/schema/src/placement.ts
+++ b/packages/schema/src/placement.ts
@@ -1,19 +1,19 @@
 /**
- * What is stored about nodes and replicas: the platform's node list, placements, voters, and the entries' addresses. What is
- * stored must stay readable: fields are added with a default, never renamed.
+ * The stored objects about nodes and replicas: the platform's node list, placements, voters, and addresses of entries.
+ * Stored objects must stay readable, so new fields need a default and fields are never renamed.
  */
 import { z } from 'zod'
 
-/** A node as the platform lists it. */
+/** A node in the platform's node list. */
 export const Node = z.object({
   id: z.string(),
   domain: z.string(),
   dataCentre: z.string(),
   region: z.string(),
-  /** `host:port` of the worker beside it. */
+  /** `host:port` of the worker on the node. */
   address: z.string(),
   accelerators: z.int().min(0),
-  /** The plain service that runs on it, or undefined where it runs an engine. */
+  /** The plain service that runs on the node; undefined if the node runs an engine. */
   service: z.string().optional(),
   state: z.enum(['live', 'leaving'])
 })
@@ -23,7 +23,7 @@
 export const Replica = z.object({
   id: z.string(),
   service: z.string(),
-  /** Rises with every change of the replica; the fencing token of orders to its engines. */
+  /** Increases with every change of the replica. It is the fencing token of orders to its engines. */
   generation: z.int(),
   members: z.array(z.string()).min(1),
   version: z.string(),
@@ -35,9 +35,9 @@
 /** The replicas of one fabric domain: the object `placement/<domain>`. */
 export const Placement = z.object({
   domain: z.string(),
-  /** Rises with every update of the object. */
+  /** Increases with every update of the object. */
   revision: z.int(),
-  /** The last generation given to a replica of this domain. */
+  /** The latest generation assigned to a replica of this domain. */
   generation: z.int(),
   replicas: z.array(Replica)
 })
@@ -51,14 +51,14 @@
 })
 export type Homes = z.infer<typeof Homes>
 
-/** An entry as it registers itself in the object `entries/<data centre>`. */
+/** The registration of an entry in the object `entries/<data centre>`. */
 export const EntryAddress = z.object({
   id: z.string(),
   dataCentre: z.string(),
   region: z.string(),
-  /** `host:port` for the system's own processes. */
+  /** `host:port` at which other processes of the system reach the entry. */
   peer: z.string(),
-  /** A UUID of version 7, drawn at each start, so that a later life compares greater. Entries of earlier builds have none. */
+  /** A UUID of version 7, created at each start: later incarnations compare greater. Older builds have none. */
   incarnation: z.string().optional()
 })
 export type EntryAddress = z.infer<typeof EntryAddress>
--- a/packages/schema/src/report.ts
+++ b/packages/schema/src/report.ts
@@ -1,52 +1,53 @@
 /**
- * What workers and entries tell each other: a worker's report, and the assignment and settings that it gets as the answer.
- * Sent, never stored; entries and workers of two versions serve side by side, so fields are added as optional only.
+ * The messages between workers and entries: a worker's report, and the assignment and settings in the answer to it.
+ * They are sent and never stored. Entries and workers of two versions run at the same time, so new fields must be
+ * optional.
  */
 import { z } from 'zod'
 
-/** What a worker tells a few entries of its data centre about itself, again and again. */
+/** The state that a worker reports periodically to a few entries of its data centre. */
 export const Report = z.object({
   worker: z.string(),
-  /** A new one each time the process starts. */
+  /** An id that is created each time the process starts. */
   incarnation: z.string(),
   address: z.string(),
   dataCentre: z.string(),
-  /** Rises with each report of one incarnation. */
+  /** Increases with each report of one incarnation. */
   sequence: z.int(),
   service: z.string().optional(),
   replica: z.string().optional(),
   generation: z.int().optional(),
-  /** Members of the replica that this worker is the head of. */
+  /** Number of members of the replica, if this worker is its head. */
   members: z.int().optional(),
-  /** Whether it takes requests: a head with every grant, or a plain worker with its service up. */
+  /** Whether the worker takes requests: a head with a grant of every member, or a plain worker whose service is up. */
   serving: z.boolean(),
   leaving: z.boolean(),
-  /** Whether the engine or service beside it answers. */
+  /** Whether the engine or service of this worker answers. */
   healthy: z.boolean(),
   running: z.int(),
   queued: z.int(),
   concurrency: z.int(),
-  /** Members whose grant this head has lacked for long. */
+  /** Members from which this head has had no grant for a long time. */
   missing: z.array(z.string()),
-  /** Slots of keys that this worker is the home of. */
+  /** Slots of keys for which this worker is the home. */
   slots: z.array(z.object({ slot: z.int(), tenure: z.int() })),
-  /** The version and generation that the engine last took, where there is an engine. */
+  /** The version and generation that the engine accepted last. Absent if there is no engine. */
   loaded: z.object({ version: z.string(), generation: z.int() }).optional(),
-  /** Revision of the list of voters that a plain worker goes by. */
+  /** Revision of a plain worker's list of voters. */
   votersRevision: z.int().optional(),
   /** The configuration revision in force. */
   revision: z.int()
 })
 export type Report = z.infer<typeof Report>
 
-/** A member or voter as a worker has to reach it. */
+/** A member or voter, with the address at which a worker reaches it. */
 export const Peer = z.object({ id: z.string(), address: z.string() })
 export type Peer = z.infer<typeof Peer>
 
-/** What a model worker has to do: which replica it belongs to and, as its head, whom to ask for grants. */
+/** The assignment of a model worker: its replica, and the members that grant leases to the replica's head. */
 export const ModelAssignment = z.object({
   kind: z.literal('model'),
-  /** Revision of the placement it comes from. */
+  /** Revision of the placement that contains the replica. */
   revision: z.int(),
   service: z.string(),
   replica: z.string(),
@@ -62,7 +63,7 @@
 })
 export type ModelAssignment = z.infer<typeof ModelAssignment>
 
-/** What a plain worker has to do: which service it serves and who votes on homes. */
+/** The assignment of a plain worker: its service, and the voters on the homes of keys. */
 export const PlainAssignment = z.object({
   kind: z.literal('plain'),
   revision: z.int(),
@@ -73,22 +74,22 @@
 })
 export type PlainAssignment = z.infer<typeof PlainAssignment>
 
-/** A node that belongs to no replica. */
+/** The assignment of a worker whose node belongs to no replica. */
 export const SpareAssignment = z.object({ kind: z.literal('spare'), revision: z.int() })
 
-/** What a worker has to do. */
+/** The assignment of a worker of any kind. */
 export const Assignment = z.discriminatedUnion('kind', [ModelAssignment, PlainAssignment, SpareAssignment])
 export type Assignment = z.infer<typeof Assignment>
 
 /** An entry's answer to a report. */
 export const ReportAnswer = z.object({
-  /** The configuration revision that this answer is made from; answers of older ones are dropped. */
+  /** The configuration revision from which the answer was made. Workers drop answers with older revisions. */
   revision: z.int(),
-  /** Undefined while the entry does not know the placement. */
+  /** Absent while the entry does not know the placement. */
   assignment: Assignment.optional(),
-  /** Whether an operator or the platform told this node to leave. */
+  /** Whether an operator or the platform has requested that this node leave. */
   leaving: z.boolean(),
-  /** Left out where the worker goes by this revision already. */
+  /** Absent if the worker already uses this revision. */
   teams: z.array(z.object({ name: z.string(), priority: z.int() })).optional(),
   /** `host:port` of the entries to report to. */
   entries: z.array(z.string())
--- a/packages/traffic/src/index.ts
+++ b/packages/traffic/src/index.ts
@@ -1,4 +1,4 @@
-/** The configuration that a gateway serves callers by, and the tables by which each request is looked up. */
+/** The configuration by which a gateway serves callers, and the look-up tables for requests. */
 export { Engine, Limits, Model, Route, Service, Share, Team, Traffic } from './shape.js'
 export { RouteTable } from './routes.js'
 export { TeamTable, keyDigest } from './teams.js'
--- a/packages/traffic/src/routes.ts
+++ b/packages/traffic/src/routes.ts
@@ -1,10 +1,10 @@
 /**
- * Route look-up. `RouteTable` indexes the routes of one configuration by host and prefix, so that a look-up costs one step
- * for each slash of the path, whatever the number of routes.
+ * Route look-up. `RouteTable` indexes the routes of one configuration by host and prefix. A look-up takes one step for
+ * each slash of the path, whatever the number of routes.
  */
 import { type Route } from './shape.js'
 
-/** Finds a request's route: of the routes of its host, the one with the longest prefix of its path. */
+/** Finds the route of a request: among the routes of its host, the route with the longest prefix of its path. */
 export class RouteTable {
   readonly #hosts = new Map<string, Map<string, Route>>()
 
@@ -28,7 +28,7 @@
     return undefined
   }
 
-  /** Of two routes with one host and prefix, the later one counts. */
+  /** Adds a route. It replaces an earlier route with the same host and prefix. */
   #add (route: Route): void {
     const host = hostName(route.host)
     const routes = this.#hosts.get(host) ?? new Map<string, Route>()
--- a/packages/traffic/src/shape.ts
+++ b/packages/traffic/src/shape.ts
@@ -1,40 +1,44 @@
 /**
- * The configuration that a gateway serves callers by: routes, services, teams, limits. The adapter translates the
- * operator's configuration into this shape, and **a gateway sends it as JSON to a peer that has an older one** (`Traffic`
- * in the answer to `GET /confirmation`). Field names here are therefore names on the wire, held by
- * platform/test/bytes.test.ts: never rename, drop or retype one, and make new ones optional, because gateways of two
- * builds serve one site together during a restart. Fields that nothing reads are marked; they stay for the same reason.
+ * The configuration by which a gateway serves callers: routes, services, teams, limits. The code in `platform`
+ * translates the operator's configuration into this form. **A gateway sends it as JSON to a peer that has an older
+ * one** (`Traffic` in the answer to `GET /confirmation`). Field names here are therefore names on the wire, and
+ * platform/test/bytes.test.ts checks them. Never rename, drop or retype a field, and make new fields optional, because
+ * gateways of two builds serve one site together during a restart. Fields that no code reads are marked and stay for
+ * the same reason.
  */
 import { z } from 'zod'
 
 /** A time, in ms. */
-const Span = z.number().min(0)
+const Milliseconds = z.number().min(0)
 
-/** One of the services that a route's requests are split between, with its part in them. */
+/** One of the services between which the requests of a route are split, with its weight in the split. */
 export const Share = z.object({ service: z.string(), weight: z.number().min(0) })
 export type Share = z.infer<typeof Share>
 
-/** Where requests of one host below one path prefix go, and what may be done with them. Spans are in ms. */
+/** A route: the services for requests of one host and path prefix, and how they are handled. Times are in ms. */
 export const Route = z.object({
   name: z.string(),
   host: z.string(),
   /** Begins and ends with a slash. */
   prefix: z.string().startsWith('/').endsWith('/'),
-  /** `repeatable`: may run more than once. `once`: may not. `stream`: a series of events, which runs once unless `resumable`. */
+  /**
+   * `repeatable`: a request may run more than once. `once`: it may not. `stream`: the answer is a series of events, and
+   * the request runs once unless `resumable` is set.
+   */
   kind: z.enum(['repeatable', 'once', 'stream']),
-  /** Whether a stream may move to another replica, which continues it after the last event that the caller has. */
+  /** Whether another replica may continue a stream after the last event that was sent to the caller. */
   resumable: z.boolean(),
-  /** Longest time that a request may be held: its deadline, unless the caller sends a shorter one. */
-  timeout: Span,
-  /** Time within which an answer, or a stream's first event, is on time. Admission derives the longest wait from it. */
-  objective: Span,
-  /** Longest pause between two events of a stream that is on time. Nothing reads it. */
-  gap: Span,
-  /** 0 is the most urgent. */
+  /** Maximum time for a request: its deadline, unless the caller sends a shorter one. */
+  timeout: Milliseconds,
+  /** Time in which an answer, or a stream's first event, is on time. Admission derives the maximum wait from it. */
+  objective: Milliseconds,
+  /** Maximum pause between two events of a stream that is on time. No code reads it. */
+  gap: Milliseconds,
+  /** Priority of the requests; 0 is the most urgent. */
   priority: z.int().min(0),
-  /** Most upstreams that one request may be sent to. */
+  /** Maximum number of upstreams to which one request may be sent. */
   attempts: z.int().min(1),
-  /** Whether requests need no API key. */
+  /** Whether requests are accepted without an API key. */
   open: z.boolean(),
   shares: z.array(Share).min(1)
 })
@@ -43,57 +47,57 @@
 /** A model that an engine can serve. */
 export const Model = z.object({
   name: z.string(),
-  /** Engines in one of its replicas. */
+  /** Number of engines in a replica. */
   size: z.int().min(1),
-  /** Its expected part of the work. With `pace`, `forming` plans by it until demand was measured. */
+  /** Expected share of the work. `forming` plans with it and with `pace` until demand has been measured. */
   share: z.number().min(0),
   /** Factor on all times of its replicas. */
   pace: z.number().positive(),
-  /** Time of a load from the weight store, in ms. `forming` paces its orders to load by it. */
-  load: Span,
-  /** Time of a load from the host's own memory, in ms. Nothing reads it. */
-  warm: Span
+  /** Time to load the model from the weight store, in ms. `forming` paces its orders to load with it. */
+  load: Milliseconds,
+  /** Time to load the model from the host's memory, in ms. No code reads it. */
+  warm: Milliseconds
 })
 export type Model = z.infer<typeof Model>
 
-/** How the engines of a model service work. */
+/** Parameters of the engines of a model service. */
 export const Engine = z.object({
-  /** Requests that a replica runs at once. `dispatch` admits by it. */
+  /** Number of requests that a replica runs concurrently. `dispatch` limits admission to it. */
   slots: z.int().min(1),
   models: z.array(Model).min(1),
-  /** Time of one step of decoding, in ms. Nothing reads it. */
-  step: Span,
-  /** How much longer a step takes for each request that is decoding, in ms. Nothing reads it. */
-  stepPerRequest: Span,
-  /** Prompt tokens read in a second. Nothing reads it. */
+  /** Time of one decoding step, in ms. No code reads it. */
+  step: Milliseconds,
+  /** Additional time of a step for each request that is decoding, in ms. No code reads it. */
+  stepPerRequest: Milliseconds,
+  /** Prompt tokens processed per second. No code reads it. */
   readRate: z.number().positive(),
-  /** Mean tokens of a prompt. */
+  /** Mean number of tokens of a prompt. */
   prompt: z.number().min(0),
-  /** Mean tokens of an answer. Nothing reads it. */
+  /** Mean number of tokens of an answer. No code reads it. */
   answer: z.number().min(0),
-  /** Loads from the weight store that may begin in a second. `forming` keeps to it. */
+  /** Maximum number of loads from the weight store that may begin per second. `forming` obeys it. */
   loadRate: z.number().positive(),
-  /** Loads from the weight store that may run at a time without slowing each other. `forming` keeps to it. */
+  /** Number of loads from the weight store that can run concurrently without slowing each other. `forming` obeys it. */
   loadsAtOnce: z.int().min(1),
-  /** Time from an order to open a replica until it serves, in ms. Nothing reads it. */
-  formTime: Span
+  /** Time from the order to open a replica until the replica serves, in ms. No code reads it. */
+  formTime: Milliseconds
 })
 export type Engine = z.infer<typeof Engine>
 
-/** A service: a model service where it has an engine, else a plain one. */
+/** A service. It is a model service if it has `engine`, else a plain service. */
 export const Service = z.object({
   name: z.string(),
-  /** Connections that one upstream accepts from all gateways together. Nothing reads it. */
+  /** Number of connections that one upstream accepts from all gateways together. No code reads it. */
   connections: z.int().min(1),
   engine: Engine.optional(),
-  /** Requests a second that one cold upstream bears from all gateways together. Absent: upstreams are never cold. */
+  /** Requests per second that a cold upstream can take from all gateways together. Absent: upstreams are never cold. */
   coldRate: z.number().positive().optional(),
-  /** How long an upstream that starts during traffic is cold. */
-  coldTime: Span.optional()
+  /** How long an upstream that starts during traffic is cold, in ms. */
+  coldTime: Milliseconds.optional()
 })
 export type Service = z.infer<typeof Service>
 
-/** The owner of requests, known by its API keys. */
+/** The owner of requests, identified by its API keys. */
 export const Team = z.object({
   name: z.string(),
   /** SHA-256 digests of the team's API keys, in lower-case hex. */
@@ -103,20 +107,20 @@
 })
 export type Team = z.infer<typeof Team>
 
-/** Bounds on callers' requests. */
+/** Limits on requests and connections of callers. */
 export const Limits = z.object({
-  /** Longest request head, in bytes. */
+  /** Maximum size of a request head, in bytes. */
   header: z.int().min(1),
-  /** Longest request body, in bytes. */
+  /** Maximum size of a request body, in bytes. */
   body: z.int().min(0),
-  /** Longest time that a caller may take to send a request's head, in ms. */
-  headerTime: Span,
+  /** Maximum time in which a caller must send the head of a request, in ms. */
+  headerTime: Milliseconds,
   /** How long an idle connection is kept open, in ms. */
-  idleTime: Span
+  idleTime: Milliseconds
 })
 export type Limits = z.infer<typeof Limits>
 
-/** The whole configuration, as it is sent between gateways. Its revision only rises. */
+/** The complete configuration, as it is sent between gateways. Its revision only increases. */
 export const Traffic = z.object({
   revision: z.int().min(0),
   routes: z.array(Route),
--- a/packages/traffic/src/split.ts
+++ b/packages/traffic/src/split.ts
@@ -1,8 +1,8 @@
-/** The split of a route's requests between services, as a pure function of a random draw. */
+/** Splits the requests of a route between its services. A pure function of a random draw. */
 import { type Share } from './shape.js'
 
 /**
- * The service of a request. Over many draws, each service is picked in proportion to its weight.
+ * Picks the service for a request. Over many draws, each service is picked in proportion to its weight.
  * @param draw a uniform random number in [0, 1)
  */
 export function pickShare (shares: readonly Share[], draw: number): string {
--- a/packages/traffic/src/teams.ts
+++ b/packages/traffic/src/teams.ts
@@ -1,16 +1,16 @@
 /**
- * Team look-up by API key. A configuration holds digests and no keys, so that neither a log line nor a message between
- * gateways can leak a key.
+ * Team look-up by API key. A configuration contains only digests of keys, so that neither a log line nor a message
+ * between gateways can leak a key.
  */
 import { createHash } from 'node:crypto'
 import { type Team } from './shape.js'
 
-/** The digest of an API key, as a configuration holds it: SHA-256 in lower-case hex. */
+/** The digest of an API key, as in a configuration: SHA-256 in lower-case hex. */
 export function keyDigest (key: string): string {
   return createHash('sha256').update(key).digest('hex')
 }
 
-/** Finds the team that owns an API key. Of two teams with one key, the later one counts. */
+/** Finds the team that owns an API key. If two teams have the same key, the later team owns it. */
 export class TeamTable {
   readonly #teams = new Map<string, Team>()
 
--- a/packages/traffic/test/traffic.test.ts
+++ b/packages/traffic/test/traffic.test.ts
@@ -1,4 +1,4 @@
-/** Requests are looked up by host and longest prefix, by key, and by weight. */
+/** Routes are found by host and longest prefix, teams by key, and services are picked by weight. */
 import test from 'ava'
 import { RouteTable, TeamTable, keyDigest, pickShare, type Route } from '../src/index.js'
 
@@ -21,12 +21,12 @@
   ['b.example', '/y', undefined],
   ['c.example', '/x/', undefined]
 ] as const) {
-  test(`${host}${target} goes to ${expected ?? 'no route'}`, t => {
+  test(`the route of ${host}${target} is ${expected ?? 'undefined'}`, t => {
     t.is(table.find(host, target)?.name, expected)
   })
 }
 
-test('a key belongs to the team that holds its digest', t => {
+test('a key belongs to the team whose configuration contains its digest', t => {
   const teams = new TeamTable([{ name: 'one', keys: [keyDigest('k1'), keyDigest('k2')] }, { name: 'two', keys: [keyDigest('k3')] }])
   t.is(teams.find('k2')?.name, 'one')
   t.is(teams.find('k3')?.name, 'two')
@@ -34,7 +34,7 @@
   t.is(teams.find(keyDigest('k1')), undefined)
 })
 
-test('requests are split by weight', t => {
+test('requests are split between services in proportion to their weights', t => {
   const shares = [{ service: 'a', weight: 90 }, { service: 'b', weight: 0 }, { service: 'c', weight: 10 }]
   const draws = Array.from({ length: 1000 }, (_each, index) => pickShare(shares, index / 1000))
   t.is(draws.filter(each => each === 'a').length, 900)
