--- a/packages/fault/src/fault.ts
+++ b/packages/fault/src/fault.ts
@@ -1,6 +1,5 @@
 /**
- * The error type that every refusal is made of, and its form in a JSON body. Owns nothing at run time; relies on `kinds`
- * for what is fixed for each code.
+ * The error type of all refusals, and its form in a JSON body. Relies on `kinds` for the defaults of each code.
  */
 import { kinds, type Code, type Kind, type Outcome } from './kinds.js'
 
@@ -11,19 +10,19 @@
   readonly outcome: Outcome
 }
 
-/** What a fault may say beyond its kind, or in place of it. */
+/** Values of a fault that are added to those of its kind, or override them. */
 export interface FaultOptions {
-  /** What is wrong in this case, in full sentences; the remedy follows it in the message. */
+  /** What is wrong in this case, in full sentences. In the message, the remedy follows it. */
   readonly detail?: string
-  /** What the caller can do about it, in one sentence. Default: that of the kind. */
+  /** What the caller can do, in one sentence. Default: the remedy of the kind. */
   readonly remedy?: string
-  /** `Retry-After`, in seconds. Default: that of the kind. */
+  /** `Retry-After`, in seconds. Default: the value of the kind. */
   readonly retryAfter?: number
-  /** Default: that of the kind. */
+  /** Default: the outcome of the kind. */
   readonly outcome?: Outcome
 }
 
-/** A typed error of the system. Its message says what is wrong, then what to do about it. */
+/** A typed error of the system. Its message consists of the detail, if there is one, and the remedy. */
 export class Fault extends Error {
   readonly code: Code
   readonly outcome: Outcome
@@ -48,7 +47,7 @@
     return kinds[this.code].status
   }
 
-  /** The same fault with the outcome `unknown` and with `reason` added to its detail. */
+  /** A copy of the fault with the outcome `unknown` and with `reason` appended to its detail. */
   doubted (reason: string): Fault {
     const detail = this.#detail === undefined ? reason : `${this.#detail} ${reason}`
     return new Fault(this.code, { detail, remedy: this.#remedy, outcome: 'unknown', retryAfter: this.retryAfter })
@@ -59,20 +58,20 @@
     return { code: this.code, message: this.message, outcome: this.outcome }
   }
 
-  /** The fault in a body that another process of the system sent, or undefined if it holds none. */
+  /** Parses the fault in a body that another process of the system sent. Undefined if the body contains no fault. */
   static read (text: string): Fault | undefined {
     try {
       const error = (JSON.parse(text) as { error?: Partial<FaultBody> }).error
       if (error?.code === undefined || !(error.code in kinds)) return undefined
       return new Fault(error.code, { outcome: error.outcome })
     } catch {
-      // A body that is no JSON holds no fault; the caller of this function decides what that means.
+      // A body that is not JSON contains no fault. The caller of this function decides what that means.
       return undefined
     }
   }
 }
 
-/** The fault that `error` is, or one of kind `code` that carries its message. */
+/** Returns `error` itself if it is a fault, else a fault with code `code` and the message of `error` as its detail. */
 export function asFault (error: unknown, code: Code): Fault {
   if (error instanceof Fault) return error
   const detail = error instanceof Error ? error.message : String(error)
--- a/packages/fault/src/kinds.ts
+++ b/packages/fault/src/kinds.ts
@@ -1,24 +1,24 @@
 /**
- * The one list of error codes, for all programs of the system: status, outcome, remedy and `Retry-After` of each. Relies
- * on nothing. Where a program needs other values for a code, it passes them to `Fault`; those of the gateway are in
- * `refusals` of `@eiderwind/dispatch`.
+ * The list of all error codes of the system, with the status, outcome, remedy and `Retry-After` of each. A program that
+ * needs other values for a code passes them to `Fault`. The values of the gateway are in `refusals` of
+ * `@eiderwind/dispatch`.
  */
 
-/** Whether the refused request has run: certainly, certainly not, or unknown. */
+/** Whether the refused request has run: it has certainly run, has certainly not run, or this is unknown. */
 export type Outcome = 'ran' | 'not-run' | 'unknown'
 
-/** Defaults for every fault of one code. */
+/** Default values of the faults with one code. */
 export interface Kind {
   /** HTTP status (RFC 9110). */
   readonly status: number
   readonly outcome: Outcome
-  /** What the caller can do about it, in one sentence. */
+  /** What the caller can do, in one sentence. */
   readonly remedy: string
-  /** `Retry-After` in seconds, if coming back can help. */
+  /** `Retry-After` in seconds, if a retry can succeed. */
   readonly retryAfter?: number
 }
 
-/** Every kind of fault, by its code on the wire. */
+/** All kinds of faults, by their code on the wire. */
 export const kinds = {
   'bad-key': { status: 401, outcome: 'not-run', remedy: 'Send "Authorization: Bearer <key>" with a key of a team in the configuration.' },
   'bad-operator': { status: 401, outcome: 'not-run', remedy: 'Give the token of an operator in the configuration or in the entry\'s settings.' },
@@ -30,20 +30,20 @@
   'no-replica': { status: 503, outcome: 'not-run', remedy: 'Come back after the time given; no replica is serving now.', retryAfter: 2 },
   busy: { status: 429, outcome: 'not-run', remedy: 'Come back after the time given; the queue for your team is full.', retryAfter: 1 },
   deadline: { status: 504, outcome: 'not-run', remedy: 'Give a later deadline or come back when there is less load.', retryAfter: 1 },
-  'deadline-running': { status: 504, outcome: 'unknown', remedy: 'Ask again with the same Idempotency-Key to learn the answer.', retryAfter: 1 },
+  'deadline-running': { status: 504, outcome: 'unknown', remedy: 'Send the request again with the same Idempotency-Key to get its answer.', retryAfter: 1 },
   leaving: { status: 503, outcome: 'not-run', remedy: 'Send the request again; another process will take it.', retryAfter: 1 },
   behind: { status: 503, outcome: 'not-run', remedy: 'Send the request again; another entry has the present configuration.', retryAfter: 1 },
   'not-serving': { status: 503, outcome: 'not-run', remedy: 'Send the request again; this replica holds no grant now.', retryAfter: 1 },
   'not-home': { status: 503, outcome: 'not-run', remedy: 'Send the request again; another worker is the home of this key.', retryAfter: 1 },
-  tombstoned: { status: 409, outcome: 'not-run', remedy: 'Use a new attempt; this one was given up before it started.' },
-  'still-running': { status: 409, outcome: 'unknown', remedy: 'Ask again with the same Idempotency-Key after the time given.', retryAfter: 1 },
-  'key-before-home': { status: 409, outcome: 'unknown', remedy: 'Look up by other means whether the request ran; for a new request mint a new key.' },
-  'key-in-future': { status: 400, outcome: 'not-run', remedy: 'Set the clock that minted the key (UUID version 7) right and mint a new one.' },
+  tombstoned: { status: 409, outcome: 'not-run', remedy: 'Use a new attempt; this one was cancelled before it started.' },
+  'still-running': { status: 409, outcome: 'unknown', remedy: 'Send the request again with the same Idempotency-Key after the time given.', retryAfter: 1 },
+  'key-before-home': { status: 409, outcome: 'unknown', remedy: 'Find out by other means whether the request ran; create a new key for a new request.' },
+  'key-in-future': { status: 400, outcome: 'not-run', remedy: 'Correct the clock of the machine that created the key (UUID version 7) and create a new key.' },
   'key-invalid': { status: 400, outcome: 'not-run', remedy: 'Send an Idempotency-Key that is a UUID of version 7 (RFC 9562).' },
-  'key-reused': { status: 422, outcome: 'not-run', remedy: 'Mint a new key for a different request.' },
-  'answer-too-large': { status: 409, outcome: 'ran', remedy: 'The request ran, but its answer was too large to keep; look it up by other means.' },
+  'key-reused': { status: 422, outcome: 'not-run', remedy: 'Create a new key for a different request.' },
+  'answer-too-large': { status: 409, outcome: 'ran', remedy: 'The request ran, but its answer was too large to store; get the answer by other means.' },
   lost: { status: 502, outcome: 'unknown', remedy: 'Look up whether the request ran before you send it again.' },
-  interrupted: { status: 502, outcome: 'unknown', remedy: 'Send the request again with Last-Event-ID and the text so far, to go on from there.', retryAfter: 1 },
+  interrupted: { status: 502, outcome: 'unknown', remedy: 'Send the request again with Last-Event-ID and the text so far, to continue the stream.', retryAfter: 1 },
   'upstream-down': { status: 503, outcome: 'not-run', remedy: 'Come back after the time given; the upstream takes no connections.', retryAfter: 2 },
   crashing: { status: 503, outcome: 'not-run', remedy: 'Do not send this request again as it is: each upstream that began to run it has crashed. Change it, or ask an operator.' },
   'stale-revision': { status: 409, outcome: 'not-run', remedy: 'Read the configuration again and repeat the change on its present revision.' },
@@ -53,5 +53,5 @@
   'bad-settings': { status: 400, outcome: 'not-run', remedy: 'Correct the settings as listed.' }
 } as const satisfies Record<string, Kind>
 
-/** The code of a kind of fault, as sent in a body. */
+/** The code of a kind of fault, as sent in a body of an answer. */
 export type Code = keyof typeof kinds
