--- a/packages/board/src/board.ts
+++ b/packages/board/src/board.ts
@@ -1,17 +1,17 @@
-/** The facts that the parts of one process share, and who is notified when one changes. */
+/** Shared state of one process: named facts, and the listeners that are notified when a fact changes. */
 
 /** Called with the new value of a fact. */
 export type FactListener<Value> = (value: Value) => void
 
 /**
- * The blackboard of a process: a fixed set of named facts, each an immutable value. Parts of the process read what others
- * wrote and need not know each other. A fact is replaced whole, and its listeners are called at once.
+ * The blackboard of a process: a fixed set of named facts, each an immutable value. Modules exchange state through it
+ * without referring to each other. A write replaces the whole value of a fact and calls its listeners synchronously.
  */
 export class Board<Facts extends object> {
   #facts: Facts
   readonly #listeners = new Map<keyof Facts, Set<() => void>>()
 
-  /** @param initial the facts before anything was written */
+  /** @param initial the initial values of all facts */
   constructor (initial: Facts) {
     this.#facts = initial
   }
@@ -21,7 +21,7 @@
     return this.#facts[name]
   }
 
-  /** Replaces a fact. Listeners are not called where the value is the same (`Object.is`). */
+  /** Replaces the value of a fact. Listeners are not called if the value is the same (`Object.is`). */
   write<Name extends keyof Facts> (name: Name, value: Facts[Name]): void {
     if (Object.is(this.#facts[name], value)) return
     this.#facts = { ...this.#facts, [name]: value }
--- a/packages/board/src/controller.ts
+++ b/packages/board/src/controller.ts
@@ -1,18 +1,18 @@
 /**
- * Control loops: `Controller` is one, `Scheduler` runs those of a process. Each update runs as an actor's message, so that it
- * never overlaps another update of the same controller. The roles `entry` and `worker` are built of these; the gateway
- * uses timers of its own.
+ * Control loops. A `Controller` is one loop, and a `Scheduler` runs all loops of a process. Each update is a message to
+ * an actor, so that two updates of one controller never overlap. The roles `entry` and `worker` consist of controllers;
+ * the gateway uses its own timers.
  */
 import { dispatch, spawn, start, stop, type ActorSystemRef, type Ref } from 'nact'
 import { type Clock, type Subscription } from '@eiderwind/clock'
 
-/** A control loop: at each update it reads the board, acts, and writes what it found. */
+/** A control loop. Each update reads the board, acts, and writes its results to the board. */
 export abstract class Controller {
-  /** Unique in the process. */
+  /** The name of the controller, unique in the process. */
   abstract readonly name: string
   /** Time between two updates, in ms. */
   abstract readonly interval: number
-  /** One round of the loop. Where it rejects, the scheduler reports the error and the next round runs as usual. */
+  /** One run of the loop. If it rejects, the scheduler reports the error, and the next update runs as usual. */
   abstract update (): Promise<void>
 }
 
@@ -26,25 +26,25 @@
   readonly timer: Subscription
 }
 
-/** Runs controllers, each at its interval and on demand. A wake is dropped where one is already waiting. */
+/** Runs each controller at its interval and on demand. A wake is dropped if one for the same controller is pending. */
 export class Scheduler {
   readonly #clock: Clock
   readonly #system: ActorSystemRef = start()
-  readonly #failed: (controller: string, error: unknown) => void
+  readonly #onFailure: (controller: string, error: unknown) => void
   readonly #running = new Map<string, Running>()
   readonly #waiting = new Set<string>()
 
-  /** @param failed called with each error of an update */
+  /** @param failed called when an update rejects, with the name of the controller and the error */
   constructor (clock: Clock, failed: (controller: string, error: unknown) => void) {
     this.#clock = clock
-    this.#failed = failed
+    this.#onFailure = failed
   }
 
-  /** Starts a controller. Its first update runs now. */
+  /** Starts a controller, with a first update at once. */
   add (controller: Controller): void {
     const actor = spawn(this.#system, async (state: undefined, _wake: Wake) => {
       this.#waiting.delete(controller.name)
-      await controller.update().catch(error => this.#failed(controller.name, error))
+      await controller.update().catch(error => this.#onFailure(controller.name, error))
       return state
     }, controller.name)
     const timer = this.#clock.every(controller.interval, () => this.wake(controller.name))
@@ -52,7 +52,7 @@
     this.wake(controller.name)
   }
 
-  /** Updates a controller now, in addition to its interval. */
+  /** Requests an update of a controller now, in addition to its interval. */
   wake (name: string): void {
     const running = this.#running.get(name)
     if (running === undefined || this.#waiting.has(name)) return
@@ -60,7 +60,7 @@
     dispatch(running.actor, { type: 'wake' })
   }
 
-  /** Stops every controller. Updates that are running finish. */
+  /** Stops all controllers. Running updates finish. */
   stop (): void {
     for (const { timer } of this.#running.values()) timer.cancel()
     this.#running.clear()
--- a/packages/board/src/index.ts
+++ b/packages/board/src/index.ts
@@ -1,3 +1,3 @@
-/** The blackboard of a process, and the control loops that read and write it. */
+/** The blackboard of a process (its shared state), and the control loops that read and write it. */
 export { Board, type FactListener } from './board.js'
 export { Controller, Scheduler } from './controller.js'
--- a/packages/clock/src/suspension.ts
+++ b/packages/clock/src/suspension.ts
@@ -1,6 +1,6 @@
 /**
  * Measures how long the machine was suspended: time that the wall clock counted and the monotonic clock did not. Its
- * only state are the previous readings of both clocks and the total. The wall clock can also step, so the two clocks
+ * only state is the previous readings of both clocks and the total. The wall clock can also step, so the two clocks
  * are compared from one reading to the next. A step ahead counts as a suspension, so that leases and confirmations
  * expire early. A step back counts as nothing. It hides a suspension only if both happen between two readings.
  */
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * The command `eiderwind`: runs a role of the program with a worker beside each upstream, or checks a settings file of any
- * role. The gateway on the users' platform is started by `platform/src/main.ts`.
+ * The command `eiderwind`. It runs the role `entry` or `worker` of the system with a worker beside each upstream, or
+ * checks a settings file of any role. The gateway on the users' platform is another program
+ * (`platform/src/main.ts`).
  */
 import sade from 'sade'
 import { problemLine, readSettings, type Role, type Settings } from '@eiderwind/settings'
@@ -9,13 +10,13 @@
 
 const version = '0.1.0'
 
-/** Exit statuses: done, failed, and bad words or settings. */
+/** Exit statuses: success, and wrong arguments or settings. */
 const ok = 0
-const bad = 2
+const usageError = 2
 
-/** Runs the command with the words of a command line and gives its exit status. */
-export async function main (words: string[]): Promise<number> {
-  let status: number | Promise<number> = bad
+/** Runs the command with the arguments of a command line (`process.argv`) and resolves to its exit status. */
+export async function main (args: string[]): Promise<number> {
+  let status: number | Promise<number> = usageError
   const program = sade('eiderwind').version(version)
   program
     .command('entry <file>')
@@ -33,24 +34,24 @@
     .option('--role', 'entry, worker or direct')
     .example('check /etc/eiderwind/entry.ini')
     .action((file: string, options: { role?: string }) => { status = check(file, options.role) })
-  program.parse(words)
+  program.parse(args)
   return await status
 }
 
 async function runRole (role: Role, file: string): Promise<number> {
   const settings = load(file, role)
-  if (settings === undefined) return bad
-  if (settings.role === 'direct') return bad
+  if (settings === undefined) return usageError
+  if (settings.role === 'direct') return usageError
   return await run(settings.role === 'entry' ? entryDaemon(settings.entry) : workerDaemon(settings.worker))
 }
 
 function check (file: string, role: string | undefined): number {
   if (role !== undefined && role !== 'entry' && role !== 'worker' && role !== 'direct') {
     process.stderr.write(`--role takes entry, worker or direct, not ${role}.\n`)
-    return bad
+    return usageError
   }
   const settings = load(file, role)
-  if (settings === undefined) return bad
+  if (settings === undefined) return usageError
   process.stdout.write(`${file}: settings of role ${settings.role} are in order.\n`)
   return ok
 }
--- a/packages/daemon/src/roles.ts
+++ b/packages/daemon/src/roles.ts
@@ -1,6 +1,6 @@
 /**
- * Makes an entry or a worker from its settings: the one place where settings, clock, log, metrics and store meet. It owns the
- * order in which they are closed.
+ * Creates an entry or a worker from its settings. This is the only module that connects settings, clock, log, metrics
+ * and store. It owns the order in which they are closed.
  */
 import { SystemClock } from '@eiderwind/clock'
 import { Entry } from '@eiderwind/entry'
@@ -14,7 +14,7 @@
 /** The settings that both roles have. */
 type CommonSettings = Pick<EntrySettings, 'process' | 'observe'>
 
-/** An entry made from its settings. */
+/** Creates an entry from its settings. */
 export function entryDaemon (settings: EntrySettings): Daemon {
   const { process: { id, data_centre: dataCentre, region }, listen, platform, operators, limits, planner } = settings
   const { log, metric } = observers(settings, 'entry')
@@ -49,7 +49,7 @@
   }
 }
 
-/** A worker made from its settings. */
+/** Creates a worker from its settings. */
 export function workerDaemon (settings: WorkerSettings): Daemon {
   const { process: { data_centre: dataCentre }, listen, node, upstream, entries, lease, limits } = settings
   const { log, metric } = observers(settings, 'worker')
--- a/packages/hash/src/index.ts
+++ b/packages/hash/src/index.ts
@@ -1,23 +1,27 @@
 /**
- * Rendezvous hashing (Thaler and Ravishankar, 1998): processes that know the same names choose alike without exchanging
- * a message. Pure functions over xxHash32. Their results are part of the protocol: processes of two versions that serve
- * side by side have to agree, so the hash, its input and the order of equal weights must not change.
+ * Rendezvous hashing (Thaler and Ravishankar, 1998): processes with the same list of names make the same choice without
+ * exchanging messages. The functions are pure and use xxHash32. Their results are part of the protocol, because
+ * processes of two versions that run at the same time must agree. The hash, its input and the order of equal weights
+ * must not change.
  */
 import xxhash from 'xxhash-wasm'
 
 const { h32 } = await xxhash()
 
-/** The weight of `name` for `key`, an unsigned 32-bit number. */
+/** The weight of `name` for `key`, as an unsigned 32-bit number. */
 export function weight (key: string, name: string): number {
   return h32(`${key}\u0000${name}`)
 }
 
-/** The names in the order in which rendezvous hashing prefers them for `key`. Equal weights go by name. */
+/** Sorts names by their weight for `key`, highest first. Names with equal weights are ordered by name. */
 export function ranked (key: string, names: readonly string[]): string[] {
   return new Ranking(key).order(names)
 }
 
-/** Ranks names for one key again and again, and keeps their weights: for a fleet of 300 that is most of the time that ranking takes. */
+/**
+ * Ranks names for one key repeatedly, and caches their weights. For a fleet of 300, computing the weights takes most of
+ * the time of a ranking.
+ */
 export class Ranking {
   readonly #key: string
   readonly #weights = new Map<string, number>()
@@ -26,7 +30,7 @@
     this.#key = key
   }
 
-  /** As `ranked`. */
+  /** Sorts names as `ranked` does. */
   order (names: readonly string[]): string[] {
     const weighted = names.map(name => ({ name, weight: this.#weight(name) }))
     weighted.sort((a, b) => b.weight - a.weight || (a.name < b.name ? -1 : 1))
--- a/packages/life/src/run.ts
+++ b/packages/life/src/run.ts
@@ -1,26 +1,26 @@
 /**
- * The life cycle of every program's process: start, serve until a signal, drain, exit. It owns the signals and the events
- * 100 to 102 and 104; what starting and draining mean is the daemon's.
+ * The life cycle of a process, for all programs: start, serve until a signal arrives, drain, exit. It owns the handling
+ * of signals and writes the events 100 to 102 and 104. It relies on a `Daemon` to start and to drain.
  */
 import { type Log } from '@eiderwind/log'
 
-/** The addresses that a daemon listens on, by purpose. They are fields of the event `started`. */
+/** The addresses on which a daemon listens, by purpose. They become fields of the event `started`. */
 export type Addresses = Readonly<Record<string, string>>
 
 /** Exit statuses. */
 const ok = 0
 const failed = 1
 
-/** A program that is made but not started. */
+/** A program that can be started and stopped. */
 export interface Daemon {
   readonly log: Log
-  /** Resolves once it serves. Where it rejects, the process exits. */
+  /** Resolves once the program serves. If it rejects, the process exits. */
   start (): Promise<Addresses>
-  /** Drains: accepts nothing new, finishes what is in flight, and closes. */
+  /** Drains: accepts no new requests, finishes the requests in flight, and closes. */
   stop (): Promise<void>
 }
 
-/** Runs a daemon until SIGTERM or SIGINT. Resolves to the exit status: 0, or 1 where it could not start. */
+/** Runs a daemon until SIGTERM or SIGINT. Resolves to the exit status: 0, or 1 if it could not start. */
 export async function run (daemon: Daemon): Promise<number> {
   const stopped = stopSignal()
   try {
--- a/packages/settings/src/shapes.ts
+++ b/packages/settings/src/shapes.ts
@@ -76,8 +76,8 @@
     /** How long a stop waits for what is in flight. */
     stop: Milliseconds.default(600_000),
     /**
-     * How long a stop waits before it stops listening, so that the balancer can notice and send no more callers. Must be
-     * longer than the interval of the balancer's health checks.
+     * How long a stop waits before the process stops listening, so that the balancer can notice and send no more
+     * callers. Must be longer than the interval of the balancer's health checks.
      */
     notice: Milliseconds.default(5000)
   }).prefault({}),
@@ -210,7 +210,7 @@
   planner: z.strictObject({
     /** How long an unlisted engine that answers is retained in its replica. 0: it counts as missing at once. */
     keep_unlisted: durationOr('0 ms'),
-    /** Whether spares load weights from their host's memory before a replica needs them, and also hold a second model. */
+    /** Whether spares load weights from their host's memory before a replica needs them, and hold a second model too. */
     warm_spares: Flag.default(false)
   }).prefault({}),
   observe: z.strictObject({
@@ -256,10 +256,7 @@
 })
 export type WorkerSettings = z.infer<typeof WorkerSettings>
 
-/**
- * The role of a process. `entry` and `worker` are roles of the daemon; `direct` is the role of the program in
- * `platform`.
- */
+/** The role of a process. `entry` and `worker` belong to the daemon, and `direct` to the program in `platform`. */
 export type Role = 'entry' | 'worker' | 'direct'
 
 /** The schema of each role's settings. */
--- a/packages/wire/src/client.ts
+++ b/packages/wire/src/client.ts
@@ -50,10 +50,7 @@
   }
 }
 
-/**
- * Calls the procedures of one process: each call is a POST with the input as JSON, and its answer is the output as
- * JSON.
- */
+/** Calls the procedures of one process. Each call is a POST with JSON input and JSON output. */
 class Caller {
   readonly #dispatcher: Dispatcher
   readonly #url: string
--- a/packages/wire/src/collector.ts
+++ b/packages/wire/src/collector.ts
@@ -1,7 +1,4 @@
-/**
- * A receiver that stores the complete answer in memory. It is for short answers, because it does not limit their
- * length.
- */
+/** Stores a complete answer in memory. The length is not limited, so this receiver is for short answers only. */
 import { Receiver, type AnswerHeaders, type CallFailure, type Flow } from './call.js'
 
 /** A complete answer. */
--- a/packages/wire/src/headers.ts
+++ b/packages/wire/src/headers.ts
@@ -26,10 +26,7 @@
   team: 'eiderwind-team',
   service: 'eiderwind-service',
   key: 'eiderwind-key',
-  /**
-   * The home's tenure. Sent if the entry made the key for this attempt, so that no earlier attempt can have used the
-   * key.
-   */
+  /** The home's tenure. Sent if the entry made the key for this attempt, so no earlier attempt has used it. */
   fresh: 'eiderwind-fresh',
   /** `1` on a refusal by the home of a key if no earlier attempt with the key has run either. */
   judged: 'eiderwind-judged',
--- a/packages/wire/test/connections.test.ts
+++ b/packages/wire/test/connections.test.ts
@@ -1,7 +1,4 @@
-/**
- * Which answers count as complete, depending on their framing and on how the connection ends, and when connections are
- * reused.
- */
+/** Which answers count as complete, by their framing and the end of the connection, and when connections are reused. */
 import { createServer, type Server, type Socket } from 'node:net'
 import test from 'ava'
 import { SystemClock } from '@eiderwind/clock'
