--- a/packages/settings/src/shapes.ts
+++ b/packages/settings/src/shapes.ts
@@ -210,7 +210,7 @@
   planner: z.strictObject({
     /** How long an unlisted engine that answers is retained in its replica. 0: it counts as missing at once. */
     keep_unlisted: durationOr('0 ms'),
-    /** Whether spares load weights from their host's memory before a replica needs them, and hold a second model too. */
+    /** Whether spares load weights from their host's memory before a replica needs them, and hold a second model. */
     warm_spares: Flag.default(false)
   }).prefault({}),
   observe: z.strictObject({
