--- a/packages/ctl/src/capacity.ts
+++ b/packages/ctl/src/capacity.ts
@@ -1,48 +1,51 @@
 /**
- * The account of capacity from gateways' logs: for each second, how many engines did what, and how many requests were refused for
- * lack of room. Pure: lines in, rows out. Where requests are refused while engines are idle, forming or broken, time was lost by
- * decisions or orders; where none is, engines were missing.
+ * The capacity report from gateways' logs. For each second it counts the engines in each state and the requests that were
+ * refused for lack of room. If requests were refused while engines were idle, forming or broken, the planner's decisions or
+ * orders took too long; if no engine was in these states, there were too few engines. Pure functions.
  */
-import { counts } from './counts.js'
+import { countByName } from './counts.js'
 import { type LogLine } from './explain.js'
 
-/** What engines do, in the order of the columns: the fields of `engines-surveyed`. */
-export const engineWork = ['serving', 'forming', 'broken', 'loading', 'empty', 'idle', 'unlisted', 'missing', 'evacuated'] as const
+/** The states of engines, in the order of the columns. They are the fields of the log event `engines-surveyed`. */
+export const engineStates = ['serving', 'forming', 'broken', 'loading', 'empty', 'idle', 'unlisted', 'missing', 'evacuated'] as const
 
-/** Outcomes of requests that found no room, in the order of the columns: the beginnings of `outcome` in `request-ended`. */
-export const lacking = ['busy', 'no-replica', 'upstream-down'] as const
+/**
+ * Outcomes of requests that found no room, in the order of the columns: the first word of `outcome` in
+ * `request-ended`.
+ */
+export const noRoomOutcomes = ['busy', 'no-replica', 'upstream-down'] as const
 
-/** One second of the account. */
-export interface Second {
-  /** As the logs write it, to the second. */
+/** The row of one second. */
+export interface CapacityRow {
+  /** Time as in the logs, cut to the second. */
   readonly time: string
-  /** Engines by what they did, over all domains that were reported on in this second. */
-  readonly engines: Readonly<Record<typeof engineWork[number], number>>
+  /** Engines by state, summed over all domains that were surveyed in this second. */
+  readonly engines: Readonly<Record<typeof engineStates[number], number>>
   /** Requests that ended in this second because they found no room. */
-  readonly refused: Readonly<Record<typeof lacking[number], number>>
+  readonly refused: Readonly<Record<typeof noRoomOutcomes[number], number>>
 }
 
-/** Length of a time to the second, such as `2026-12-02T10:00:01`. */
-const toSecond = 19
+/** Length in characters of a time cut to the second, such as `2026-12-02T10:00:01`. */
+const secondLength = 19
 
-/** The seconds in which anything was reported, in order. */
-export function capacity (lines: readonly LogLine[]): Second[] {
+/** The rows of all seconds with a survey or an ended request, in order of time. */
+export function capacity (lines: readonly LogLine[]): CapacityRow[] {
   const bySecond = new Map<string, LogLine[]>()
   for (const line of lines) {
     if (line.name !== 'engines-surveyed' && line.name !== 'request-ended') continue
-    const time = line.time.slice(0, toSecond)
+    const time = line.time.slice(0, secondLength)
     bySecond.set(time, [...bySecond.get(time) ?? [], line])
   }
-  return [...bySecond].sort(([a], [b]) => a < b ? -1 : 1).map(([time, lines]) => second(time, lines))
+  return [...bySecond].sort(([a], [b]) => a < b ? -1 : 1).map(([time, lines]) => rowOf(time, lines))
 }
 
-function second (time: string, lines: readonly LogLine[]): Second {
-  // Two planners may report on one domain while one hands over to the other: the later report counts.
+function rowOf (time: string, lines: readonly LogLine[]): CapacityRow {
+  // Two planners may report on one domain during a handover. The later report counts.
   const surveys = new Map(lines.filter(each => each.name === 'engines-surveyed').map(each => [each.domain, each]))
   const outcomes = lines.flatMap(each => typeof each.outcome === 'string' ? [each.outcome.split(' ')[0]] : [])
   return {
     time,
-    engines: counts(engineWork, work => [...surveys.values()].reduce((sum, each) => sum + Number(each[work] ?? 0), 0)),
-    refused: counts(lacking, code => outcomes.filter(each => each === code).length)
+    engines: countByName(engineStates, state => [...surveys.values()].reduce((sum, each) => sum + Number(each[state] ?? 0), 0)),
+    refused: countByName(noRoomOutcomes, code => outcomes.filter(each => each === code).length)
   }
 }
--- a/packages/ctl/src/late.ts
+++ b/packages/ctl/src/late.ts
@@ -1,35 +1,39 @@
 /**
- * The account of lateness from gateways' logs: for each route and for each second, how many answers were late and what they lost most of
- * their time to, and how many requests got none. Pure: lines in, rows out. Answers in time are sampled in the logs, so they are not counted.
+ * The report on late answers from gateways' logs. For each route and each second it counts late answers by what took most of
+ * their time, and requests that got no complete answer. Answers in time are sampled in the logs, so they are not counted.
+ * Pure functions.
  */
-import { counts } from './counts.js'
+import { countByName } from './counts.js'
 import { type LogLine } from './explain.js'
 
-/** What made answers late, in the order of the columns: the values of `late` in `request-ended`. */
-export const latenesses = ['waiting', 'attempts', 'first', 'resume', 'pause'] as const
+/** The causes of late answers, in the order of the columns: the values of `late` in `request-ended`. */
+export const lateCauses = ['waiting', 'attempts', 'first', 'resume', 'pause'] as const
 
-/** Endings of requests that got no whole answer, in the order of the columns: the beginnings of `outcome` in `request-ended`. */
-export const failures = ['busy', 'no-replica', 'upstream-down', 'lost', 'cut', 'deadline', 'caller', 'stalled'] as const
+/**
+ * Outcomes of requests without a complete answer, in the order of the columns: the first word of `outcome` in
+ * `request-ended`.
+ */
+export const failureOutcomes = ['busy', 'no-replica', 'upstream-down', 'lost', 'cut', 'deadline', 'caller', 'stalled'] as const
 
-/** One row of the account: what happened on a route, or within a second. */
+/** The counts of one route or one second. */
 export interface LateRow {
-  /** The route, or the second as the logs write it. */
+  /** The route, or the time as in the logs, cut to the second. */
   readonly of: string
-  readonly late: Readonly<Record<typeof latenesses[number], number>>
-  readonly failed: Readonly<Record<typeof failures[number], number>>
+  readonly late: Readonly<Record<typeof lateCauses[number], number>>
+  readonly failed: Readonly<Record<typeof failureOutcomes[number], number>>
 }
 
-/** Length of a time to the second, such as `2026-12-02T10:00:01`. */
-const toSecond = 19
+/** Length in characters of a time cut to the second, such as `2026-12-02T10:00:01`. */
+const secondLength = 19
 
-/** The rows of all routes, by name. */
+/** One row for each route, ordered by name. */
 export function lateByRoute (lines: readonly LogLine[]): LateRow[] {
   return rows(lines, line => String(line.route))
 }
 
-/** The rows of the seconds in which any request of a line ended, in order. */
+/** One row for each second in which a logged request ended, in order of time. */
 export function lateBySecond (lines: readonly LogLine[]): LateRow[] {
-  return rows(lines, line => line.time.slice(0, toSecond))
+  return rows(lines, line => line.time.slice(0, secondLength))
 }
 
 function rows (lines: readonly LogLine[], keyOf: (line: LogLine) => string): LateRow[] {
@@ -43,8 +47,8 @@
   }
   return [...groups].sort(([a], [b]) => a < b ? -1 : 1).map(([of, group]) => ({
     of,
-    late: counts(latenesses, each => group.filter(line => line.late === each && isAnswered(line)).length),
-    failed: counts(failures, each => group.filter(line => outcomeOf(line) === each).length)
+    late: countByName(lateCauses, each => group.filter(line => line.late === each && isAnswered(line)).length),
+    failed: countByName(failureOutcomes, each => group.filter(line => outcomeOf(line) === each).length)
   }))
 }
 
--- a/packages/ctl/src/lines.ts
+++ b/packages/ctl/src/lines.ts
@@ -1,7 +1,10 @@
-/** Configuration, status and audit trail as lines for a person. Pure functions; programs read the JSON output instead. */
+/**
+ * Formats a configuration, a status or an audit trail as lines of text for people. Programs read the JSON output
+ * instead. Pure functions.
+ */
 import { type Audit, type Configuration, type Service, type Status } from '@eiderwind/rpc'
 
-/** A configuration as lines for a person. */
+/** A configuration as lines of text. */
 export function configurationLines ({ revision, services, teams, operators, leaving }: Configuration): string[] {
   return [
     `revision ${revision}`,
@@ -12,17 +15,17 @@
   ]
 }
 
-/** A status as lines for a person. */
+/** A status as lines of text. */
 export function statusLines ({ revision, platform, replicas, nodes, entries }: Status): string[] {
   return [
     `revision ${revision}, platform ${platform ? 'answers' : 'does not answer'}`,
     ...entries.map(({ id, dataCentre, live }) => `entry ${id} (${dataCentre}): ${live ? 'live' : 'silent'}`),
     ...replicas.map(each => `replica ${each.id}: ${each.serving ? 'serving' : 'not serving'}, generation ${each.generation}, version ${each.version}, ${each.running} running, ${each.queued} queued, members ${each.members.join(' ')}`),
-    ...nodes.map(({ id, domain, health, service, replica, slots }) => `node ${id} (${domain}): ${health}, ${use(service, replica, slots)}`)
+    ...nodes.map(({ id, domain, health, service, replica, slots }) => `node ${id} (${domain}): ${health}, ${nodeUse(service, replica, slots)}`)
   ]
 }
 
-/** An audit trail as lines for a person. */
+/** An audit trail as lines of text. */
 export function auditLines ({ records }: Audit): string[] {
   return records.map(({ when, who, what, fromRevision, toRevision, operation }) => `${when} ${who}: ${what} (revision ${fromRevision} to ${toRevision}, operation ${operation})`)
 }
@@ -37,7 +40,7 @@
   return `plain service ${name}${once.length > 0 ? `: not repeatable ${once.join(', ')}` : ''}`
 }
 
-function use (service: string, replica: string, slots: readonly number[]): string {
+function nodeUse (service: string, replica: string, slots: readonly number[]): string {
   if (service !== '') return `${service}, home of slots ${slots.join(' ') || 'none'}`
   return replica === '' ? 'spare' : `in ${replica}`
 }
--- a/packages/ctl/src/logfiles.ts
+++ b/packages/ctl/src/logfiles.ts
@@ -1,9 +1,9 @@
-/** Reads gateways' log files for the commands that answer questions from them. */
+/** Reads gateways' log files for the commands that work on logs. */
 import { readFileSync } from 'node:fs'
 import { readLine, type LogLine } from './explain.js'
 import { type Print } from './session.js'
 
-/** The events in files; undefined where one cannot be read, which is printed with a remedy. */
+/** Reads all events of the files. If a file cannot be read, prints an error and returns undefined. */
 export function readLogs (files: readonly string[], error: Print): LogLine[] | undefined {
   const lines: LogLine[] = []
   for (const file of files) {
--- a/packages/ctl/src/session.ts
+++ b/packages/ctl/src/session.ts
@@ -1,5 +1,5 @@
 /**
- * One run of a command: the connection to an entry, the operator's token, and how results are written. It reads tokens and
+ * One run of a command: the connection to an entry, the operator's token, and the output of results. It reads tokens and
  * secrets from files or the environment and never prints them.
  */
 import { createHash, randomUUID } from 'node:crypto'
@@ -10,7 +10,7 @@
 import { ChangeHeaderSchema, ChangeResponseSchema, Operators, type ChangeHeader, type ChangeResponse } from '@eiderwind/rpc'
 import { UsageError } from './usage.js'
 
-/** The options that every command takes. */
+/** The options that every command accepts. */
 export interface CommonOptions {
   readonly server?: string
   readonly 'token-file'?: string
@@ -19,10 +19,10 @@
   readonly operation?: string
 }
 
-/** Writes a finished line for the person or program that called. */
+/** Writes one line of output. */
 export type Print = (line: string) => void
 
-/** One run of the command: the connection, and how results are written. */
+/** One run of the command. Owns the connection to an entry and writes results. */
 export class Session {
   readonly calls: Client<typeof Operators>
   readonly #options: CommonOptions
@@ -32,8 +32,8 @@
     this.#options = options
     this.#print = print
     const server = options.server ?? process.env.EIDERWIND_SERVER
-    if (server === undefined) throw new UsageError('No server is given. Give --server http://host:port or set EIDERWIND_SERVER.')
-    if (!URL.canParse(server)) throw new UsageError(`"${server}" is no URL. Give --server as http://host:port.`)
+    if (server === undefined) throw new UsageError('No server given. Give --server http://host:port or set EIDERWIND_SERVER.')
+    if (!URL.canParse(server)) throw new UsageError(`"${server}" is not a URL. Give --server as http://host:port.`)
     const token = readToken(options['token-file'])
     const interceptor: Interceptor = next => request => {
       request.header.set('authorization', `Bearer ${token}`)
@@ -42,7 +42,7 @@
     this.calls = createClient(Operators, createConnectTransport({ baseUrl: server, httpVersion: '1.1', interceptors: [interceptor] }))
   }
 
-  /** The header of a change: the revision asked for, and an operation id. */
+  /** The header of a change: the required revision and an operation id. */
   get header (): ChangeHeader {
     const { revision, operation } = this.#options
     return create(ChangeHeaderSchema, {
@@ -51,35 +51,35 @@
     })
   }
 
-  /** Writes a message: as JSON where that was asked for, else as `lines` puts it. */
+  /** Writes a message as JSON with `--json`, otherwise as the text that `lines` returns. */
   show<Schema extends DescMessage> (schema: Schema, message: MessageShape<Schema>, lines: (message: MessageShape<Schema>) => string[]): void {
     if (this.#options.json === true) this.#print(JSON.stringify(toJson(schema, message, { alwaysEmitImplicit: true })))
     else for (const line of lines(message)) this.#print(line)
   }
 
-  /** Writes what came of a change. */
-  changed (response: ChangeResponse): void {
-    this.show(ChangeResponseSchema, response, ({ revision, peers }) => [`Accepted as revision ${revision}; ${peers} other entries have it.`])
+  /** Writes the result of a change. */
+  showChange (response: ChangeResponse): void {
+    this.show(ChangeResponseSchema, response, ({ revision, peers }) => [`Accepted as revision ${revision}; ${peers} other entries have received it.`])
   }
 }
 
-/** A whole number of 0 or more from the command line. */
+/** Parses a whole number of 0 or more from the command line. */
 export function wholeNumber (name: string, value: string | number): bigint {
   const number = Number(value)
   if (!Number.isInteger(number) || number < 0) throw new UsageError(`--${name} takes a whole number, not "${value}".`)
   return BigInt(number)
 }
 
-/** SHA-256 digests, in hex, of the secrets in a file, one a line. */
+/** SHA-256 digests, in hex, of the secrets in a file with one secret per line. */
 export function fileDigests (file: string): string[] {
   const lines = readLines(file)
-  if (lines.length === 0) throw new UsageError(`${file} holds no secret. Write one a line.`)
+  if (lines.length === 0) throw new UsageError(`${file} contains no secret. Write one per line.`)
   return lines.map(line => createHash('sha256').update(line).digest('hex'))
 }
 
 function readToken (file: string | undefined): string {
   const token = file === undefined ? process.env.EIDERWIND_TOKEN : readLines(file)[0]
-  if (token === undefined || token === '') throw new UsageError('No token is given. Give --token-file FILE or set EIDERWIND_TOKEN.')
+  if (token === undefined || token === '') throw new UsageError('No token given. Give --token-file FILE or set EIDERWIND_TOKEN.')
   return token
 }
 
--- a/packages/ctl/src/usage.ts
+++ b/packages/ctl/src/usage.ts
@@ -1,7 +1,10 @@
-/** The exit statuses of `eiderwindctl` and which error ends with which. docs/operators/commands.md lists them for operators. */
+/**
+ * The exit statuses of `eiderwindctl`, and the status of each error. docs/operators/commands.md lists them for
+ * operators.
+ */
 import { Code, ConnectError } from '@connectrpc/connect'
 
-/** Something wrong with the words of the command line. */
+/** An invalid command line. */
 export class UsageError extends Error {}
 
 /** Exit statuses of the command. */
@@ -15,14 +18,14 @@
   refused: 6
 } as const
 
-/** The exit status and the message for an error. */
-export interface Verdict {
+/** The exit status and message of an error. */
+export interface Failure {
   readonly status: number
   readonly message: string
 }
 
-/** The verdict on an error of the command line, the connection or the entry. */
-export function verdict (error: unknown): Verdict {
+/** The exit status and message of an error of the command line, the connection or the entry. */
+export function failureOf (error: unknown): Failure {
   if (error instanceof UsageError) return { status: statuses.usage, message: error.message }
   const { code, rawMessage, metadata } = ConnectError.from(error)
   const fault = metadata.get('eiderwind-code')
--- a/packages/ctl/test/capacity.test.ts
+++ b/packages/ctl/test/capacity.test.ts
@@ -1,4 +1,4 @@
-/** The account of capacity by second, from log lines. */
+/** The capacity report by second, from log lines. */
 import test from 'ava'
 import { capacity } from '../src/capacity.js'
 import { readLine, type LogLine } from '../src/explain.js'
@@ -17,14 +17,14 @@
 const lines = log.map(readLine).filter((each): each is LogLine => each !== undefined)
 const none = { serving: 0, forming: 0, broken: 0, loading: 0, empty: 0, idle: 0, unlisted: 0, missing: 0, evacuated: 0 }
 
-test('each second has the engines of all domains by what they do, and the requests that found no room', t => {
+test('the row of a second sums the engines of all domains by state and counts the requests that found no room', t => {
   t.deepEqual(capacity(lines), [
     { time: '2026-12-02T10:00:01', engines: { ...none, serving: 10, idle: 2 }, refused: { busy: 1, 'no-replica': 0, 'upstream-down': 0 } },
     { time: '2026-12-02T10:00:02', engines: { ...none, serving: 4, loading: 1 }, refused: { busy: 0, 'no-replica': 1, 'upstream-down': 0 } }
   ])
 })
 
-test('a file that is missing is bad usage, with what to do', async t => {
+test('a missing file ends `capacity` with the usage status and a message that asks for a path', async t => {
   const printed: string[] = []
   const status = await main(['node', 'eiderwindctl', 'capacity', 'missing.log'], { out: line => printed.push(line), error: line => printed.push(line) })
   t.is(status, 2)
--- a/packages/ctl/test/expected.test.ts
+++ b/packages/ctl/test/expected.test.ts
@@ -1,10 +1,10 @@
-/** The account of errors of expected first events, from log lines. */
+/** The report on errors of forecast first events, from log lines. */
 import test from 'ava'
 import { readLine, type LogLine } from '../src/explain.js'
 import { expectedErrors } from '../src/expected.js'
 import { main } from '../src/index.js'
 
-interface Ended {
+interface RequestFields {
   readonly first?: number
   readonly waited?: number
   readonly expected?: number
@@ -16,12 +16,12 @@
   readonly remote?: boolean
 }
 
-function ended (fields: Ended): LogLine {
+function ended (fields: RequestFields): LogLine {
   const line = { time: '2026-12-02T10:00:02.100Z', event: 411, name: 'request-ended', route: 'help', outcome: 'answered 200', waited: 10, prompt: 700, load: 9, unread: 0, ...fields }
   return readLine(JSON.stringify(line)) as LogLine
 }
 
-test('errors count from the send, and a sampled line counts for all that it stands for', t => {
+test('errors are measured from the send, and a sampled line counts as many times as its field `sampled` states', t => {
   const rows = expectedErrors([
     ended({ first: 110, expected: 90, sampled: 50 }),
     ended({ first: 110, expected: 150, prompt: 6000, remote: true }),
@@ -37,9 +37,9 @@
   t.deepEqual(rows.filter(({ by }) => by === 'limited' || by === 'remote').map(({ by, of, requests }) => [by, of, requests]), [['limited', 'no', 51], ['limited', 'yes', 1], ['remote', 'no', 51], ['remote', 'yes', 1]])
 })
 
-test('without a request of which anything was expected there is nothing to tell', t => t.deepEqual(expectedErrors([ended({ first: 100 })]), []))
+test('without a request that has a forecast the report is empty', t => t.deepEqual(expectedErrors([ended({ first: 100 })]), []))
 
-test('the command says which file it cannot read', async t => {
+test('the command names the file that cannot be read', async t => {
   const errors: string[] = []
   t.not(await main(['node', 'eiderwindctl', 'expected', '/none/such.log'], { out: () => {}, error: line => { errors.push(line) } }), 0)
   t.regex(errors.join(), /such\.log cannot be read/)
--- a/packages/ctl/test/explain.test.ts
+++ b/packages/ctl/test/explain.test.ts
@@ -1,4 +1,4 @@
-/** The story and cause of a failed request, from logs alone. */
+/** The related lines and the cause of a failed request, from logs alone. */
 import test from 'ava'
 import { explain, readLine } from '../src/explain.js'
 
@@ -12,7 +12,7 @@
   '{"time":"2026-12-02T09:00:00.000Z","event":420,"name":"upstream-suspected","node":"entry-1","upstream":"i-2"}'
 ].map(readLine).filter(each => each !== undefined)
 
-test('a stream that was cut: its attempts, the suspicion and what the planner found', t => {
+test('a stream that broke off is explained by its attempts, the suspected upstream and the planner\'s decision', t => {
   const { story, cause } = explain(lines, 'r1')
   t.deepEqual(story.map(each => each.name), ['upstream-suspected', 'replica-decided', 'request-ended'])
   t.regex(cause, /Gateway entry-1 had it for 900 ms: its stream broke off/)
@@ -20,21 +20,21 @@
   t.regex(cause, /d\.4 of large dissolved: i-9 missing/)
 })
 
-test('a refusal names its reason and how old the entry\'s knowledge was', t => {
-  t.regex(explain(lines, 'r2').cause, /refused it with 503: the gateway had no configuration that it could trust \(its configuration was confirmed 4100 ms before\)/)
+test('a refusal is explained by its reason and the age of the gateway\'s configuration', t => {
+  t.regex(explain(lines, 'r2').cause, /refused it with 503: the gateway had no configuration that was confirmed recently enough \(its configuration was confirmed 4100 ms before\)/)
 })
 
-test('a request that was refused under load did not run', t => {
+test('a request that was refused under load is reported as not run', t => {
   t.regex(explain(lines, 'r3').cause, /every replica of its model was full.*it did not run\. Attempts: none\./)
 })
 
-test('a request that was refused under load names the rule that put others before it', t => {
+test('a request that was refused under load is explained by the rule that preferred other requests', t => {
   const line = readLine('{"time":"2026-12-02T10:00:03.000Z","event":411,"name":"request-ended","node":"entry-2","request":"r4","outcome":"busy 429","took":66,"attempts":"","rule":"team above its share"}')
   if (line === undefined) throw new Error('not a line')
-  t.regex(explain([line], 'r4').cause, /What went before it: requests of other teams, since its own was served more than its share lately/)
+  t.regex(explain([line], 'r4').cause, /What went before it: requests of other teams, because its own team was recently served more than its share/)
 })
 
-test('a request that was refused since upstreams rest names them, and until when', t => {
+test('a request that was refused because upstreams rest names these upstreams and the end of their rest', t => {
   const rests = [
     '{"time":"2026-12-02T10:00:02.500Z","event":422,"name":"upstream-resting","node":"entry-2","upstream":"i-3","rest":3000}',
     '{"time":"2026-12-02T10:00:02.500Z","event":422,"name":"upstream-resting","node":"entry-1","upstream":"i-4","rest":3000}',
@@ -45,7 +45,7 @@
   t.notRegex(cause, /i-4|i-5/)
 })
 
-test('a request that was refused since limits were used up names their upstreams, whenever they named them, unless they lifted them', t => {
+test('a request that was refused because limits were used up names the upstreams with a limit, however old it is, unless it was lifted', t => {
   const limits = [
     '{"time":"2026-12-02T09:00:02.500Z","event":424,"name":"upstream-limited","node":"entry-2","upstream":"i-3"}',
     '{"time":"2026-12-02T09:00:01.500Z","event":424,"name":"upstream-limited","node":"entry-2","upstream":"i-3","limit":9}',
@@ -55,11 +55,11 @@
     '{"time":"2026-12-02T11:30:00.000Z","event":424,"name":"upstream-limited","node":"entry-2","upstream":"i-6","limit":1.6}'
   ].map(readLine).filter(each => each !== undefined)
   const { cause } = explain([...lines, ...limits], 'r3')
-  t.regex(cause, /i-4 was limited by its own word to 1\.6 requests a second/)
+  t.regex(cause, /i-4 had announced a limit of 1\.6 requests per second/)
   t.notRegex(cause, /i-3|i-5|i-6/)
 })
 
-test('a request that was refused while data centres were evacuated names them, unless that was over or was known to another gateway only', t => {
+test('a request that was refused while data centres were evacuated names them, unless the evacuation had ended or only another gateway logged it', t => {
   const evacuations = [
     '{"time":"2026-12-02T08:00:00.000Z","event":425,"name":"evacuation-begun","node":"entry-2","dataCentre":"dc-1"}',
     '{"time":"2026-12-02T08:00:00.000Z","event":425,"name":"evacuation-begun","node":"entry-2","dataCentre":"dc-2","from":"entry-1"}',
@@ -73,7 +73,7 @@
   t.is(explain(evacuations, 'dc-2').story.length, 2)
 })
 
-test('an upstream and a replica have stories too, and an unknown id says so', t => {
+test('an upstream and a replica are explained too, and an unknown id is reported as unknown', t => {
   t.is(explain(lines, 'i-2').story.length, 1)
   t.is(explain(lines, 'd.4').story.length, 1)
   t.regex(explain(lines, 'nobody').cause, /No line names nobody/)
--- a/packages/ctl/test/late.test.ts
+++ b/packages/ctl/test/late.test.ts
@@ -1,4 +1,4 @@
-/** The account of lateness by route and second, from log lines. */
+/** The report on late answers by route and second, from log lines. */
 import test from 'ava'
 import { readLine, type LogLine } from '../src/explain.js'
 import { main } from '../src/index.js'
@@ -16,7 +16,7 @@
 const late = { waiting: 0, attempts: 0, first: 0, resume: 0, pause: 0 }
 const failed = { busy: 0, 'no-replica': 0, 'upstream-down': 0, lost: 0, cut: 0, deadline: 0, caller: 0, stalled: 0 }
 
-test('late answers and failures are counted by route and by second; a late first part of no whole answer is a failure', t => {
+test('late answers and failures are counted by route and by second; an incomplete answer that was late counts only as a failure', t => {
   t.deepEqual(lateByRoute(lines), [
     { of: 'help', late: { ...late, waiting: 1, first: 1 }, failed: { ...failed, caller: 1 } },
     { of: 'sum', late: { ...late, resume: 1 }, failed }
@@ -27,7 +27,7 @@
   ])
 })
 
-test('a file that is missing is bad usage, with what to do', async t => {
+test('a missing file ends `late` with the usage status and a message that asks for a path', async t => {
   const printed: string[] = []
   const status = await main(['node', 'eiderwindctl', 'late', 'missing.log'], { out: line => printed.push(line), error: line => printed.push(line) })
   t.is(status, 2)
