--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -1,8 +1,11 @@
-/** The table of docs/CAPACITY.md, worked out from the measured figures at the letter's size. */
+/**
+ * Computes the tables of docs/CAPACITY.md: the control load of each role at the size of the deployment. It relies on the
+ * measured figures of docs/results.json, and on intervals and counts that repeat the settings of the daemons.
+ */
 import { type Figure } from './figures.js'
 
-/** The size that letter 1 gives. */
-export const letter = {
+/** The size of the deployment as the users state it (letter 1). `changes` counts changes per day. */
+export const deploymentSize = {
   entries: 390,
   workers: 1300,
   replicas: 325,
@@ -14,30 +17,35 @@
   teams: 100
 } as const
 
-/** The limits of control of one daemon, and of the platform. */
+/**
+ * Limits of the control of one daemon (`processor` in ms per second, `bytes` per second, `memory`) and of the platform
+ * (`reads`, `writes`).
+ */
 const limits = { processor: 27, bytes: 27_000, memory: 32_768, reads: 2000, writes: 100 } as const
 
-/** What the daemons do by themselves, as set in the code. Seconds and counts. */
-const reportedTo = 2
+/** Counts, and intervals in seconds, that the daemons have as constants in their code. */
+const entriesPerReport = 2
 const reportInterval = 1
-const farInterval = 5
+const remoteInterval = 5
 const leaseInterval = 0.75
-const responsible = 1
-const nearAtOnce = 10
+const relaysPerPair = 1
+const maxExchangesPerS = 10
 
-/** Entries that fetch a new configuration from one that has it, at the most, and placements changed on an ordinary day. */
+/** Maximum number of entries that fetch a new configuration from one that has it. */
 const fetchers = 21
+
+/** Placement changes on an ordinary day. */
 const placementChanges = 120
 
-/** One row: a role's control at the letter's size. */
+/** One row: the control load of a role at the size of the deployment. */
 interface Row {
   readonly role: string
   readonly work: string
-  /** Messages a second. */
+  /** Messages per second. */
   readonly messages: number
-  /** Milliseconds of processor time a second. */
+  /** Milliseconds of processor time per second. */
   readonly processor: number
-  /** Bytes a second, both ways. */
+  /** Bytes per second, in both directions. */
   readonly bytes: number
   readonly mechanism: string
 }
@@ -49,21 +57,21 @@
     if (figure === undefined) throw new Error(`The results file has no figure ${name}. Run npm run bench -- --write.`)
     return figure.value
   }
-  const own = letter.entries / letter.dataCentres
-  const near = own - 1
-  const local = letter.workers / letter.dataCentres
-  const reports = letter.workers * reportedTo / letter.entries / reportInterval
-  const told = Math.min(near, nearAtOnce)
-  const nearInterval = near / told
-  const mine = letter.workers / letter.entries
-  const farDuties = (letter.dataCentres - 1) * responsible / own
-  const heads = letter.replicas / letter.dataCentres
-  const farReports = farDuties * heads / farInterval
-  const carried = (count: number): number => count * value('control.beat_bytes')
-  const carriedTime = (count: number): number => count * value('control.beat_cpu')
-  const configurationSize = letter.teams * value('configuration.bytes')
-  const changesASecond = letter.changes / 86_400
-  const claims = (letter.members) / leaseInterval
+  const entriesPerDataCentre = deploymentSize.entries / deploymentSize.dataCentres
+  const localPeers = entriesPerDataCentre - 1
+  const localWorkers = deploymentSize.workers / deploymentSize.dataCentres
+  const reports = deploymentSize.workers * entriesPerReport / deploymentSize.entries / reportInterval
+  const exchanges = Math.min(localPeers, maxExchangesPerS)
+  const localInterval = localPeers / exchanges
+  const workersPerEntry = deploymentSize.workers / deploymentSize.entries
+  const relayDuties = (deploymentSize.dataCentres - 1) * relaysPerPair / entriesPerDataCentre
+  const heads = deploymentSize.replicas / deploymentSize.dataCentres
+  const relayedReports = relayDuties * heads / remoteInterval
+  const beatBytes = (count: number): number => count * value('control.beat_bytes')
+  const beatTime = (count: number): number => count * value('control.beat_cpu')
+  const configurationSize = deploymentSize.teams * value('configuration.bytes')
+  const changesASecond = deploymentSize.changes / 86_400
+  const claims = (deploymentSize.members) / leaseInterval
   return [
     {
       role: 'entry',
@@ -76,32 +84,32 @@
     {
       role: 'entry',
       work: 'exchanges within the data centre',
-      messages: 2 * told,
-      processor: told * (value('control.exchange_cpu') + value('control.ask_cpu')) + carriedTime((local + mine * near) / nearInterval),
-      bytes: 2 * told * value('control.exchange_bytes') + carried((local + mine * near) / nearInterval),
+      messages: 2 * exchanges,
+      processor: exchanges * (value('control.exchange_cpu') + value('control.ask_cpu')) + beatTime((localWorkers + workersPerEntry * localPeers) / localInterval),
+      bytes: 2 * exchanges * value('control.exchange_bytes') + beatBytes((localWorkers + workersPerEntry * localPeers) / localInterval),
       mechanism: 'each entry tells 10 others a second what it heard itself, as beats'
     },
     {
       role: 'entry that relays',
       work: 'exchanges between data centres, and passing them on',
-      messages: 2 * farDuties / farInterval,
-      processor: farDuties / farInterval * (value('control.exchange_cpu') + value('control.ask_cpu')) + carriedTime(farReports * (2 + near)),
-      bytes: 2 * farDuties / farInterval * value('control.exchange_bytes') + carried(farReports * (2 + near)),
+      messages: 2 * relayDuties / remoteInterval,
+      processor: relayDuties / remoteInterval * (value('control.exchange_cpu') + value('control.ask_cpu')) + beatTime(relayedReports * (2 + localPeers)),
+      bytes: 2 * relayDuties / remoteInterval * value('control.exchange_bytes') + beatBytes(relayedReports * (2 + localPeers)),
       mechanism: 'one responsible entry for each pair of data centres; heads only'
     },
     {
       role: 'entry',
       work: 'hearing of other data centres',
       messages: 0,
-      processor: carriedTime((letter.dataCentres - 1) * heads / farInterval),
-      bytes: carried((letter.dataCentres - 1) * heads / farInterval),
+      processor: beatTime((deploymentSize.dataCentres - 1) * heads / remoteInterval),
+      bytes: beatBytes((deploymentSize.dataCentres - 1) * heads / remoteInterval),
       mechanism: 'within the exchanges of its own data centre'
     },
     {
       role: 'configuration watcher',
       work: 'taking and handing on 1,100 changes a day',
       messages: changesASecond * (1 + fetchers),
-      processor: changesASecond * (value('configuration.parse') * letter.teams + fetchers * value('control.report_cpu')),
+      processor: changesASecond * (value('configuration.parse') * deploymentSize.teams + fetchers * value('control.report_cpu')),
       bytes: changesASecond * (1 + fetchers) * configurationSize,
       mechanism: '2 watches a data centre; the others fetch from a peer'
     },
@@ -124,18 +132,18 @@
     {
       role: 'worker',
       work: 'its grants, its reports',
-      messages: 1 / leaseInterval + reportedTo / reportInterval,
-      processor: value('control.claim_cpu') / leaseInterval + reportedTo * value('control.ask_cpu'),
-      bytes: value('control.claim_bytes') / leaseInterval + reportedTo * value('control.report_bytes'),
+      messages: 1 / leaseInterval + entriesPerReport / reportInterval,
+      processor: value('control.claim_cpu') / leaseInterval + entriesPerReport * value('control.ask_cpu'),
+      bytes: value('control.claim_bytes') / leaseInterval + entriesPerReport * value('control.report_bytes'),
       mechanism: 'one grant to one head; reports to 2 entries'
     }
   ]
 }
 
-/** The table in Markdown. A cell over its limit is marked. */
+/** The table in Markdown. Cells above their limit are marked. */
 export function table (figures: readonly Figure[]): string {
   const lines = rows(figures).map(({ role, work, messages, processor, bytes, mechanism }) => {
-    return `| ${role} | ${work} | ${number(messages)} | ${marked(processor, limits.processor)} | ${marked(bytes, limits.bytes)} | ${mechanism} |`
+    return `| ${role} | ${work} | ${formatted(messages)} | ${formattedCell(processor, limits.processor)} | ${formattedCell(bytes, limits.bytes)} | ${mechanism} |`
   })
   return [
     '| Role | Control work | Messages/s | Processor ms/s (limit 27) | Bytes/s (limit 27,000) | Mechanism |',
@@ -153,10 +161,10 @@
   return ['| Figure | Value | Noise | Unit | What was measured |', '| --- | --- | --- | --- | --- |', ...lines].join('\n')
 }
 
-function marked (value: number, limit: number): string {
-  return value > limit ? `**${number(value)}, over**` : number(value)
+function formattedCell (value: number, limit: number): string {
+  return value > limit ? `**${formatted(value)}, over**` : formatted(value)
 }
 
-function number (value: number): string {
+function formatted (value: number): string {
   return value === 0 ? '0' : Number(value.toPrecision(3)).toLocaleString('en-US', { maximumSignificantDigits: 3 })
 }
--- a/packages/bench/src/control.ts
+++ b/packages/bench/src/control.ts
@@ -1,4 +1,7 @@
-/** What control costs: reports, exchanges, grants and the platform's calls, at several sizes, and the memory of what is known. */
+/**
+ * Measures the cost of control at several sizes: reports, exchanges, grants, calls to the platform, and the memory that an
+ * entry uses for each known node. It starts a fleet of processes and reads their usage from /proc.
+ */
 import { v7 } from 'uuid'
 import { type EntryAddress, type Node, type Report } from '@eiderwind/schema'
 import { Fleet, Forwarder } from '@eiderwind/trial'
@@ -9,13 +12,16 @@
 import { fit, slopeFigure, type Point } from './fit.js'
 import { atRate, pause, processorTime, residentMemory } from './usage.js'
 
-const span = 4000
+/** Duration of one measurement, in ms. */
+const spanMs = 4000
+
+/** Rates at which messages are sent, in messages per second. */
 const rates = [10, 100, 400]
 
-/** Sequence of the last report that was made for counting bytes. */
+/** Sequence number of the last report that was sent to count bytes. */
 let lastSequence = 1_000_000
 
-/** Measures an entry's and a worker's control by the messages they get. */
+/** Measures the control cost of an entry and of a worker for each message that they receive. */
 export async function measureControl (figures: Figures): Promise<void> {
   const fleet = new Fleet({ entries: 1, engines: 1, members: 1, plain: 0 })
   const clients = new Clients(5000)
@@ -24,7 +30,7 @@
     await measureReports(figures, fleet, clients)
     await measureExchanges(figures, fleet, clients)
     await measureClaims(figures, fleet, clients)
-    await measureKnown(figures, fleet)
+    await measureNodeMemory(figures, fleet)
     await measurePlatform(figures, fleet)
   } finally {
     await clients.close()
@@ -64,25 +70,28 @@
   figures.add(ofRuns('control.report_bytes', 'bytes', bytes, 'a report and its answer, with their HTTP headers, counted on the socket'))
 }
 
-/** Exchanges that carry more and more reports: the cost of a message, and of each report in it. */
+/**
+ * Sends exchanges with increasing numbers of beats, to separate the cost of a message from the cost of each beat in
+ * it.
+ */
 async function measureExchanges (figures: Figures, fleet: Fleet, clients: Clients): Promise<void> {
   const { child, peers } = fleet.entries[0]
   const from: EntryAddress = { id: 'bench', dataCentre: 'dc-1', region: 'region-1', peer: peers }
   const points: Point[] = []
   let sequence = 2_000_000
-  const whole = Array.from({ length: 300 }, (_each, index) => ({ report: report(index, sequence), age: 10 }))
-  const { revision, known } = await clients.entry(peers).exchange({ from, revision: 0, known: 0, reports: whole, beats: columns([]) })
+  const fullReports = Array.from({ length: 300 }, (_each, index) => ({ report: report(index, sequence), age: 10 }))
+  const { revision, known } = await clients.entry(peers).exchange({ from, revision: 0, known: 0, reports: fullReports, beats: columns([]) })
   for (const count of [1, 20, 100, 300]) {
     const message = (): Exchange => ({ from, revision, known, reports: [], beats: beats(count, ++sequence) })
     const cpu = processorTime(child.pid)
-    const done = await atRate(20, span, () => clients.entry(peers).exchange(message()))
+    const done = await atRate(20, spanMs, () => clients.entry(peers).exchange(message()))
     points.push({ size: count, value: (processorTime(child.pid) - cpu) / done })
   }
   const line = fit(points)
   figures.add(slopeFigure('control.beat_cpu', 'ms/beat', points, 'processor time of an entry for each beat in an exchange'))
-  figures.add(ofRuns('control.exchange_cpu', 'ms', [Math.max(line.start, 0)], 'processor time of an entry for an exchange, beside the reports in it'))
-  figures.add(ofRuns('control.exchange_report_bytes', 'bytes', [size({ report: report(200, 100_000), age: 12.345 })], 'one whole report in an exchange'))
-  figures.add(ofRuns('control.beat_bytes', 'bytes', [(size(beats(101, 100_000)) - size(beats(1, 100_000))) / 100], 'one beat in an exchange'))
+  figures.add(ofRuns('control.exchange_cpu', 'ms', [Math.max(line.intercept, 0)], 'processor time of an entry for an exchange, beside the reports in it'))
+  figures.add(ofRuns('control.exchange_report_bytes', 'bytes', [jsonBytes({ report: report(200, 100_000), age: 12.345 })], 'one whole report in an exchange'))
+  figures.add(ofRuns('control.beat_bytes', 'bytes', [(jsonBytes(beats(101, 100_000)) - jsonBytes(beats(1, 100_000))) / 100], 'one beat in an exchange'))
   const bytes = await bytesOf(peers, address => clients.entry(address).exchange({ from, revision, known, reports: [], beats: columns([]) }))
   figures.add(ofRuns('control.exchange_bytes', 'bytes', bytes, 'an exchange without reports and its answer, with their HTTP headers, counted on the socket'))
 }
@@ -92,20 +101,20 @@
   const claim = { resource: 'bench', holder: 'bench', term: v7(), period: 1000, revision: 0 }
   const points = await cpuPoints(worker.child.pid, () => clients.worker(worker.address).claim(claim))
   figures.add(slopeFigure('control.claim_cpu', 'ms/claim', points, 'processor time of a worker for a claim that it grants'))
-  const asking: Point[] = []
+  const callerPoints: Point[] = []
   for (const rate of rates) {
     const before = process.cpuUsage()
-    const done = await atRate(rate, span, () => clients.worker(worker.address).claim(claim))
+    const done = await atRate(rate, spanMs, () => clients.worker(worker.address).claim(claim))
     const { user, system } = process.cpuUsage(before)
-    asking.push({ size: done / span * 1000, value: (user + system) / 1000 / span * 1000 })
+    callerPoints.push({ size: done / spanMs * 1000, value: (user + system) / 1000 / spanMs * 1000 })
   }
-  figures.add(slopeFigure('control.ask_cpu', 'ms/claim', asking, 'processor time of a head for a claim that it makes, in the bench\'s own process'))
+  figures.add(slopeFigure('control.ask_cpu', 'ms/claim', callerPoints, 'processor time of a head for a claim that it makes, in the bench\'s own process'))
   const bytes = await bytesOf(worker.address, address => clients.worker(address).claim(claim))
   figures.add(ofRuns('control.claim_bytes', 'bytes', bytes, 'a claim and its answer, with their HTTP headers, counted on the socket'))
 }
 
-/** Memory of an entry by the nodes that it knows: the list, and a report of each. */
-async function measureKnown (figures: Figures, fleet: Fleet): Promise<void> {
+/** Memory of an entry by the number of nodes that it knows, each with reports. */
+async function measureNodeMemory (figures: Figures, fleet: Fleet): Promise<void> {
   const clients = new Clients(5000)
   const { child, peers } = fleet.entries[0]
   const points: Point[] = []
@@ -124,7 +133,7 @@
   figures.add(slopeFigure('control.node_memory', 'KiB/node', points, 'resident memory of an entry by nodes in the list, each with reports'))
 }
 
-/** Beats of the reports that `report` makes. */
+/** The beats for the reports that `report` makes. */
 function beats (count: number, sequence: number): Beats {
   const reports = new Reports(new ManualClock())
   for (let index = 0; index < count; index++) reports.accept({ report: report(index, 1), age: 0 }, 'near')
@@ -135,27 +144,27 @@
   return { id: `node-${index}`, domain: `fabric-${index >> 6}`, dataCentre: 'dc-1', region: 'region-1', address: `10.0.${index >> 8}.${index & 255}:8090`, accelerators: 4, state: 'live' }
 }
 
-/** The platform's calls by entries of one data centre, when nothing changes. */
+/** Calls to the platform by the entries of one data centre while nothing changes. */
 async function measurePlatform (figures: Figures, fleet: Fleet): Promise<void> {
   const points: Point[] = []
   await fleet.setNodes(fleet.nodes())
   for (const count of [1, 2, 4]) {
     while (fleet.entries.length < count) await fleet.addEntry(`more-${fleet.entries.length}`)
     await pause(4000)
-    const before = await calls(fleet)
+    const before = await platformCalls(fleet)
     await pause(8000)
-    points.push({ size: count, value: (await calls(fleet) - before) / 8 })
+    points.push({ size: count, value: (await platformCalls(fleet) - before) / 8 })
   }
   figures.add(slopeFigure('platform.calls', '1/s per entry', points, 'reads and watches at the platform by entries of one data centre'))
   figures.add(ofRuns('platform.calls_per_data_centre', '1/s', [points[points.length - 1].value], `reads and watches at the platform of a data centre with ${points[points.length - 1].size} entries, when nothing changes`))
 }
 
-async function calls (fleet: Fleet): Promise<number> {
+async function platformCalls (fleet: Fleet): Promise<number> {
   const { reads, writes, watches } = await fleet.control('calls', null) as { reads: number, writes: number, watches: number }
   return reads + writes + watches
 }
 
-/** Bytes of one call, both ways, in each of a few runs. */
+/** Bytes of one call in both directions, one value for each of three runs. */
 async function bytesOf (address: string, task: (address: string) => Promise<unknown>): Promise<number[]> {
   const forwarder = new Forwarder(address)
   await forwarder.start()
@@ -174,12 +183,12 @@
   await atRate(100, 1000, task)
   for (const rate of rates) {
     const cpu = processorTime(pid)
-    const done = await atRate(rate, span, task)
-    points.push({ size: done / span * 1000, value: (processorTime(pid) - cpu) / span * 1000 })
+    const done = await atRate(rate, spanMs, task)
+    points.push({ size: done / spanMs * 1000, value: (processorTime(pid) - cpu) / spanMs * 1000 })
   }
   return points
 }
 
-function size (value: unknown): number {
+function jsonBytes (value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value))
 }
--- a/packages/bench/src/decisions.ts
+++ b/packages/bench/src/decisions.ts
@@ -1,4 +1,4 @@
-/** What decisions cost in one process: the planner, the configuration and the choice of a replica. */
+/** Measures the cost of decisions within one process: a plan, reading a configuration and choosing a replica. */
 import { seeded } from '@eiderwind/clock'
 import { apply } from '@eiderwind/config'
 import { Repairing, emptyPlacement, type Facts } from '@eiderwind/plan'
@@ -8,16 +8,18 @@
 import { slopeFigure, type Point } from './fit.js'
 
 const runs = 9
+
+/** Options of the planner: `restart` in ms. */
 const options = { restart: 30_000 }
 
-/** Measures what the planner, the reading of a configuration and the choice of an upstream cost by size. */
+/** Measures each cost at several sizes. */
 export function measureDecisions (figures: Figures): void {
   measurePlanner(figures)
   measureConfiguration(figures)
   measureChoice(figures)
 }
 
-/** Facts of `count` nodes in domains of 72, all placed in replicas of 4, with one node lost. */
+/** The planner's input with `count` nodes in domains of 72, all placed in replicas of 4, with one node lost. */
 function plannedFacts (count: number): Facts {
   const nodes = Array.from({ length: count }, (_each, index) => fact(index))
   const services = [{ kind: 'model' as const, name: 'support', replicas: Math.floor(count / 4) - 2, members: 4, version: 'v1', adapters: [], checksOrders: true, concurrency: 64, queue: 256 }]
--- a/packages/bench/src/figures.ts
+++ b/packages/bench/src/figures.ts
@@ -1,6 +1,6 @@
 /**
- * The figures of the bench: their form, the results file docs/results.json, and the figure of several runs. `Figures` owns what one
- * run has measured and writes it figure by figure, so that a run that breaks off leaves what it had.
+ * The figures of the benchmark: their type, the results file docs/results.json, and how several runs give one figure.
+ * `Figures` owns the figures of one run. It writes each figure at once, so that an interrupted run keeps its figures.
  */
 import { readFileSync, writeFileSync } from 'node:fs'
 
@@ -10,23 +10,25 @@
   readonly unit: string
   /** The median of the runs, or the fitted slope. */
   readonly value: number
+  /** Minimum of the runs. */
   readonly least?: number
+  /** Maximum of the runs. */
   readonly most?: number
   /** Standard error of a fitted slope. */
   readonly error?: number
-  /** What was measured and at which sizes. */
+  /** What was measured, and at which sizes. */
   readonly note: string
 }
 
-/** Where the committed results are. */
+/** The committed results. */
 const resultsFile = new URL('../../../../docs/results.json', import.meta.url)
 
-/** Collects figures, prints each as a line of JSON, and writes the results file with each. */
+/** Collects figures, prints each as a line of JSON and, if asked to, updates the results file after each. */
 export class Figures {
   readonly #all: Figure[] = []
   readonly #writes: boolean
 
-  /** @param writes whether the results file is written */
+  /** @param writes whether the results file is updated */
   constructor (writes: boolean) {
     this.#writes = writes
   }
@@ -37,7 +39,7 @@
     if (this.#writes) this.#write()
   }
 
-  /** Replaces the figures of the same names in the results file and keeps the others. */
+  /** Replaces the figures with the same names in the results file and keeps the others. */
   #write (): void {
     const names = new Set(this.#all.map(each => each.name))
     const kept = readResults().filter(each => !names.has(each.name))
@@ -46,20 +48,20 @@
   }
 }
 
-/** The committed figures. */
+/** Reads the committed figures. */
 export function readResults (): Figure[] {
   return JSON.parse(readFileSync(resultsFile, 'utf8')) as Figure[]
 }
 
-/** Digits of a figure that count: the noise of the runs is far above a thousandth. */
+/** Significant digits of a figure. The noise of the runs is far above a thousandth. */
 const digits = 3
 
-/** A number with the digits that count. */
+/** Rounds a number to the significant digits. */
 export function rounded (value: number): number {
   return Number(value.toPrecision(digits))
 }
 
-/** The figure of several runs: median, least and most. */
+/** The figure of several runs: their median, minimum and maximum. */
 export function ofRuns (name: string, unit: string, values: readonly number[], note: string): Figure {
   const sorted = [...values].sort((a, b) => a - b)
   return {
--- a/packages/bench/src/fit.ts
+++ b/packages/bench/src/fit.ts
@@ -1,4 +1,4 @@
-/** A straight line through measurements at several sizes, by least squares: what one more of something costs, with its error. */
+/** Fits a straight line to measurements at several sizes by least squares. The slope is the cost of one more item. */
 import { rounded, type Figure } from './figures.js'
 
 /** One measurement at one size. */
@@ -7,15 +7,15 @@
   readonly value: number
 }
 
-/** A straight line through points, by least squares. */
+/** A fitted line. */
 export interface Line {
   readonly slope: number
-  readonly start: number
+  readonly intercept: number
   /** Standard error of the slope. */
   readonly error: number
 }
 
-/** Fits a line. It takes three points at least. */
+/** Fits a line. It needs at least three points. */
 export function fit (points: readonly Point[]): Line {
   const count = points.length
   const meanSize = points.reduce((sum, each) => sum + each.size, 0) / count
@@ -23,8 +23,8 @@
   const spread = points.reduce((sum, each) => sum + (each.size - meanSize) ** 2, 0)
   const slope = points.reduce((sum, each) => sum + (each.size - meanSize) * (each.value - meanValue), 0) / spread
   const start = meanValue - slope * meanSize
-  const residue = points.reduce((sum, each) => sum + (each.value - start - slope * each.size) ** 2, 0)
-  return { slope, start, error: Math.sqrt(residue / (count - 2) / spread) }
+  const squaredError = points.reduce((sum, each) => sum + (each.value - start - slope * each.size) ** 2, 0)
+  return { slope, intercept: start, error: Math.sqrt(squaredError / (count - 2) / spread) }
 }
 
 /** The slope of a line as a figure. */
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,4 +1,7 @@
-/** `npm run bench [-- PART ...] [--write]`: prints one JSON line a figure; `--write` puts them into docs/results.json. */
+/**
+ * `npm run bench [-- PART ...] [--write]`: prints each figure as a line of JSON. `--write` also updates
+ * docs/results.json.
+ */
 import { measureControl } from './control.js'
 import { measureDecisions } from './decisions.js'
 import { Figures } from './figures.js'
--- a/packages/bench/src/path.ts
+++ b/packages/bench/src/path.ts
@@ -1,4 +1,4 @@
-/** The path of a request: what entry and worker add, and how much one entry process takes. */
+/** Measures the path of a request: the latency that entry and worker add, and the throughput of one entry process. */
 import { Agent, request } from 'undici'
 import { build } from 'hdr-histogram-js'
 import { Fleet, modelName, plainName, trialKey } from '@eiderwind/trial'
@@ -6,13 +6,15 @@
 import { pause, processorTime } from './usage.js'
 
 const runs = 3
+
+/** Pairs of calls in one run: one call directly to the stand-in, one through entry and worker. */
 const pairs = 1500
-const warmUp = 500
+const warmUpPairs = 500
 const agent = new Agent({ connections: 64, pipelining: 1 })
 const headers = { authorization: `Bearer ${trialKey}`, 'content-type': 'application/json' }
 const completion = JSON.stringify({ model: modelName, max_tokens: 1, messages: [{ role: 'user', content: 'x' }] })
 
-/** Measures added latency, requests a second, and the time to the first answer. */
+/** Measures the added latency, the requests per second and the time to the first answer. */
 export async function measurePath (figures: Figures): Promise<void> {
   const startedAt = performance.now()
   const fleet = new Fleet({ entries: 1, engines: 1, members: 1, plain: 1, engine: { firstTime: 0, tokenTime: 0 } })
@@ -41,7 +43,9 @@
   figures.add(ofRuns('start.entry', 's', spans, 'a further entry, from its start to its first answered completion'))
 }
 
-/** Calls the stand-in directly and through the path in turns, so that the machine's noise meets both. */
+/**
+ * Calls the stand-in directly and through entry and worker in turns, so that the machine's noise affects both alike.
+ */
 async function measureAdded (figures: Figures, fleet: Fleet): Promise<void> {
   const through = `http://${fleet.entries[0].callers}/v1/chat/completions`
   const direct = `${fleet.worker('engine-1').upstreamUrl}/v1/chat/completions`
@@ -49,7 +53,7 @@
   const tail: number[] = []
   for (let run = 0; run <= runs; run++) {
     const [a, b] = [build(), build()]
-    for (let index = 0; index < (run === 0 ? warmUp : pairs); index++) {
+    for (let index = 0; index < (run === 0 ? warmUpPairs : pairs); index++) {
       a.recordValue(Math.round(await timed(direct) * 1000))
       b.recordValue(Math.round(await timed(through) * 1000))
     }
--- a/packages/bench/src/reader.ts
+++ b/packages/bench/src/reader.ts
@@ -1,4 +1,7 @@
-/** A process that keeps streams open through one entry and counts tokens: `reader.js URL STREAMS TOKENS`. Tells its count each second. */
+/**
+ * A process that keeps streams open through one entry and counts tokens: `reader.js URL STREAMS TOKENS`. It prints its
+ * counts every 250 ms.
+ */
 import { Agent } from 'undici'
 import { modelName, trialKey } from '@eiderwind/trial'
 
@@ -12,7 +15,7 @@
 
 setInterval(() => process.stdout.write(`${JSON.stringify({ counted, open, broken })}\n`), 250)
 
-/** One stream after the other, so that as many stay open. */
+/** Opens a stream and, when it ends, the next one, so that the number of open streams stays constant. */
 function stream (index: number): void {
   open++
   let whole = false
--- a/packages/bench/src/usage.ts
+++ b/packages/bench/src/usage.ts
@@ -1,15 +1,15 @@
-/** What a process uses, read from /proc (Linux only), and the load that the measurements put on it. */
+/** Reads the resource usage of a process from /proc (Linux only), and runs a task at a steady rate to load it. */
 import { readFileSync } from 'node:fs'
 
-/** Clock ticks a second in /proc (proc(5); 100 on every Linux in use). */
-const ticks = 100
+/** Clock ticks per second in /proc: 100 on every Linux in use (proc(5)). */
+const ticksPerS = 100
 
 /** Processor time that a process has used, in ms. */
 export function processorTime (pid: number): number {
   const text = readFileSync(`/proc/${pid}/stat`, 'utf8')
   const fields = text.slice(text.lastIndexOf(')') + 2).split(' ')
   const [user, system] = [Number(fields[11]), Number(fields[12])]
-  return (user + system) * 1000 / ticks
+  return (user + system) * 1000 / ticksPerS
 }
 
 /** Resident memory of a process, in KiB. */
@@ -18,12 +18,12 @@
   return Number(/\d+/.exec(line)?.[0])
 }
 
-/** Waits, in ms. */
+/** Waits for `span` ms. */
 export function pause (span: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, span))
 }
 
-/** Does `task` at a steady rate for a time and gives how often it was done. Tasks may overlap. */
+/** Starts `task` `rate` times per second for `span` ms. Returns how often it was started. Runs may overlap. */
 export async function atRate (rate: number, span: number, task: (index: number) => Promise<unknown>): Promise<number> {
   const startedAt = performance.now()
   const open = new Set<Promise<unknown>>()
@@ -31,7 +31,7 @@
   while (performance.now() - startedAt < span) {
     const due = Math.floor((performance.now() - startedAt) / 1000 * rate)
     while (done < due) {
-      // A call that fails is counted too: it costs the measured process time as well, and the figures are per call made.
+      // Failed calls count too: they also cost the measured process time, and the figures are per call made.
       const each = task(done++).catch(() => {}).finally(() => open.delete(each))
       open.add(each)
     }
