--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * Computes the tables of docs/CAPACITY.md: the control load of each role at the size of the deployment. It relies on the
- * measured figures of docs/results.json, and on intervals and counts that repeat the settings of the daemons.
+ * Computes the tables of docs/CAPACITY.md: the control load of each role at the size of the deployment. It relies on
+ * the measured figures of docs/results.json, and on intervals and counts that repeat the settings of the daemons.
  */
 import { type Figure } from './figures.js'
 
--- a/packages/bench/src/control.ts
+++ b/packages/bench/src/control.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the cost of control at several sizes: reports, exchanges, grants, calls to the platform, and the memory that an
- * entry uses for each known node. It starts a fleet of processes and reads their usage from /proc.
+ * Measures the cost of control at several sizes: reports, exchanges, grants, calls to the platform, and the memory
+ * that an entry uses for each known node. It starts a fleet of processes and reads their usage from /proc.
  */
 import { v7 } from 'uuid'
 import { type EntryAddress, type Node, type Report } from '@eiderwind/schema'
--- a/packages/ctl/src/capacity.ts
+++ b/packages/ctl/src/capacity.ts
@@ -1,7 +1,7 @@
 /**
- * The capacity report from gateways' logs. For each second it counts the engines in each state and the requests that were
- * refused for lack of room. If requests were refused while engines were idle, forming or broken, the planner's decisions or
- * orders took too long; if no engine was in these states, there were too few engines. Pure functions.
+ * The capacity report from gateways' logs. For each second it counts the engines in each state and the requests that
+ * were refused for lack of room. If requests were refused while engines were idle, forming or broken, the planner's
+ * decisions or orders took too long; if no engine was in these states, there were too few engines. Pure functions.
  */
 import { countByName } from './counts.js'
 import { type LogLine } from './explain.js'
--- a/packages/ctl/src/commands.ts
+++ b/packages/ctl/src/commands.ts
@@ -1,6 +1,6 @@
 /**
- * The commands of `eiderwindctl` that call an entry, as data: usage, options and the function to run. `index.ts` registers
- * them with the command-line parser, and `Session` holds the connection.
+ * The commands of `eiderwindctl` that call an entry, as data: usage, options and the function to run. `index.ts`
+ * registers them with the command-line parser, and `Session` holds the connection.
  */
 import { type MessageInitShape } from '@bufbuild/protobuf'
 import { AuditSchema, ConfigurationSchema, StatusSchema, type ServiceSchema } from '@eiderwind/rpc'
--- a/packages/ctl/src/expected.ts
+++ b/packages/ctl/src/expected.ts
@@ -1,6 +1,6 @@
 /**
- * The errors of forecast first events, from gateways' logs, grouped by the inputs of the forecast. Ordinary successes are
- * sampled in the logs: such a line counts as many times as its field `sampled` states. Pure functions.
+ * The errors of forecast first events, from gateways' logs, grouped by the inputs of the forecast. Ordinary successes
+ * are sampled in the logs: such a line counts as many times as its field `sampled` states. Pure functions.
  */
 import { type LogLine } from './explain.js'
 
--- a/packages/ctl/src/index.ts
+++ b/packages/ctl/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The command `eiderwindctl`, the operators' command line. It registers all commands with the parser, runs the chosen one
- * and returns its exit status. It relies on `Session` for calls to an entry.
+ * The command `eiderwindctl`, the operators' command line. It registers all commands with the parser, runs the chosen
+ * one and returns its exit status. It relies on `Session` for calls to an entry.
  */
 import sade, { type Sade } from 'sade'
 import { printCapacity, printExpected, printLate } from './logreports.js'
--- a/packages/ctl/src/late.ts
+++ b/packages/ctl/src/late.ts
@@ -1,7 +1,7 @@
 /**
- * The report on late answers from gateways' logs. For each route and each second it counts late answers by what took most of
- * their time, and requests that got no complete answer. Answers in time are sampled in the logs, so they are not counted.
- * Pure functions.
+ * The report on late answers from gateways' logs. For each route and each second it counts late answers by what took
+ * most of their time, and requests that got no complete answer. Answers in time are sampled in the logs, so they are
+ * not counted. Pure functions.
  */
 import { countByName } from './counts.js'
 import { type LogLine } from './explain.js'
--- a/packages/ctl/src/logreports.ts
+++ b/packages/ctl/src/logreports.ts
@@ -1,6 +1,7 @@
 /**
- * The commands `eiderwindctl capacity`, `late` and `expected`. Each reads log files, prints a report as text or JSON and
- * returns the exit status: `statuses.usage` if a file cannot be read. `capacity.ts`, `late.ts` and `expected.ts` compute the rows.
+ * The commands `eiderwindctl capacity`, `late` and `expected`. Each reads log files, prints a report as text or JSON
+ * and returns the exit status: `statuses.usage` if a file cannot be read. `capacity.ts`, `late.ts` and `expected.ts`
+ * compute the rows.
  */
 import { capacity, engineStates, noRoomOutcomes, type CapacityRow } from './capacity.js'
 import { expectedErrors, type ErrorRow } from './expected.js'
--- a/packages/ctl/src/session.ts
+++ b/packages/ctl/src/session.ts
@@ -1,6 +1,6 @@
 /**
- * One run of a command: the connection to an entry, the operator's token, and the output of results. It reads tokens and
- * secrets from files or the environment and never prints them.
+ * One run of a command: the connection to an entry, the operator's token, and the output of results. It reads tokens
+ * and secrets from files or the environment and never prints them.
  */
 import { createHash, randomUUID } from 'node:crypto'
 import { readFileSync } from 'node:fs'
