--- a/packages/emulator/src/engines.ts
+++ b/packages/emulator/src/engines.ts
@@ -1,6 +1,7 @@
 /**
- * Emulated engines that take orders as the platform's do, on a manual clock: what they hold, the replicas that they form, how long that
- * takes, how they die, leave and answer late. They note each rule that an order breaks. Owns the engines and the roster that lists them.
+ * Emulated engines on a manual clock that carry out orders as the platform's engines do. They load weights, form
+ * replicas, die, leave and answer late, and they record each order that breaks a rule. Owns the engines and the roster
+ * that lists them.
  */
 import { type ManualClock } from '@eiderwind/clock'
 import { Probes, type EngineReport, type NodeAddress } from '@eiderwind/detect'
@@ -12,20 +13,29 @@
   upstream: Upstream
   alive: boolean
   reachable: boolean
-  seenEpoch: number
-  pulse: number
-  /** The model whose weights it has in use, also once it has left its replica and names none. */
-  inUse: string | undefined
+  maxEpoch: number
+  heartbeats: number
+  /**
+   * The model whose weights are in use. It stays set after the engine has left its replica, when its record names no
+   * model.
+   */
+  modelInUse: string | undefined
 }
 
-/** Broken rules, as the engines see them. */
-export type Broken = 'partial' | 'two' | 'loads'
+/**
+ * A broken rule. `partial`: a head was opened before all members of its replica were ready, or with a wrong number of
+ * members. `two`: an engine was taken for another replica while its old one was open or closing. `loads`: loads
+ * exceeded the rate of the weight store.
+ */
+export type Violation = 'partial' | 'two' | 'loads'
 
-/** Time after which a dead node is no longer listed, and after which a standing head breaks, in ms. */
-const listedTime = 3600
-const stallTime = 6000
+/** Time after its death at which an engine is no longer listed, in ms. */
+const unlistDelay = 3600
 
-/** A service with the settings of its engines. */
+/** Time after the death of a member at which the head changes its state to `broken`, in ms. */
+const headBreakDelay = 6000
+
+/** A model service, whose engine settings are present. */
 export interface EngineService extends Service {
   readonly engine: Engine
 }
@@ -35,33 +45,36 @@
   readonly clock: ManualClock
   readonly outage: Outage
   readonly roster: Roster
-  readonly broken: Broken[] = []
-  readonly given: Order[] = []
-  readonly loadsAt: number[] = []
-  /** Time until the platform lists a change of an engine, in ms. */
-  lag = 0
-  /** Age of what an engine says of itself when it is asked, in ms. */
-  reportLag = 0
-  /** Time until a probe of an engine that does not answer is given up, in ms. */
-  probeTime = 0
-  /** Engines whose pulse was looked at. */
-  readonly felt = new Set<string>()
-  /** Factor on the times of loads from the weight store, which are shorter before any caller is served. */
+  readonly violations: Violation[] = []
+  readonly sentOrders: Order[] = []
+  readonly loadTimes: number[] = []
+  /** Time until the roster shows a change of an engine, in ms. */
+  listingDelay = 0
+  /** Age of the state that an engine reports when it is probed, in ms. */
+  reportDelay = 0
+  /** Time after which a probe of an engine that does not answer fails, in ms. */
+  probeTimeout = 0
+  /** Engines whose heartbeat was read. */
+  readonly observedHeartbeats = new Set<string>()
+  /** Factor on the time of loads from the weight store. Loads take less time before any caller is served. */
   loadFactor = 1
-  /** Engines that take orders but answer no question. */
-  readonly mute = new Set<string>()
-  /** Orders that are left unanswered and carried out late, by their place in the order in which they are given. */
-  late: (order: Order) => number | undefined = () => undefined
+  /** Engines that carry out orders but answer no probe. */
+  readonly unresponsive = new Set<string>()
+  /**
+   * The delay of an order that stays unanswered and is carried out late, in ms; undefined if it is carried out at
+   * once.
+   */
+  orderDelay: (order: Order) => number | undefined = () => undefined
   readonly #nodes = new Map<string, Node>()
-  /** Which members were ever ready, by replica and epoch, and the list that each was given. */
+  /** The members that were ever ready, by replica and epoch. */
   readonly #ready = new Map<string, Set<string>>()
-  readonly #lists = new Map<string, readonly string[]>()
-
-  /** What engines say of themselves, where that is older than what they do. */
+  /** The list of members in the last order to join, by replica and epoch. */
+  readonly #memberLists = new Map<string, readonly string[]>()
+  /** The state that engines report, where it is older than their actual state (`reportDelay`). */
   readonly #reported = new Map<string, EngineReport>()
   readonly #service: EngineService
 
-  /** The service as it is configured. */
+  /** The service, as in the configuration. */
   get service (): EngineService {
     return this.#service
   }
@@ -74,35 +87,35 @@
     this.roster = new Roster(clock, this.outage)
   }
 
-  /** Adds an engine. @param staged what its host holds; nothing in a new one */
+  /** Adds an engine. @param staged models whose weights its host holds; none for a new host */
   add (id: string, domain: string, staged: readonly string[] = [], dataCentre = 'dc'): void {
     const upstream: Upstream = { id, service: this.#service.name, address: `${id}:1`, dataCentre, leaving: false, domain, loaded: [], staged: [...staged] }
-    this.#nodes.set(id, { upstream, alive: true, reachable: true, seenEpoch: 0, pulse: 0, inUse: undefined })
+    this.#nodes.set(id, { upstream, alive: true, reachable: true, maxEpoch: 0, heartbeats: 0, modelInUse: undefined })
     this.roster.replace([...this.roster.upstreams, upstream])
   }
 
-  /** The engine dies without a word. The platform drops it from the list later. */
+  /** The engine dies without notice. The roster lists it until `unlistDelay` has passed. */
   kill (id: string): void {
     const node = this.#node(id)
     node.alive = false
-    this.clock.after(listedTime, () => this.roster.apply([{ gone: id }]))
-    for (const head of this.#heads()) {
+    this.clock.after(unlistDelay, () => this.roster.apply([{ gone: id }]))
+    for (const head of this.#openHeads()) {
       if (this.#members(head).includes(id) && head.upstream.id !== id) {
         const { replica, epoch } = head.upstream.membership as Membership
-        this.clock.after(stallTime, () => {
-          if (head.upstream.membership?.replica === replica && head.upstream.membership.epoch === epoch) this.#be(head, 'broken')
+        this.clock.after(headBreakDelay, () => {
+          if (head.upstream.membership?.replica === replica && head.upstream.membership.epoch === epoch) this.#setState(head, 'broken')
         })
       }
     }
   }
 
-  /** The platform drops the engine from its list; the engine serves on, and answers this process or does not. */
+  /** Removes a live engine from the roster. It continues to serve. @param reachable whether it still answers calls */
   unlist (id: string, reachable: boolean): void {
     this.#node(id).reachable = reachable
     this.roster.apply([{ gone: id }])
   }
 
-  /** The platform lists an engine again that it dropped, as it is now. */
+  /** Lists a removed engine again, with its present state. */
   relist (id: string): void {
     const node = this.#node(id)
     node.reachable = true
@@ -110,48 +123,50 @@
   }
 
   leave (id: string): void {
-    this.#change(this.#node(id), { leaving: true })
+    this.#update(this.#node(id), { leaving: true })
   }
 
   upstream (id: string): Upstream {
     return this.#node(id).upstream
   }
 
-  /** Heads that serve, with the ids of their members. */
-  get open (): Array<{ head: string, model: string, members: readonly string[] }> {
-    return this.#heads().filter(each => each.alive).map(each => ({ head: each.upstream.id, model: each.upstream.loaded[0], members: this.#members(each) }))
+  /** Open replicas: the head, its model and the ids of its members. */
+  get openReplicas (): Array<{ head: string, model: string, members: readonly string[] }> {
+    return this.#openHeads().filter(each => each.alive).map(each => ({ head: each.upstream.id, model: each.upstream.loaded[0], members: this.#members(each) }))
   }
 
-  /** Replicas that serve: their head is open and listed, and all their members live. By model. */
+  /**
+   * Number of serving replicas by model. A replica serves if its head is open and listed and all its members are live.
+   */
   get serving (): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {}
-    for (const { model, head, members } of this.open) {
+    for (const { model, head, members } of this.openReplicas) {
       if (this.roster.find(head) !== undefined && members.every(id => this.#nodes.get(id)?.alive === true)) counts[model] = (counts[model] ?? 0) + 1
     }
     return counts
   }
 
-  /** Ids of the engines that live. */
-  get living (): string[] {
+  /** Ids of the live engines. */
+  get liveEngines (): string[] {
     return [...this.#nodes].filter(([_id, { alive }]) => alive).map(([id]) => id)
   }
 
-  /** Heads whose replica lacks a living member: their requests stand still. */
-  get stalled (): string[] {
-    return this.open.filter(({ members }) => members.some(id => this.#nodes.get(id)?.alive !== true)).map(each => each.head)
+  /** Heads of open replicas with a dead member. Their requests make no progress. */
+  get stalledHeads (): string[] {
+    return this.openReplicas.filter(({ members }) => members.some(id => this.#nodes.get(id)?.alive !== true)).map(each => each.head)
   }
 
   async give (order: Order): Promise<OrderResult> {
-    this.given.push(order)
+    this.sentOrders.push(order)
     const node = this.#nodes.get(order.node)
     if (node === undefined || !node.alive || !node.reachable) return 'unanswered'
-    const late = this.late(order)
+    const late = this.orderDelay(order)
     if (late === undefined) return this.#carryOut(node, order)
     this.clock.after(late, () => { if (node.alive) this.#carryOut(node, order) })
     return 'unanswered'
   }
 
-  /** What the nodes answer when they are asked after. */
+  /** The answers of the engines to probes. */
   readonly probes: Probes = new EmulatedProbes({
     isReachable: async address => await this.#answers(address.split(':')[0]),
     report: async ({ id }) => {
@@ -160,17 +175,17 @@
       return await this.#answers(id) ? report : undefined
     },
     heartbeatOf: async id => {
-      this.felt.add(id)
+      this.observedHeartbeats.add(id)
       const node = this.#nodes.get(id)
       if (node === undefined || this.roster.find(id) === undefined) return undefined
-      return node.alive ? ++node.pulse : node.pulse
+      return node.alive ? ++node.heartbeats : node.heartbeats
     }
   })
 
   async #answers (id: string): Promise<boolean> {
     const node = this.#node(id)
-    const reachable = node.alive && node.reachable && !this.mute.has(id)
-    if (!reachable && this.probeTime > 0) await new Promise<void>(resolve => { this.clock.after(this.probeTime, resolve) })
+    const reachable = node.alive && node.reachable && !this.unresponsive.has(id)
+    if (!reachable && this.probeTimeout > 0) await new Promise<void>(resolve => { this.clock.after(this.probeTimeout, resolve) })
     return reachable
   }
 
@@ -186,100 +201,100 @@
 
   #join (node: Node, order: Order): OrderResult {
     const key = `${order.replica} ${order.epoch}`
-    if (this.#fits(node, order)) return 'taken'
-    if (order.epoch < node.seenEpoch) return 'stale'
+    if (this.#isMember(node, order)) return 'taken'
+    if (order.epoch < node.maxEpoch) return 'stale'
     const own = node.upstream.membership
     const head = [...this.#nodes.values()].find(each => each.alive && each.upstream.membership?.rank === 0 && each.upstream.membership.replica === own?.replica && each.upstream.membership.epoch === own.epoch)
     const state = head?.upstream.membership?.state
-    if (state === 'open' || state === 'closing') this.broken.push('two')
-    node.seenEpoch = order.epoch
+    if (state === 'open' || state === 'closing') this.violations.push('two')
+    node.maxEpoch = order.epoch
     const members = order.members as readonly string[]
-    this.#lists.set(key, members)
+    this.#memberLists.set(key, members)
     const model = order.model as string
     const { load, warm } = this.#service.engine.models.find(each => each.name === model) as Engine['models'][number]
     const { staged } = node.upstream
-    const needsLoad = node.inUse !== model && !staged.includes(model)
-    const time = node.inUse === model ? 200 : needsLoad ? load * this.loadFactor : warm
-    if (needsLoad) this.#loads()
-    this.#change(node, { membership: { replica: order.replica, epoch: order.epoch, rank: members.indexOf(order.node), state: 'joining' }, loaded: [], staged })
+    const needsLoad = node.modelInUse !== model && !staged.includes(model)
+    const time = node.modelInUse === model ? 200 : needsLoad ? load * this.loadFactor : warm
+    if (needsLoad) this.#recordLoad()
+    this.#update(node, { membership: { replica: order.replica, epoch: order.epoch, rank: members.indexOf(order.node), state: 'joining' }, loaded: [], staged })
     this.clock.after(time, () => {
-      if (!node.alive || !this.#fits(node, order) || node.upstream.membership?.state !== 'joining') return
+      if (!node.alive || !this.#isMember(node, order) || node.upstream.membership?.state !== 'joining') return
       const ready = this.#ready.get(key) ?? new Set<string>()
       this.#ready.set(key, ready.add(order.node))
-      node.inUse = model
-      this.#change(node, { loaded: [model], staged: [model] })
-      this.#be(node, 'ready')
+      node.modelInUse = model
+      this.#update(node, { loaded: [model], staged: [model] })
+      this.#setState(node, 'ready')
     })
     return 'taken'
   }
 
   #open (node: Node, order: Order): OrderResult {
-    if (!this.#fits(node, order) || node.upstream.membership?.state !== 'ready') return 'refused'
+    if (!this.#isMember(node, order) || node.upstream.membership?.state !== 'ready') return 'refused'
     const key = `${order.replica} ${order.epoch}`
-    const list = this.#lists.get(key) ?? []
+    const list = this.#memberLists.get(key) ?? []
     const size = this.#service.engine.models.find(each => each.name === node.upstream.loaded[0])?.size
-    if (list.length !== size || list.some(id => this.#ready.get(key)?.has(id) !== true)) this.broken.push('partial')
-    this.#be(node, 'open')
+    if (list.length !== size || list.some(id => this.#ready.get(key)?.has(id) !== true)) this.violations.push('partial')
+    this.#setState(node, 'open')
     return 'taken'
   }
 
   #close (node: Node, order: Order): OrderResult {
-    if (!this.#fits(node, order)) return 'refused'
-    if (node.upstream.membership?.state === 'open') this.#be(node, 'ready')
+    if (!this.#isMember(node, order)) return 'refused'
+    if (node.upstream.membership?.state === 'open') this.#setState(node, 'ready')
     return 'taken'
   }
 
   #leave (node: Node, order: Order): OrderResult {
-    if (!this.#fits(node, order)) return 'refused'
-    this.#change(node, { membership: undefined, loaded: [] })
+    if (!this.#isMember(node, order)) return 'refused'
+    this.#update(node, { membership: undefined, loaded: [] })
     return 'taken'
   }
 
   #stage (node: Node, order: Order): OrderResult {
     const model = order.model as string
     if (node.upstream.staged.includes(model)) return 'taken'
-    this.#loads()
+    this.#recordLoad()
     const time = this.#service.engine.models.find(each => each.name === model)?.load as number * this.loadFactor
-    this.clock.after(time, () => { if (node.alive) this.#change(node, { staged: [model] }) })
+    this.clock.after(time, () => { if (node.alive) this.#update(node, { staged: [model] }) })
     return 'taken'
   }
 
-  #loads (): void {
+  #recordLoad (): void {
     const now = this.clock.now()
-    this.loadsAt.push(now)
+    this.loadTimes.push(now)
     const span = 5000
-    if (this.loadsAt.filter(at => at > now - span).length > this.#service.engine.loadRate * 5 * 1.1 + 3) this.broken.push('loads')
+    if (this.loadTimes.filter(at => at > now - span).length > this.#service.engine.loadRate * 5 * 1.1 + 3) this.violations.push('loads')
   }
 
-  #fits ({ upstream: { membership } }: Node, { replica, epoch }: Order): boolean {
+  #isMember ({ upstream: { membership } }: Node, { replica, epoch }: Order): boolean {
     return membership?.replica === replica && membership.epoch === epoch
   }
 
-  #be (node: Node, state: Membership['state']): void {
-    this.#change(node, { membership: { ...node.upstream.membership as Membership, state } })
+  #setState (node: Node, state: Membership['state']): void {
+    this.#update(node, { membership: { ...node.upstream.membership as Membership, state } })
   }
 
-  #change (node: Node, difference: Partial<Upstream>): void {
+  #update (node: Node, difference: Partial<Upstream>): void {
     const changed = { ...node.upstream, ...difference }
     node.upstream = changed
     const { loaded, staged, membership, leaving } = changed
-    if (this.reportLag > 0) this.clock.after(this.reportLag, () => this.#reported.set(changed.id, { loaded, staged, membership, leaving }))
+    if (this.reportDelay > 0) this.clock.after(this.reportDelay, () => this.#reported.set(changed.id, { loaded, staged, membership, leaving }))
     const list = (): void => { if (this.roster.find(changed.id) !== undefined) this.roster.apply([{ upstream: changed }]) }
-    if (this.lag > 0) this.clock.after(this.lag, list)
+    if (this.listingDelay > 0) this.clock.after(this.listingDelay, list)
     else list()
   }
 
-  /** The engine answers no call any more, or again; its work goes on. */
-  reach (id: string, reachable: boolean): void {
+  /** Makes the engine stop or start answering calls. It continues to serve. */
+  setReachable (id: string, reachable: boolean): void {
     this.#node(id).reachable = reachable
   }
 
-  #heads (): Node[] {
+  #openHeads (): Node[] {
     return [...this.#nodes.values()].filter(each => each.upstream.membership?.rank === 0 && each.upstream.membership.state === 'open')
   }
 
   #members ({ upstream: { membership } }: Node): readonly string[] {
-    return this.#lists.get(`${membership?.replica ?? ''} ${membership?.epoch ?? 0}`) ?? []
+    return this.#memberLists.get(`${membership?.replica ?? ''} ${membership?.epoch ?? 0}`) ?? []
   }
 
   #node (id: string): Node {
--- a/packages/emulator/src/index.ts
+++ b/packages/emulator/src/index.ts
@@ -1,4 +1,6 @@
-/** An emulation of engines that form replicas, and the tool that compares decisions on it. */
-export { Day, playDay, type DayResult } from './day.js'
-export { EmulatedEngines, type Broken, type EngineService } from './engines.js'
-export { pass, planner, type PlannerOptions } from './planner.js'
+/**
+ * Emulated engines that form replicas under the real planner, and simulated days that measure the planner's decisions.
+ */
+export { Day, simulateDay, type DayResult } from './day.js'
+export { EmulatedEngines, type Violation, type EngineService } from './engines.js'
+export { advance, createPlanner, type PlannerOptions } from './planner.js'
--- a/packages/emulator/src/planner.ts
+++ b/packages/emulator/src/planner.ts
@@ -1,28 +1,30 @@
-/** The real planner over emulated engines, and the passing of time. */
+/** The real planner on emulated engines, and the advance of their clock. */
 import { Reconciler, type Demand, type Placements } from '@eiderwind/forming'
 import { type EmulatedEngines } from './engines.js'
 
-/** What a planner of an emulation may be told; by default it leads, suspects nobody, knows no demand and no other planner. */
+/**
+ * Options of a planner. By default it acts for all domains, and there are no suspects, no demand and no other planner.
+ */
 export interface PlannerOptions {
   readonly suspects?: ReadonlySet<string>
-  readonly acts?: () => boolean
-  readonly wokeAt?: () => number
-  /** Whether no caller was served yet. */
-  readonly unserved?: () => boolean
-  /** Another planner, whose loads this one hears of. */
-  readonly others?: () => Reconciler | undefined
+  readonly isActing?: () => boolean
+  readonly resumedAt?: () => number
+  /** Whether no caller has been served yet. */
+  readonly beforeTraffic?: () => boolean
+  /** Another planner, whose loads this one takes into account. */
+  readonly otherPlanner?: () => Reconciler | undefined
   readonly demand?: () => Demand
-  /** How long engines are kept that answer and are not listed, in ms. */
+  /** Time for which engines that answer but are not listed stay in their replicas, in ms. */
   readonly keepUnlisted?: number
   /** Whether spares load weights before they are needed. */
   readonly warmSpares?: boolean
 }
 
-/** Time between two writes of an engine to the platform's list, in ms. */
+/** Time between two heartbeats of an engine to the store, in ms. */
 const heartbeatInterval = 1200
 
-/** A planner over emulated engines. */
-export function planner (engines: EmulatedEngines, placements: Placements, options: PlannerOptions = {}): Reconciler {
+/** Creates a planner on emulated engines. */
+export function createPlanner (engines: EmulatedEngines, placements: Placements, options: PlannerOptions = {}): Reconciler {
   return new Reconciler({
     clock: engines.clock,
     roster: engines.roster,
@@ -30,14 +32,14 @@
     probes: engines.probes,
     placements,
     services: () => [engines.service],
-    leads: options.acts ?? (() => true),
+    leads: options.isActing ?? (() => true),
     contested: () => {},
     suspects: () => options.suspects ?? new Set<string>(),
     demand: options.demand ?? (() => new Map()),
-    othersLoads: () => new Map(Object.entries(options.others?.()?.loads ?? {})),
-    beforeTraffic: options.unserved ?? (() => false),
+    othersLoads: () => new Map(Object.entries(options.otherPlanner?.()?.loads ?? {})),
+    beforeTraffic: options.beforeTraffic ?? (() => false),
     heartbeatInterval,
-    resumedAt: options.wokeAt ?? (() => -Infinity),
+    resumedAt: options.resumedAt ?? (() => -Infinity),
     keepUnlisted: options.keepUnlisted ?? 0,
     warmSpares: options.warmSpares ?? false,
     unlisted: () => {},
@@ -49,8 +51,8 @@
   })
 }
 
-/** Lets `time` ms pass in small steps, with everything that is due done between them. */
-export async function pass ({ clock }: EmulatedEngines, time: number): Promise<void> {
+/** Advances the clock by `time` ms in steps of 20 ms, and runs all pending work after each step. */
+export async function advance ({ clock }: EmulatedEngines, time: number): Promise<void> {
   for (let gone = 0; gone < time; gone += 20) {
     clock.advance(20)
     for (let turn = 0; turn < 8; turn++) await Promise.resolve()
--- a/packages/emulator/test/digest.test.ts
+++ b/packages/emulator/test/digest.test.ts
@@ -1,69 +1,72 @@
 /**
- * What the planner decides on fixed seeds, held by a digest: a digest that moves is a change of behaviour. The order in which
- * domains, replicas and engines are looked at is part of it.
+ * Digests of the planner's decisions on fixed seeds. A changed digest is a change of behaviour. The order in which the
+ * planner visits domains, replicas and engines is part of the digest.
  */
 import { createHash } from 'node:crypto'
 import test from 'ava'
 import { ManualClock, seeded } from '@eiderwind/clock'
 import { retarget, type Placement } from '@eiderwind/forming'
-import { MemoryPlacements, World, engine, pass, planner } from './world.js'
+import { MemoryPlacements, World, engine, advance, createPlanner } from './world.js'
 
-/** Placements in memory that note every write in the form in which it is stored. */
-class NotedPlacements extends MemoryPlacements {
+/** Placements in memory that record every write in its stored form. */
+class RecordingPlacements extends MemoryPlacements {
   readonly written: string[] = []
 
   override async write (...[placement, version]: Parameters<MemoryPlacements['write']>): ReturnType<MemoryPlacements['write']> {
-    this.written.push(`${version} ${stored(placement)}`)
+    this.written.push(`${version} ${storedForm(placement)}`)
     return await super.write(placement, version)
   }
 }
 
-function stored ({ domain, epoch, replicas, targets }: Placement): string {
+function storedForm ({ domain, epoch, replicas, targets }: Placement): string {
   return JSON.stringify([domain, epoch, replicas.map(({ name, model, epoch, members, retiring }) => [name, model, epoch, members.map(({ id, address }) => [id, address]), retiring ?? false]), targets])
 }
 
-function ordersOf (made: World): string[] {
-  return made.given.map(({ kind, node, address, replica, epoch, model, members, manner, loads, spare, fence }) => JSON.stringify([kind, node, address, replica, epoch, model ?? '', members ?? [], manner ?? '', loads, spare ?? false, fence]))
+function ordersOf (world: World): string[] {
+  return world.sentOrders.map(({ kind, node, address, replica, epoch, model, members, manner, loads, spare, fence }) => JSON.stringify([kind, node, address, replica, epoch, model ?? '', members ?? [], manner ?? '', loads, spare ?? false, fence]))
 }
 
 function digest (lines: readonly string[]): string {
   return createHash('sha256').update(lines.join('\n')).digest('hex').slice(0, 16)
 }
 
-/** Deaths, departures, arrivals, late orders and new planners by a seed. */
-async function play (seed: number, first: boolean): Promise<string[]> {
-  const made = new World(new ManualClock())
+/**
+ * Runs random deaths, departures, arrivals, late orders and planner restarts. Returns all orders and written
+ * placements.
+ */
+async function runSeed (seed: number, isFirstStart: boolean): Promise<string[]> {
+  const world = new World(new ManualClock())
   for (let domain = 0; domain < 3; domain++) {
-    for (let index = 0; index < 10; index++) made.add(`n${domain}-${index}`, `d${domain}`)
+    for (let index = 0; index < 10; index++) world.add(`n${domain}-${index}`, `d${domain}`)
   }
   const random = seeded(seed)
-  const placements = new NotedPlacements()
+  const placements = new RecordingPlacements()
   const suspects = new Set<string>()
-  let served = !first
-  made.late = order => order.kind !== 'stage' && random() < 0.1 ? 1000 + random() * 9000 : undefined
-  const options = { suspects, unserved: () => !served }
-  let forming = planner(made, placements, options)
-  forming.start()
-  await pass(made, 12_000)
-  served = true
+  let hasTraffic = !isFirstStart
+  world.orderDelay = order => order.kind !== 'stage' && random() < 0.1 ? 1000 + random() * 9000 : undefined
+  const options = { suspects, beforeTraffic: () => !hasTraffic }
+  let reconciler = createPlanner(world, placements, options)
+  reconciler.start()
+  await advance(world, 12_000)
+  hasTraffic = true
   for (let step = 0; step < 20; step++) {
-    const listed = made.roster.upstreams
+    const listed = world.roster.upstreams
     const chosen = listed[Math.floor(random() * listed.length)]
     const draw = random()
-    if (draw < 0.35) made.kill(chosen.id)
-    else if (draw < 0.45) made.leave(chosen.id)
-    else if (draw < 0.55) made.unlist(chosen.id, random() < 0.5)
-    else if (draw < 0.8) made.add(`s${seed}-${step}`, `d${step % 3}`)
+    if (draw < 0.35) world.kill(chosen.id)
+    else if (draw < 0.45) world.leave(chosen.id)
+    else if (draw < 0.55) world.unlist(chosen.id, random() < 0.5)
+    else if (draw < 0.8) world.add(`s${seed}-${step}`, `d${step % 3}`)
     else {
-      forming.stop()
-      forming = planner(made, placements, options)
-      forming.start()
+      reconciler.stop()
+      reconciler = createPlanner(world, placements, options)
+      reconciler.start()
     }
-    for (const { head, members } of made.open) if (members.some(id => made.roster.find(id) === undefined) || members.includes(chosen.id)) suspects.add(head)
-    await pass(made, 300 + random() * 1700)
+    for (const { head, members } of world.openReplicas) if (members.some(id => world.roster.find(id) === undefined) || members.includes(chosen.id)) suspects.add(head)
+    await advance(world, 300 + random() * 1700)
   }
-  forming.stop()
-  return [...ordersOf(made), ...placements.written]
+  reconciler.stop()
+  return [...ordersOf(world), ...placements.written]
 }
 
 const expected: ReadonlyArray<readonly [number, boolean, string]> = [
@@ -74,15 +77,15 @@
   [25, true, 'ab78620b0a050686']
 ]
 
-for (const [seed, first, digested] of expected) {
-  test(`orders and placements of a random world are as before (seed ${seed})`, async t => {
-    const lines = await play(seed, first)
+for (const [seed, isFirstStart, expectedDigest] of expected) {
+  test(`orders and placements of a random schedule equal the recorded digest (seed ${seed})`, async t => {
+    const lines = await runSeed(seed, isFirstStart)
     t.true(lines.length > 60)
-    t.is(digest(lines), digested)
+    t.is(digest(lines), expectedDigest)
   })
 }
 
-test('the targets of random fleets are as before', t => {
+test('the targets of random fleets equal the recorded digest', t => {
   const random = seeded(31)
   const lines: string[] = []
   for (let round = 0; round < 400; round++) {
--- a/packages/emulator/test/forming.test.ts
+++ b/packages/emulator/test/forming.test.ts
@@ -1,471 +1,471 @@
-/** Replicas are formed, opened, mended and dissolved by orders, and four rules hold whatever happens. */
+/** Replicas are formed, opened, repaired and dissolved by orders. No sequence of faults makes an order break a rule. */
 import test, { type ExecutionContext } from 'ava'
 import { ManualClock, seeded } from '@eiderwind/clock'
 import { type Upstream } from '@eiderwind/roster'
 import { type Reconciler } from '@eiderwind/forming'
-import { playSchedule } from './schedules.js'
-import { MemoryPlacements, World, pass, planner } from './world.js'
+import { runSchedule } from './schedules.js'
+import { MemoryPlacements, World, advance, createPlanner } from './world.js'
 
-function world (domains: number, size = 10): World {
-  const made = new World(new ManualClock())
+function createWorld (domains: number, size = 10): World {
+  const world = new World(new ManualClock())
   for (let domain = 0; domain < domains; domain++) {
-    for (let index = 0; index < size; index++) made.add(`n${domain}-${index}`, `d${domain}`)
+    for (let index = 0; index < size; index++) world.add(`n${domain}-${index}`, `d${domain}`)
   }
-  return made
+  return world
 }
 
-async function formed (made: World, placements = new MemoryPlacements(), suspects = new Set<string>()): Promise<Reconciler> {
-  const forming = planner(made, placements, { suspects })
-  forming.start()
-  await pass(made, 20_000)
-  return forming
+async function startPlanner (world: World, placements = new MemoryPlacements(), suspects = new Set<string>()): Promise<Reconciler> {
+  const reconciler = createPlanner(world, placements, { suspects })
+  reconciler.start()
+  await advance(world, 20_000)
+  return reconciler
 }
 
-/** The planner's own count: every replica that is open has all its members, alive and in no other. */
-function sound (t: ExecutionContext, made: World): void {
-  t.deepEqual(made.broken, [])
-  const members = made.open.flatMap(each => each.members)
+/** Asserts that no order broke a rule and that no engine is in two open replicas. */
+function assertSound (t: ExecutionContext, world: World): void {
+  t.deepEqual(world.violations, [])
+  const members = world.openReplicas.flatMap(each => each.members)
   t.is(new Set(members).size, members.length)
 }
 
-function count (made: World, model: string): number {
-  return made.open.filter(each => each.model === model).length
+function openCount (world: World, model: string): number {
+  return world.openReplicas.filter(each => each.model === model).length
 }
 
 test('engines that hold nothing become replicas of each model, with a spare for each model in each domain', async t => {
-  const made = world(3)
-  const forming = await formed(made)
-  t.is(count(made, 'large'), 3)
-  t.is(count(made, 'small'), 6)
-  const members = new Set(made.open.flatMap(each => each.members))
-  const spares = made.roster.upstreams.filter(each => !members.has(each.id))
+  const world = createWorld(3)
+  const reconciler = await startPlanner(world)
+  t.is(openCount(world, 'large'), 3)
+  t.is(openCount(world, 'small'), 6)
+  const members = new Set(world.openReplicas.flatMap(each => each.members))
+  const spares = world.roster.upstreams.filter(each => !members.has(each.id))
   t.deepEqual(spares.map(each => `${each.domain} ${each.staged}`).sort(), ['d0 large', 'd0 small', 'd1 large', 'd1 small', 'd2 large', 'd2 small'])
-  sound(t, made)
-  forming.stop()
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('each model is spread evenly over the domains', async t => {
-  const made = world(3)
-  const forming = await formed(made)
-  const places = made.open.map(each => `${made.upstream(each.head).domain ?? ''} ${each.model}`).sort()
+test('the replicas of each model are spread evenly over the domains', async t => {
+  const world = createWorld(3)
+  const reconciler = await startPlanner(world)
+  const places = world.openReplicas.map(each => `${world.upstream(each.head).domain ?? ''} ${each.model}`).sort()
   t.deepEqual(places, ['d0 large', 'd0 small', 'd0 small', 'd1 large', 'd1 small', 'd1 small', 'd2 large', 'd2 small', 'd2 small'])
-  forming.stop()
+  reconciler.stop()
 })
 
 test('a system whose engines come one by one gets replicas of every model, as if they had come at once', async t => {
-  const made = new World(new ManualClock())
-  const forming = planner(made, new MemoryPlacements(), { unserved: () => true })
-  forming.start()
+  const world = new World(new ManualClock())
+  const reconciler = createPlanner(world, new MemoryPlacements(), { beforeTraffic: () => true })
+  reconciler.start()
   for (let index = 0; index < 18; index++) {
-    for (let domain = 0; domain < 3; domain++) made.add(`n${domain}-${index}`, `d${domain}`)
-    await pass(made, 160)
+    for (let domain = 0; domain < 3; domain++) world.add(`n${domain}-${index}`, `d${domain}`)
+    await advance(world, 160)
   }
-  await pass(made, 18_000)
-  const atOnce = world(3, 18)
-  const other = await formed(atOnce)
+  await advance(world, 18_000)
+  const atOnce = createWorld(3, 18)
+  const other = await startPlanner(atOnce)
   other.stop()
   for (const model of ['large', 'small']) {
-    t.true(count(made, model) > 0)
-    t.is(count(made, model), count(atOnce, model), model)
+    t.true(openCount(world, model) > 0)
+    t.is(openCount(world, model), openCount(atOnce, model), model)
   }
-  t.deepEqual(made.loadsAt.filter((at, index) => made.loadsAt.filter(each => each > at - 1200 && each <= at).length > 6), [])
-  t.deepEqual(made.broken.filter(each => each !== 'loads'), [])
-  forming.stop()
+  t.deepEqual(world.loadTimes.filter((at, index) => world.loadTimes.filter(each => each > at - 1200 && each <= at).length > 6), [])
+  t.deepEqual(world.violations.filter(each => each !== 'loads'), [])
+  reconciler.stop()
 })
 
-test('a domain that was dark and comes back engine by engine serves what it did, from what its hosts hold', async t => {
-  const made = world(3)
-  const forming = planner(made, new MemoryPlacements(), { demand: () => new Map([['large', 0.25], ['small', 0.75]]) })
-  forming.start()
-  await pass(made, 20_000)
-  for (const { id } of made.roster.upstreams.filter(each => each.domain === 'd0')) made.kill(id)
-  await pass(made, 8000)
-  t.deepEqual([count(made, 'large'), count(made, 'small')], [2, 4])
-  const needed = (): number => made.given.filter(each => each.loads && each.spare !== true).length
+test('a domain that was dark and comes back engine by engine serves the same replicas again from the weights on its hosts', async t => {
+  const world = createWorld(3)
+  const reconciler = createPlanner(world, new MemoryPlacements(), { demand: () => new Map([['large', 0.25], ['small', 0.75]]) })
+  reconciler.start()
+  await advance(world, 20_000)
+  for (const { id } of world.roster.upstreams.filter(each => each.domain === 'd0')) world.kill(id)
+  await advance(world, 8000)
+  t.deepEqual([openCount(world, 'large'), openCount(world, 'small')], [2, 4])
+  const needed = (): number => world.sentOrders.filter(each => each.loads && each.spare !== true).length
   const before = needed()
   for (let index = 0; index < 10; index++) {
-    made.add(`back-${index}`, 'd0', index < 5 ? ['small'] : ['large'])
-    await pass(made, 40)
+    world.add(`back-${index}`, 'd0', index < 5 ? ['small'] : ['large'])
+    await advance(world, 40)
   }
-  await pass(made, 2500)
-  t.deepEqual([count(made, 'large'), count(made, 'small')], [3, 6])
+  await advance(world, 2500)
+  t.deepEqual([openCount(world, 'large'), openCount(world, 'small')], [3, 6])
   t.is(needed(), before)
-  sound(t, made)
-  forming.stop()
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('an engine that has taken an order to load is not told again while it loads', async t => {
-  const made = world(3)
-  const forming = await formed(made)
-  const stages = made.given.filter(each => each.kind === 'stage').map(each => `${each.node} ${each.model ?? ''}`)
+test('an engine that has taken an order to load gets no second one while it loads', async t => {
+  const world = createWorld(3)
+  const reconciler = await startPlanner(world)
+  const stages = world.sentOrders.filter(each => each.kind === 'stage').map(each => `${each.node} ${each.model ?? ''}`)
   t.true(stages.length >= 6)
   t.deepEqual(stages.filter((each, index) => stages.indexOf(each) < index), [])
-  forming.stop()
+  reconciler.stop()
 })
 
-test('a member that dies is replaced by a spare that holds the weights, and the others are kept', async t => {
-  const made = world(3)
+test('a dead member is replaced by a spare that holds the weights, and the other members stay', async t => {
+  const world = createWorld(3)
   const suspects = new Set<string>()
-  const forming = await formed(made, new MemoryPlacements(), suspects)
-  const victim = made.open.find(each => each.model === 'large') as World['open'][number]
-  made.kill(victim.members[2])
+  const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
+  const victim = world.openReplicas.find(each => each.model === 'large') as World['openReplicas'][number]
+  world.kill(victim.members[2])
   suspects.add(victim.head)
-  await pass(made, 1500)
-  const mended = made.open.find(each => each.head === victim.head && each.model === 'large')
-  t.truthy(mended)
-  t.deepEqual(mended?.members.filter(id => victim.members.includes(id)).length, 3)
-  t.false(mended?.members.includes(victim.members[2]))
-  sound(t, made)
-  forming.stop()
+  await advance(world, 1500)
+  const repaired = world.openReplicas.find(each => each.head === victim.head && each.model === 'large')
+  t.truthy(repaired)
+  t.deepEqual(repaired?.members.filter(id => victim.members.includes(id)).length, 3)
+  t.false(repaired?.members.includes(victim.members[2]))
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('the first loss of a domain is mended without a load, whichever model it strikes', async t => {
+test('the first dead member of a domain is replaced without a load, whichever model it served', async t => {
   for (const model of ['large', 'small']) {
-    const made = world(3)
+    const world = createWorld(3)
     const suspects = new Set<string>()
-    const forming = await formed(made, new MemoryPlacements(), suspects)
-    const wanted = count(made, model)
-    const victim = made.open.find(each => each.model === model) as World['open'][number]
-    const before = made.given.length
-    made.kill(victim.members[1])
+    const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
+    const wanted = openCount(world, model)
+    const victim = world.openReplicas.find(each => each.model === model) as World['openReplicas'][number]
+    const before = world.sentOrders.length
+    world.kill(victim.members[1])
     suspects.add(victim.head)
-    await pass(made, 1000)
-    t.is(count(made, model), wanted, model)
-    t.false(made.given.slice(before).some(each => each.kind === 'join' && each.loads), model)
-    sound(t, made)
-    forming.stop()
+    await advance(world, 1000)
+    t.is(openCount(world, model), wanted, model)
+    t.false(world.sentOrders.slice(before).some(each => each.kind === 'join' && each.loads), model)
+    assertSound(t, world)
+    reconciler.stop()
   }
 })
 
-test('a model that is hardly served gets engines of others before the dead head of its replica is certain', async t => {
-  const made = world(3)
+test('a model with hardly any replica gets engines of other models before the death of its head is certain', async t => {
+  const world = createWorld(3)
   const suspects = new Set<string>()
-  const forming = await formed(made, new MemoryPlacements(), suspects)
-  const domainOf = (id: string): string | undefined => made.upstream(id).domain
-  const smallIn = (domain: string | undefined): string[] => made.open.filter(each => each.model === 'small' && domainOf(each.head) === domain).map(each => each.head)
-  const large = made.open.filter(each => each.model === 'large')
-  const doomed = large.find(each => smallIn(domainOf(each.head)).length > 0) as World['open'][number]
-  const lost = large.find(each => domainOf(each.head) !== domainOf(doomed.head)) as World['open'][number]
-  const domain = domainOf(doomed.head)
+  const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
+  const domainOf = (id: string): string | undefined => world.upstream(id).domain
+  const smallIn = (domain: string | undefined): string[] => world.openReplicas.filter(each => each.model === 'small' && domainOf(each.head) === domain).map(each => each.head)
+  const large = world.openReplicas.filter(each => each.model === 'large')
+  const headless = large.find(each => smallIn(domainOf(each.head)).length > 0) as World['openReplicas'][number]
+  const lost = large.find(each => domainOf(each.head) !== domainOf(headless.head)) as World['openReplicas'][number]
+  const domain = domainOf(headless.head)
   const small = smallIn(domain)
-  const spare = made.roster.upstreams.find(each => each.domain === domain && each.membership === undefined && each.staged.includes('large'))
-  for (const id of [...lost.members, spare?.id as string]) made.kill(id)
+  const spare = world.roster.upstreams.find(each => each.domain === domain && each.membership === undefined && each.staged.includes('large'))
+  for (const id of [...lost.members, spare?.id as string]) world.kill(id)
   suspects.add(lost.head)
-  await pass(made, 5000)
-  made.kill(doomed.head)
-  suspects.add(doomed.head)
-  const before = made.given.length
-  await pass(made, 1000)
-  t.true(made.given.slice(before).some(each => each.kind === 'close' && small.includes(each.node)))
-  await pass(made, 4000)
-  t.true(made.open.filter(each => each.model === 'large').length >= 2)
-  sound(t, made)
-  forming.stop()
+  await advance(world, 5000)
+  world.kill(headless.head)
+  suspects.add(headless.head)
+  const before = world.sentOrders.length
+  await advance(world, 1000)
+  t.true(world.sentOrders.slice(before).some(each => each.kind === 'close' && small.includes(each.node)))
+  await advance(world, 4000)
+  t.true(world.openReplicas.filter(each => each.model === 'large').length >= 2)
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('the pulse of a head is felt from the first suspicion on, and a suspicion alone ends nothing', async t => {
-  const made = world(3)
+test('the heartbeat of a head is read from the first suspicion on, and a suspicion alone causes no order', async t => {
+  const world = createWorld(3)
   const suspects = new Set<string>()
-  const forming = await formed(made, new MemoryPlacements(), suspects)
-  const [{ head }] = made.open
-  t.false(made.felt.has(head))
+  const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
+  const [{ head }] = world.openReplicas
+  t.false(world.observedHeartbeats.has(head))
   suspects.add(head)
-  await pass(made, 100)
-  t.true(made.felt.has(head))
-  const before = made.given.length
-  await pass(made, 4000)
-  t.deepEqual(made.given.slice(before), [])
-  forming.stop()
+  await advance(world, 100)
+  t.true(world.observedHeartbeats.has(head))
+  const before = world.sentOrders.length
+  await advance(world, 4000)
+  t.deepEqual(world.sentOrders.slice(before), [])
+  reconciler.stop()
 })
 
-test('an engine whose entry is missing since an outage is put into no replica', async t => {
-  const made = world(3)
+test('an engine whose entry is missing since an outage of the store is put into no replica', async t => {
+  const world = createWorld(3)
   const suspects = new Set<string>()
-  const forming = await formed(made, new MemoryPlacements(), suspects)
-  const victim = made.open.find(each => each.model === 'small') as World['open'][number]
-  const wanted = count(made, 'small')
-  const { domain } = made.upstream(victim.head)
-  const spare = made.roster.upstreams.find(each => each.domain === domain && each.membership === undefined && each.staged.includes('small'))?.id as string
+  const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
+  const victim = world.openReplicas.find(each => each.model === 'small') as World['openReplicas'][number]
+  const wanted = openCount(world, 'small')
+  const { domain } = world.upstream(victim.head)
+  const spare = world.roster.upstreams.find(each => each.domain === domain && each.membership === undefined && each.staged.includes('small'))?.id as string
   for (let times = 0; times < 3; times++) {
-    made.outage.failed(made.clock.now())
-    await pass(made, 1400)
+    world.outage.failed(world.clock.now())
+    await advance(world, 1400)
   }
-  made.outage.answered()
-  made.roster.apply([{ gone: spare }])
-  made.kill(victim.members[1])
+  world.outage.answered()
+  world.roster.apply([{ gone: spare }])
+  world.kill(victim.members[1])
   suspects.add(victim.head)
-  const before = made.given.length
-  await pass(made, 700)
-  t.is(count(made, 'small'), wanted - 1)
-  t.false(made.given.slice(before).some(each => each.node === spare))
-  made.roster.apply([{ upstream: made.upstream(spare) }])
-  await pass(made, 1500)
-  t.true(made.open.some(each => each.members.includes(spare)))
-  sound(t, made)
-  forming.stop()
+  const before = world.sentOrders.length
+  await advance(world, 700)
+  t.is(openCount(world, 'small'), wanted - 1)
+  t.false(world.sentOrders.slice(before).some(each => each.node === spare))
+  world.roster.apply([{ upstream: world.upstream(spare) }])
+  await advance(world, 1500)
+  t.true(world.openReplicas.some(each => each.members.includes(spare)))
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('the members of a dead head are free only once its pulse has stopped and it leaves orders unanswered', async t => {
-  const made = world(3)
+test('the members of a dead head are free only after its heartbeat has stopped and it has left orders unanswered', async t => {
+  const world = createWorld(3)
   const suspects = new Set<string>()
-  const forming = await formed(made, new MemoryPlacements(), suspects)
-  const victim = made.open.find(each => each.model === 'large') as World['open'][number]
-  const before = made.given.length
-  made.kill(victim.head)
+  const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
+  const victim = world.openReplicas.find(each => each.model === 'large') as World['openReplicas'][number]
+  const before = world.sentOrders.length
+  world.kill(victim.head)
   suspects.add(victim.head)
-  await pass(made, 1400)
-  t.false(made.given.slice(before).some(each => each.kind === 'join' && victim.members.includes(each.node)))
-  await pass(made, 2600)
-  t.is(count(made, 'large'), 3)
-  sound(t, made)
-  forming.stop()
+  await advance(world, 1400)
+  t.false(world.sentOrders.slice(before).some(each => each.kind === 'join' && victim.members.includes(each.node)))
+  await advance(world, 2600)
+  t.is(openCount(world, 'large'), 3)
+  assertSound(t, world)
+  reconciler.stop()
 })
 
 test('a head that the platform no longer lists but that still answers is closed before its members are used', async t => {
-  const made = world(3)
-  const forming = await formed(made)
-  const victim = made.open.find(each => each.model === 'large') as World['open'][number]
-  made.unlist(victim.head, true)
-  await pass(made, 3000)
-  t.is(count(made, 'large'), 3)
-  t.not(made.upstream(victim.head).membership?.state, 'open')
-  sound(t, made)
-  forming.stop()
+  const world = createWorld(3)
+  const reconciler = await startPlanner(world)
+  const victim = world.openReplicas.find(each => each.model === 'large') as World['openReplicas'][number]
+  world.unlist(victim.head, true)
+  await advance(world, 3000)
+  t.is(openCount(world, 'large'), 3)
+  t.not(world.upstream(victim.head).membership?.state, 'open')
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('an engine that says that it leaves is replaced', async t => {
-  const made = world(3)
-  const forming = await formed(made)
-  const victim = made.open.find(each => each.model === 'small') as World['open'][number]
-  made.leave(victim.members[1])
-  await pass(made, 6000)
-  t.false(made.open.some(each => each.members.includes(victim.members[1])))
-  t.true(count(made, 'small') >= 5)
-  sound(t, made)
-  forming.stop()
+test('an engine that announces that it leaves is replaced', async t => {
+  const world = createWorld(3)
+  const reconciler = await startPlanner(world)
+  const victim = world.openReplicas.find(each => each.model === 'small') as World['openReplicas'][number]
+  world.leave(victim.members[1])
+  await advance(world, 6000)
+  t.false(world.openReplicas.some(each => each.members.includes(victim.members[1])))
+  t.true(openCount(world, 'small') >= 5)
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('a planner that starts anew takes over what there is and gives no order', async t => {
-  const made = world(3)
+test('a new planner takes over the existing replicas and sends no order', async t => {
+  const world = createWorld(3)
   const placements = new MemoryPlacements()
-  const first = await formed(made, placements)
-  await pass(made, 40_000)
+  const first = await startPlanner(world, placements)
+  await advance(world, 40_000)
   first.stop()
-  const before = made.given.length
-  const second = planner(made, placements)
+  const before = world.sentOrders.length
+  const second = createPlanner(world, placements)
   second.start()
-  await pass(made, 3000)
-  t.deepEqual(made.given.slice(before), [])
-  sound(t, made)
+  await advance(world, 3000)
+  t.deepEqual(world.sentOrders.slice(before), [])
+  assertSound(t, world)
   second.stop()
 })
 
-test('a planner that dies in the middle is followed by one that finishes, with higher epochs and no engine in two replicas', async t => {
-  const made = world(3)
+test('a planner that dies while replicas form is followed by one that completes them, with no engine in two replicas', async t => {
+  const world = createWorld(3)
   const placements = new MemoryPlacements()
-  const first = planner(made, placements)
+  const first = createPlanner(world, placements)
   first.start()
-  await pass(made, 3000)
+  await advance(world, 3000)
   first.stop()
-  const second = planner(made, placements)
+  const second = createPlanner(world, placements)
   second.start()
-  await pass(made, 20_000)
-  t.is(count(made, 'large'), 3)
-  sound(t, made)
+  await advance(world, 20_000)
+  t.is(openCount(world, 'large'), 3)
+  assertSound(t, world)
   second.stop()
 })
 
-test('a head that was told to open is closed before its members are used, also where its state is listed late', async t => {
-  const made = world(3)
+test('a head that got an order to open is closed before its members are used, also if its state is listed late', async t => {
+  const world = createWorld(3)
   const suspects = new Set<string>()
-  const forming = await formed(made, new MemoryPlacements(), suspects)
-  const { head, members } = made.open.find(each => each.model === 'large') as World['open'][number]
-  // It is closed, so that the planner opens it again; the list shows that only after a second.
-  made.lag = 1000
-  const replica = made.upstream(head).membership as NonNullable<Upstream['membership']>
-  await made.give({ kind: 'close', node: head, address: `${head}:1`, replica: replica.replica, epoch: replica.epoch, manner: 'cut', loads: false, fence: 0 })
-  await pass(made, 1040)
-  t.is(made.upstream(head).membership?.state, 'open')
-  made.roster.apply([{ gone: members[2] }])
-  await pass(made, 4000)
-  sound(t, made)
-  forming.stop()
+  const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
+  const { head, members } = world.openReplicas.find(each => each.model === 'large') as World['openReplicas'][number]
+  // The head is closed, so that the planner opens it again. The roster shows this only after one second.
+  world.listingDelay = 1000
+  const replica = world.upstream(head).membership as NonNullable<Upstream['membership']>
+  await world.give({ kind: 'close', node: head, address: `${head}:1`, replica: replica.replica, epoch: replica.epoch, manner: 'cut', loads: false, fence: 0 })
+  await advance(world, 1040)
+  t.is(world.upstream(head).membership?.state, 'open')
+  world.roster.apply([{ gone: members[2] }])
+  await advance(world, 4000)
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('an engine that did not answer for a while is used again', async t => {
-  const made = world(3)
+test('an engine that did not answer for a while is used again once it answers', async t => {
+  const world = createWorld(3)
   const suspects = new Set<string>()
-  const forming = await formed(made, new MemoryPlacements(), suspects)
-  const { head, members } = made.open.find(each => each.model === 'large') as World['open'][number]
+  const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
+  const { head, members } = world.openReplicas.find(each => each.model === 'large') as World['openReplicas'][number]
   suspects.add(head)
-  for (const id of members) made.mute.add(id)
-  await pass(made, 1500)
-  t.false(made.open.some(each => each.head === head))
-  made.mute.clear()
+  for (const id of members) world.unresponsive.add(id)
+  await advance(world, 1500)
+  t.false(world.openReplicas.some(each => each.head === head))
+  world.unresponsive.clear()
   suspects.clear()
-  await pass(made, 20_000)
-  t.true(made.open.some(each => members.some(id => each.members.includes(id))))
-  sound(t, made)
-  forming.stop()
+  await advance(world, 20_000)
+  t.true(world.openReplicas.some(each => members.some(id => each.members.includes(id))))
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('silence while this process stood still itself says nothing', async t => {
-  const made = world(3)
+test('missing answers are ignored while the planner\'s own process was paused', async t => {
+  const world = createWorld(3)
   const suspects = new Set<string>()
-  let wokeAt = -Infinity
-  const forming = planner(made, new MemoryPlacements(), { suspects, wokeAt: () => wokeAt })
-  forming.start()
-  await pass(made, 20_000)
-  const { head, members } = made.open.find(each => each.model === 'large') as World['open'][number]
-  for (const id of members) made.mute.add(id)
+  let resumedAt = -Infinity
+  const reconciler = createPlanner(world, new MemoryPlacements(), { suspects, resumedAt: () => resumedAt })
+  reconciler.start()
+  await advance(world, 20_000)
+  const { head, members } = world.openReplicas.find(each => each.model === 'large') as World['openReplicas'][number]
+  for (const id of members) world.unresponsive.add(id)
   suspects.add(head)
-  wokeAt = Infinity
-  await pass(made, 1500)
-  t.true(made.open.some(each => each.head === head))
-  forming.stop()
+  resumedAt = Infinity
+  await advance(world, 1500)
+  t.true(world.openReplicas.some(each => each.head === head))
+  reconciler.stop()
 })
 
-test('two planners at once break no rule', async t => {
-  const made = world(3)
+test('two planners that act at once break no rule except the rate limit of loads', async t => {
+  const world = createWorld(3)
   const placements = new MemoryPlacements()
-  const both = [planner(made, placements), planner(made, placements)]
+  const both = [createPlanner(world, placements), createPlanner(world, placements)]
   for (const each of both) each.start()
-  await pass(made, 25_000)
-  t.deepEqual(made.broken.filter(each => each !== 'loads'), [])
-  t.is(count(made, 'large'), 3)
+  await advance(world, 25_000)
+  t.deepEqual(world.violations.filter(each => each !== 'loads'), [])
+  t.is(openCount(world, 'large'), 3)
   for (const each of both) each.stop()
 })
 
 for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
   test(`random deaths, departures, arrivals, late orders and new planners break no rule (seed ${seed})`, async t => {
-    const made = world(3)
+    const world = createWorld(3)
     const random = seeded(seed)
     const placements = new MemoryPlacements()
     const suspects = new Set<string>()
-    made.late = order => order.kind !== 'stage' && random() < 0.1 ? 1000 + random() * 9000 : undefined
-    let forming = planner(made, placements, { suspects })
-    forming.start()
-    await pass(made, 15_000)
+    world.orderDelay = order => order.kind !== 'stage' && random() < 0.1 ? 1000 + random() * 9000 : undefined
+    let reconciler = createPlanner(world, placements, { suspects })
+    reconciler.start()
+    await advance(world, 15_000)
     for (let step = 0; step < 25; step++) {
-      const listed = made.roster.upstreams
+      const listed = world.roster.upstreams
       const chosen = listed[Math.floor(random() * listed.length)]
       const draw = random()
-      if (draw < 0.35) made.kill(chosen.id)
-      else if (draw < 0.45) made.leave(chosen.id)
-      else if (draw < 0.55) made.unlist(chosen.id, true)
-      else if (draw < 0.8) made.add(`s${seed}-${step}`, `d${step % 3}`)
+      if (draw < 0.35) world.kill(chosen.id)
+      else if (draw < 0.45) world.leave(chosen.id)
+      else if (draw < 0.55) world.unlist(chosen.id, true)
+      else if (draw < 0.8) world.add(`s${seed}-${step}`, `d${step % 3}`)
       else {
-        forming.stop()
-        forming = planner(made, placements, { suspects })
-        forming.start()
+        reconciler.stop()
+        reconciler = createPlanner(world, placements, { suspects })
+        reconciler.start()
       }
-      for (const { head, members } of made.open) if (members.some(id => made.roster.find(id) === undefined) || members.includes(chosen.id)) suspects.add(head)
-      await pass(made, 300 + random() * 1700)
+      for (const { head, members } of world.openReplicas) if (members.some(id => world.roster.find(id) === undefined) || members.includes(chosen.id)) suspects.add(head)
+      await advance(world, 300 + random() * 1700)
     }
-    t.deepEqual(made.broken, [], `seed ${seed}`)
-    forming.stop()
+    t.deepEqual(world.violations, [], `seed ${seed}`)
+    reconciler.stop()
   })
 }
 
-test('before any caller is served loads heed the number at once and no rate, and engines of the small model hold the large one when callers come', async t => {
-  const made = world(3)
-  let served = false
-  const forming = planner(made, new MemoryPlacements(), { unserved: () => !served })
-  forming.start()
-  await pass(made, 16_000)
-  served = true
-  const members = new Set(made.open.flatMap(each => each.members))
-  t.is(count(made, 'large'), 3)
-  t.is(count(made, 'small'), 6)
-  const small = made.roster.upstreams.filter(each => members.has(each.id) && each.loaded[0] === 'small')
+test('before any caller is served, loads are limited in number at once but not in rate, and engines of the small model also load the large one', async t => {
+  const world = createWorld(3)
+  let hasTraffic = false
+  const reconciler = createPlanner(world, new MemoryPlacements(), { beforeTraffic: () => !hasTraffic })
+  reconciler.start()
+  await advance(world, 16_000)
+  hasTraffic = true
+  const members = new Set(world.openReplicas.flatMap(each => each.members))
+  t.is(openCount(world, 'large'), 3)
+  t.is(openCount(world, 'small'), 6)
+  const small = world.roster.upstreams.filter(each => members.has(each.id) && each.loaded[0] === 'small')
   t.true(small.every(each => each.staged.includes('large')))
-  const begun = made.loadsAt.length
-  for (const at of made.loadsAt) t.true(made.loadsAt.filter(each => each > at - 1200 && each <= at).length <= 6)
-  await pass(made, 3000)
-  t.is(made.loadsAt.length, begun)
-  forming.stop()
+  const begun = world.loadTimes.length
+  for (const at of world.loadTimes) t.true(world.loadTimes.filter(each => each > at - 1200 && each <= at).length <= 6)
+  await advance(world, 3000)
+  t.is(world.loadTimes.length, begun)
+  reconciler.stop()
 })
 
 for (const seed of [1, 2, 3, 4, 5, 6, 7, 8, 9, 10]) {
-  test(`a random schedule with dark domains, late orders and several planners breaks no rule (seed ${seed})`, async t => {
-    t.deepEqual((await playSchedule(seed)).broken, [])
+  test(`a random schedule with dead domains, late orders and several planners breaks no rule (seed ${seed})`, async t => {
+    t.deepEqual((await runSchedule(seed)).violations, [])
   })
 }
 
 test('a head that left an order to open unanswered leaves its replica before the other members are used', async t => {
-  const made = world(3)
+  const world = createWorld(3)
   const suspects = new Set<string>()
-  const forming = await formed(made, new MemoryPlacements(), suspects)
-  const victim = made.open.find(each => each.model === 'large') as World['open'][number]
-  // The replica is mended by a spare, and the first order to open that is carried out 4 s late.
-  made.late = order => order.kind === 'open' ? 4000 : undefined
-  made.kill(victim.members[3])
+  const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
+  const victim = world.openReplicas.find(each => each.model === 'large') as World['openReplicas'][number]
+  // A spare replaces the dead member. The order to open the repaired replica is carried out 4 s late.
+  world.orderDelay = order => order.kind === 'open' ? 4000 : undefined
+  world.kill(victim.members[3])
   suspects.add(victim.head)
-  await pass(made, 1500)
-  made.late = () => undefined
-  const mended = made.upstream(victim.head).membership?.replica as string
-  t.true(made.given.some(each => each.kind === 'open' && each.replica === mended))
-  made.kill(victim.members[2])
-  await pass(made, 8000)
-  const orders = made.given.filter(each => each.replica === mended && each.node === victim.head).map(each => each.kind)
+  await advance(world, 1500)
+  world.orderDelay = () => undefined
+  const repaired = world.upstream(victim.head).membership?.replica as string
+  t.true(world.sentOrders.some(each => each.kind === 'open' && each.replica === repaired))
+  world.kill(victim.members[2])
+  await advance(world, 8000)
+  const orders = world.sentOrders.filter(each => each.replica === repaired && each.node === victim.head).map(each => each.kind)
   t.true(orders.includes('leave'))
-  sound(t, made)
-  forming.stop()
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('a dead head that is not listed any more is dissolved, though other domains are looked at between two probes of it', async t => {
-  const made = world(3)
-  made.probeTime = 280
+test('the replica of a dead, unlisted head is dissolved, although the planner handles other domains between two probes of the head', async t => {
+  const world = createWorld(3)
+  world.probeTimeout = 280
   const suspects = new Set<string>()
-  const forming = await formed(made, new MemoryPlacements(), suspects)
-  const wanted = count(made, 'small')
-  const victim = made.open.filter(each => each.model === 'small').at(-1) as World['open'][number]
-  made.kill(victim.head)
-  made.roster.apply([{ gone: victim.head }])
+  const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
+  const wanted = openCount(world, 'small')
+  const victim = world.openReplicas.filter(each => each.model === 'small').at(-1) as World['openReplicas'][number]
+  world.kill(victim.head)
+  world.roster.apply([{ gone: victim.head }])
   suspects.add(victim.head)
-  await pass(made, 6000)
-  t.is(count(made, 'small'), wanted)
-  sound(t, made)
-  forming.stop()
+  await advance(world, 6000)
+  t.is(openCount(world, 'small'), wanted)
+  assertSound(t, world)
+  reconciler.stop()
 })
 
-test('a planner that takes over lets the loads go on that the one before it has ordered', async t => {
-  const made = world(3)
+test('a planner that takes over does not repeat loads that its predecessor ordered', async t => {
+  const world = createWorld(3)
   const placements = new MemoryPlacements()
-  const first = await formed(made, placements)
-  made.add('new', 'd0')
-  await pass(made, 300)
-  const ordered = made.given.filter(each => each.node === 'new')
+  const first = await startPlanner(world, placements)
+  world.add('new', 'd0')
+  await advance(world, 300)
+  const ordered = world.sentOrders.filter(each => each.node === 'new')
   t.deepEqual(ordered.map(each => each.kind), ['stage'])
   first.stop()
-  const second = planner(made, placements, { others: () => first })
+  const second = createPlanner(world, placements, { otherPlanner: () => first })
   second.start()
-  await pass(made, 1000)
-  t.deepEqual(made.given.filter(each => each.node === 'new'), ordered)
+  await advance(world, 1000)
+  t.deepEqual(world.sentOrders.filter(each => each.node === 'new'), ordered)
   second.stop()
 })
 
-test('the former head of a replica takes part in the next one of its model without a load, though its host holds the weights of another one', async t => {
-  const made = new World(new ManualClock())
+test('the former head of a replica joins the next replica of its model without a load, although its host holds the weights of another model', async t => {
+  const world = new World(new ManualClock())
   for (let domain = 0; domain < 3; domain++) {
-    for (let index = 0; index < 10; index++) made.add(`n${domain}-${index}`, `d${domain}`)
+    for (let index = 0; index < 10; index++) world.add(`n${domain}-${index}`, `d${domain}`)
   }
   const suspects = new Set<string>()
-  const forming = planner(made, new MemoryPlacements(), { suspects })
-  forming.start()
-  await pass(made, 40_000)
-  const lost = made.open.filter(each => each.model === 'small' && made.upstream(each.head).domain === 'd0')
+  const reconciler = createPlanner(world, new MemoryPlacements(), { suspects })
+  reconciler.start()
+  await advance(world, 40_000)
+  const lost = world.openReplicas.filter(each => each.model === 'small' && world.upstream(each.head).domain === 'd0')
   t.is(lost.length, 2)
   for (const { head, members } of lost) {
-    t.deepEqual(made.upstream(head).staged, ['large'])
-    made.kill(members[1])
+    t.deepEqual(world.upstream(head).staged, ['large'])
+    world.kill(members[1])
     suspects.add(head)
   }
-  const before = made.given.length
-  await pass(made, 6000)
+  const before = world.sentOrders.length
+  await advance(world, 6000)
   const heads = lost.map(each => each.head)
-  t.deepEqual(made.given.slice(before).filter(each => heads.includes(each.node) && each.loads && each.model === 'small').map(each => [each.kind, each.node]), [])
-  t.is(made.serving.small, 6)
-  t.deepEqual(made.broken, [])
-  forming.stop()
+  t.deepEqual(world.sentOrders.slice(before).filter(each => heads.includes(each.node) && each.loads && each.model === 'small').map(each => [each.kind, each.node]), [])
+  t.is(world.serving.small, 6)
+  t.deepEqual(world.violations, [])
+  reconciler.stop()
 })
--- a/packages/emulator/test/main.ts
+++ b/packages/emulator/test/main.ts
@@ -1,17 +1,19 @@
 /**
- * Plays random schedules by hand: `npm run schedules -- FIRST COUNT [KEEP] [warm]`. Prints each that broke a rule. With KEEP, in ms, engines also lose their
- * entries, and those that answer are kept for so long; with `warm` spares load weights before they are needed.
+ * Runs random schedules: `npm run schedules -- FIRST COUNT [KEEP] [warm]`, where FIRST is the first seed. Prints each
+ * schedule that broke a rule or ended without a replica although one could be formed. With KEEP, in ms, engines also
+ * lose their entries, and those that answer stay in their replicas for this time. With `warm`, spares load weights
+ * before they are needed.
  */
-import { playSchedule } from './schedules.js'
+import { runSchedule } from './schedules.js'
 
 const [first, count, keepUnlisted = 0] = process.argv.slice(2, 5).map(Number)
 const warmSpares = process.argv[5] === 'warm'
-const lapses = keepUnlisted > 0 ? 0.3 : 0
+const lapseShare = keepUnlisted > 0 ? 0.3 : 0
 let failed = 0
 for (let seed = first; seed < first + count; seed++) {
-  const { broken, open, servable } = await playSchedule(seed, { keepUnlisted, lapses, warmSpares })
-  if (broken.length === 0 && (open > 0 || !servable)) continue
+  const { violations, openReplicas, servable } = await runSchedule(seed, { keepUnlisted, lapseShare, warmSpares })
+  if (violations.length === 0 && (openReplicas > 0 || !servable)) continue
   failed++
-  process.stdout.write(`seed ${seed}: ${broken.join(' ')}; ${open} replicas at the end\n`)
+  process.stdout.write(`seed ${seed}: ${violations.join(' ')}; ${openReplicas} replicas at the end\n`)
 }
 process.stdout.write(`${count - failed} kept, ${failed} broken\n`)
--- a/packages/emulator/test/world.ts
+++ b/packages/emulator/test/world.ts
@@ -1,12 +1,12 @@
-/** The small engines of the tests: two models, one of four nodes and one of two. */
+/** Engine settings and emulated engines for the tests. */
 import { type ManualClock } from '@eiderwind/clock'
 import { type Engine } from '@eiderwind/traffic'
 import { EmulatedEngines, type EngineService } from '../src/index.js'
 
 export { MemoryPlacements } from '@eiderwind/forming'
-export { pass, planner, type Broken } from '../src/index.js'
+export { advance, createPlanner, type Violation } from '../src/index.js'
 
-/** The models of the engines here: one of four nodes and one of two. */
+/** Settings with two models, one of four nodes and one of two. */
 export const engine: Engine = {
   slots: 24,
   models: [
@@ -25,7 +25,7 @@
 
 export const service: EngineService = { name: 'chat', connections: 400, engine }
 
-/** Engines of that service. */
+/** Emulated engines of `service`. */
 export class World extends EmulatedEngines {
   constructor (clock: ManualClock) {
     super(clock, service)
