--- a/experiments/loader.js
+++ b/experiments/loader.js
@@ -1,4 +1,7 @@
-/** A module loader that changes the text of files while they are loaded (Node.js customization hooks). */
+/**
+ * A module loader (Node.js customization hooks) that applies the edits of the variant named by EIDERWIND_VARIANT to
+ * files as they load.
+ */
 import { variants } from './variants.js'
 
 const edits = variants[process.env.EIDERWIND_VARIANT] ?? []
@@ -9,7 +12,7 @@
   if (own.length === 0) return loaded
   let source = loaded.source.toString()
   for (const { file, find, replace } of own) {
-    if (source.split(find).length !== 2) throw new Error(`The variant ${process.env.EIDERWIND_VARIANT} does not fit ${file} any more.`)
+    if (source.split(find).length !== 2) throw new Error(`The variant ${process.env.EIDERWIND_VARIANT} no longer fits ${file}: its text to replace must occur exactly once.`)
     source = source.replace(find, () => replace)
   }
   return { ...loaded, source }
--- a/experiments/variants.js
+++ b/experiments/variants.js
@@ -1,6 +1,6 @@
 /**
- * Variants of the planner's decisions, each as edits of the built code that are made in memory: `npm run experiment`. `find` must stand
- * exactly once in the file. The code as it stands is the variant `present`.
+ * Variants of the planner's decisions for `npm run experiment`. Each is a list of edits that are applied to the built
+ * code in memory. `find` must occur exactly once in the file. The tables call the code without edits `present`.
  */
 const forming = 'packages/forming/dist/src'
 
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -1,6 +1,6 @@
 /**
- * Deliberate breakages: each changes one rule of the built code, in memory only, and names the test that must turn
- * red. `find` must stand exactly once in the file.
+ * Deliberate breakages for `npm run prove`. Each breaks one rule of the built code, in memory only, and names the test
+ * that must fail then. `find` must occur exactly once in the file.
  */
 export const breakages = [
   {
--- a/prove/loader.js
+++ b/prove/loader.js
@@ -1,4 +1,7 @@
-/** A module loader that changes one file's text while it is loaded (Node.js customization hooks). */
+/**
+ * A module loader (Node.js customization hooks) that applies the breakage named by EIDERWIND_BREAKAGE to its file as
+ * it loads.
+ */
 import { breakages } from './breakages.js'
 
 const breakage = breakages.find(each => each.name === process.env.EIDERWIND_BREAKAGE)
@@ -7,6 +10,6 @@
   const loaded = await next(url, context)
   if (breakage === undefined || !url.endsWith(breakage.file)) return loaded
   const text = loaded.source.toString()
-  if (text.split(breakage.find).length !== 2) throw new Error(`The breakage ${breakage.name} does not fit ${breakage.file} any more.`)
+  if (text.split(breakage.find).length !== 2) throw new Error(`The breakage ${breakage.name} no longer fits ${breakage.file}: its text to replace must occur exactly once.`)
   return { ...loaded, source: text.replace(breakage.find, () => breakage.replace) }
 }
--- a/scripts/bundle.js
+++ b/scripts/bundle.js
@@ -1,4 +1,5 @@
-// Bundles the program that runs on the platform into one file: fewer modules to find and compile at each start.
+// Bundles the program that runs on the platform into one file.
+// At each start fewer modules are then found and compiled.
 import { build } from 'esbuild'
 
 await build({
--- a/scripts/experiment.js
+++ b/scripts/experiment.js
@@ -1,5 +1,6 @@
-// Compares variants of the planner's decisions with the present code on the same emulated days and seeds:
-// `npm run experiment -- [--seeds N] [--jobs N] [--day NAME ...] [--variant NAME ...]`. Writes a table in Markdown to standard output.
+// Compares variants of the planner's decisions with the present code on the same simulated days and seeds:
+// `npm run experiment -- [--seeds N] [--jobs N] [--day NAME ...] [--variant NAME ...]`.
+// Writes a table in Markdown to standard output.
 import { spawn } from 'node:child_process'
 import { readdirSync } from 'node:fs'
 import { pathToFileURL } from 'node:url'
@@ -22,8 +23,8 @@
   process.exit(2)
 }
 
-/** Plays a day on all seeds with a variant; the present code where that is empty. */
-function play (day, variant) {
+/** Simulates a day with all seeds. @param variant the variant to apply; empty for the present code */
+function simulate (day, variant) {
   return new Promise((resolve, reject) => {
     const hook = pathToFileURL('experiments/hook.js').href
     const child = spawn(process.execPath, [`--import=${hook}`, 'packages/emulator/dist/src/main.js', `experiments/days/${day}.json`, '1', options.seeds], { env: { ...process.env, EIDERWIND_VARIANT: variant }, stdio: ['ignore', 'pipe', 'inherit'] })
@@ -37,25 +38,25 @@
   return values.reduce((sum, each) => sum + each, 0) / values.length
 }
 
-/** A mean and its standard error, as text. */
-function spread (values) {
-  const middle = mean(values)
-  const variance = mean(values.map(each => (each - middle) ** 2)) * values.length / Math.max(1, values.length - 1)
-  return `${middle >= 0 ? '+' : ''}${middle.toFixed(3)} ± ${Math.sqrt(variance / values.length).toFixed(3)}`
+/** The mean of values and its standard error, as text. */
+function meanWithError (values) {
+  const average = mean(values)
+  const variance = mean(values.map(each => (each - average) ** 2)) * values.length / Math.max(1, values.length - 1)
+  return `${average >= 0 ? '+' : ''}${average.toFixed(3)} ± ${Math.sqrt(variance / values.length).toFixed(3)}`
 }
 
 const columns = ['served', 'worst', 'worstModel', 'used', 'loads', 'orders', 'broken']
 const tasks = days.flatMap(day => ['', ...names].map(variant => ({ day, variant })))
 const results = new Map()
 await Promise.all(Array.from({ length: Number(options.jobs) }, async () => {
-  for (let task = tasks.shift(); task !== undefined; task = tasks.shift()) results.set(`${task.day} ${task.variant}`, await play(task.day, task.variant))
+  for (let task = tasks.shift(); task !== undefined; task = tasks.shift()) results.set(`${task.day} ${task.variant}`, await simulate(task.day, task.variant))
 }))
 process.stdout.write(`| Day | Variant | Served, against the present code | ${columns.join(' | ')} |\n|${' --- |'.repeat(columns.length + 3)}\n`)
 for (const day of days) {
   const present = results.get(`${day} `)
   for (const variant of ['', ...names]) {
     const rows = results.get(`${day} ${variant}`)
-    const difference = variant === '' ? '' : spread(rows.map((row, index) => row.served - present[index].served))
+    const difference = variant === '' ? '' : meanWithError(rows.map((row, index) => row.served - present[index].served))
     const means = columns.map(column => mean(rows.map(row => row[column])).toFixed(column === 'loads' || column === 'orders' ? 0 : 3))
     process.stdout.write(`| ${day} | ${variant === '' ? 'present' : variant} | ${difference} | ${means.join(' | ')} |\n`)
   }
--- a/scripts/generated.js
+++ b/scripts/generated.js
@@ -1,4 +1,4 @@
-// Checks that the committed generated code is what the schema generates now.
+// Checks that the committed generated code equals what the schema generates.
 import { spawnSync } from 'node:child_process'
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -11,5 +11,5 @@
 const run = spawnSync('npx', ['buf', 'generate', 'packages/rpc/proto', '--template', template], { stdio: 'inherit' })
 const same = run.status === 0 && readFileSync(join(folder, 'gen/eiderwind/v1/operators_pb.ts'), 'utf8') === readFileSync(generated, 'utf8')
 rmSync(folder, { recursive: true })
-if (!same) process.stderr.write(`${generated} is not what the schema generates. Run npm run generate and commit it.\n`)
+if (!same) process.stderr.write(`${generated} differs from what the schema generates. Run npm run generate and commit the result.\n`)
 process.exitCode = same ? 0 : 1
