--- a/packages/bench/src/figures.ts
+++ b/packages/bench/src/figures.ts
@@ -42,8 +42,8 @@
   /** Replaces the figures with the same names in the results file and keeps the others. */
   #write (): void {
     const names = new Set(this.#all.map(each => each.name))
-    const kept = readResults().filter(each => !names.has(each.name))
-    const all = [...kept, ...this.#all].sort((a, b) => a.name < b.name ? -1 : 1)
+    const others = readResults().filter(each => !names.has(each.name))
+    const all = [...others, ...this.#all].sort((a, b) => a.name < b.name ? -1 : 1)
     writeFileSync(resultsFile, `${JSON.stringify(all, null, 2)}\n`)
   }
 }
--- a/packages/emulator/src/day.ts
+++ b/packages/emulator/src/day.ts
@@ -92,8 +92,8 @@
  * When a domain dies: the earliest moment and the span after it, as shares of the day. The domain returns within the
  * day.
  */
-const minDarkAt = 0.2
-const darkSpan = 0.3
+const minOutageAt = 0.2
+const outageSpan = 0.3
 
 /** When engines lose the store: the earliest moment and the span after it, as shares of the day. */
 const minLapseAt = 0.3
@@ -168,11 +168,11 @@
   readonly #day: Day
   readonly #engines: EmulatedEngines
   readonly #random: Random
-  readonly #darkAt: number
-  readonly #darkDomain: string
+  readonly #outageAt: number
+  readonly #outageDomain: string
   readonly #lapseAt: number
-  #isDark = false
-  #hasLapsed = false
+  #hadOutage = false
+  #hadLapse = false
   #nextDeath: number
   #nextAddition: number
   #count = 0
@@ -181,8 +181,8 @@
     this.#day = day
     this.#engines = engines
     this.#random = random
-    this.#darkAt = day.length * (minDarkAt + darkSpan * random())
-    this.#darkDomain = `d${Math.floor(random() * day.domains)}`
+    this.#outageAt = day.length * (minOutageAt + outageSpan * random())
+    this.#outageDomain = `d${Math.floor(random() * day.domains)}`
     this.#nextDeath = this.#exponential(day.deaths.every)
     this.#nextAddition = day.added === undefined ? Infinity : this.#exponential(day.added)
     this.#lapseAt = day.lapse === undefined ? Infinity : day.length * (minLapseAt + lapseSpan * random())
@@ -195,17 +195,17 @@
     this.#engines.orderDelay = () => inMiddle && this.#random() < late ? minLateDelay + this.#random() * lateDelaySpan : undefined
     for (; this.#nextDeath <= time; this.#nextDeath += this.#exponential(deaths.every)) this.#killRandom(deaths.gone)
     for (; this.#nextAddition <= time; this.#nextAddition += this.#exponential(added ?? Infinity)) this.#engines.add(`new-${this.#count++}`, `d${Math.floor(this.#random() * this.#day.domains)}`)
-    if (dark !== undefined && !this.#isDark && time >= this.#darkAt) {
-      this.#isDark = true
-      for (const id of this.#engines.liveEngines) if (this.#engines.upstream(id).domain === this.#darkDomain) this.#kill(id, dark)
+    if (dark !== undefined && !this.#hadOutage && time >= this.#outageAt) {
+      this.#hadOutage = true
+      for (const id of this.#engines.liveEngines) if (this.#engines.upstream(id).domain === this.#outageDomain) this.#kill(id, dark)
     }
-    if (!this.#hasLapsed && time >= this.#lapseAt) this.#lapse()
+    if (!this.#hadLapse && time >= this.#lapseAt) this.#lapse()
   }
 
   /** Some engines cannot write to the store for a while. They continue to serve. */
   #lapse (): void {
     const { lapse: { share, time } = { share: 0, time: 0 } } = this.#day
-    this.#hasLapsed = true
+    this.#hadLapse = true
     for (const id of this.#engines.liveEngines.filter(() => this.#random() < share)) {
       this.#engines.clock.after(entryTtl, () => this.#engines.unlist(id, true))
       this.#engines.clock.after(Math.max(time, entryTtl), () => this.#engines.relist(id))
--- a/packages/emulator/src/planner.ts
+++ b/packages/emulator/src/planner.ts
@@ -53,7 +53,7 @@
 
 /** Advances the clock by `time` ms in steps of 20 ms, and runs all pending work after each step. */
 export async function advance ({ clock }: EmulatedEngines, time: number): Promise<void> {
-  for (let gone = 0; gone < time; gone += 20) {
+  for (let elapsed = 0; elapsed < time; elapsed += 20) {
     clock.advance(20)
     for (let turn = 0; turn < 8; turn++) await Promise.resolve()
     await new Promise(resolve => setImmediate(resolve))
--- a/packages/emulator/test/forming.test.ts
+++ b/packages/emulator/test/forming.test.ts
@@ -379,10 +379,10 @@
   t.is(openCount(world, 'small'), 6)
   const small = world.roster.upstreams.filter(each => members.has(each.id) && each.loaded[0] === 'small')
   t.true(small.every(each => each.staged.includes('large')))
-  const begun = world.loadTimes.length
+  const loadCount = world.loadTimes.length
   for (const at of world.loadTimes) t.true(world.loadTimes.filter(each => each > at - 1200 && each <= at).length <= 6)
   await advance(world, 3000)
-  t.is(world.loadTimes.length, begun)
+  t.is(world.loadTimes.length, loadCount)
   reconciler.stop()
 })
 
--- a/packages/emulator/test/schedules.ts
+++ b/packages/emulator/test/schedules.ts
@@ -3,7 +3,7 @@
 import { MemoryPlacements, World, engine, advance, createPlanner, type Violation } from './world.js'
 
 /** Some engines lose their entries and are listed again later. Some of these stop answering or die in between. */
-function loseEntries (world: World, random: Random, silent: Set<string>): void {
+function loseEntries (world: World, random: Random, unresponsive: Set<string>): void {
   const listed = world.roster.upstreams
   const heads = world.openReplicas.map(each => each.head).filter(id => world.roster.find(id) !== undefined)
   const chosen = listed[Math.floor(random() * listed.length)]
@@ -12,13 +12,13 @@
   for (const id of ids) {
     const time = minLapse + random() * (maxLapse - minLapse)
     world.unlist(id, true)
-    if (random() < silentShare) {
-      silent.add(id)
+    if (random() < unresponsiveShare) {
+      unresponsive.add(id)
       world.clock.after(random() * time, () => world.unresponsive.add(id))
     }
     if (random() < dyingShare) world.clock.after(random() * time, () => world.kill(id))
     world.clock.after(time, () => {
-      silent.delete(id)
+      unresponsive.delete(id)
       world.unresponsive.delete(id)
       world.relist(id)
     })
@@ -127,7 +127,7 @@
  * Share of the engines without entries that also answer no probe for a while, and share of those that die in this
  * time.
  */
-const silentShare = 0.25
+const unresponsiveShare = 0.25
 const dyingShare = 0.1
 
 /**
@@ -141,10 +141,10 @@
     for (let index = 0; index < enginesPerDomain; index++) world.add(`n${domain}-${index}`, `d${domain}`)
   }
   const lateShare = random() < 0.5 ? 0 : 0.1 + random() * 0.25
-  const silent = new Set<string>()
+  const unresponsive = new Set<string>()
   // An engine that answers neither probes nor orders counts as dead. So orders to live engines that answer no probe are
   // never late.
-  world.orderDelay = order => order.kind !== 'stage' && !silent.has(order.node) && random() < lateShare ? 1000 + random() * 9000 : undefined
+  world.orderDelay = order => order.kind !== 'stage' && !unresponsive.has(order.node) && random() < lateShare ? 1000 + random() * 9000 : undefined
   world.listingDelay = random() < 0.5 ? 0 : random() * 200
   world.probeTimeout = random() * 280
   if (lapseShare > 0) world.reportDelay = random() * 500
@@ -160,7 +160,7 @@
   for (let event = 0; event < eventCount; event++) {
     const listed = world.roster.upstreams
     const chosen = listed[Math.floor(random() * listed.length)]
-    if (lapseShare > 0 && chosen !== undefined && random() < lapseShare) loseEntries(world, random, silent)
+    if (lapseShare > 0 && chosen !== undefined && random() < lapseShare) loseEntries(world, random, unresponsive)
     // All engines may have lost their entries.
     if (chosen === undefined || !world.roster.upstreams.includes(chosen)) {
       await advance(world, maxEventGap)
