--- a/packages/entry/src/attempting.ts
+++ b/packages/entry/src/attempting.ts
@@ -3,7 +3,7 @@
  * paths decide what follows from how an attempt ended (`outcome.ts`).
  */
 import { type Context } from './context.js'
-import { attemptAt, attemptHeaders, late, left, type Attempt, type Exchange } from './exchange.js'
+import { attemptAt, attemptHeaders, isExpired, timeLeft, type Attempt, type Exchange } from './exchange.js'
 import { failure, workerFault, type AttemptEnd } from './outcome.js'
 import { type Target } from './targets.js'
 import { Fault } from '@eiderwind/fault'
@@ -17,27 +17,27 @@
 }
 
 /** Sends a request to a target and collects the whole answer. Gives up at the deadline, and when the caller goes away. */
-export function tryWhole (context: Context, exchange: Exchange, target: Target, options: TryOptions = {}): Promise<AttemptEnd> {
-  const { clock, targets, flights, dispatcher } = context
+export function collectAttempt (context: Context, exchange: Exchange, target: Target, options: TryOptions = {}): Promise<AttemptEnd> {
+  const { clock, targets, inFlight, dispatcher } = context
   const attempt = attemptAt(target, clock)
   options.begun?.(attempt)
-  targets.open(target.worker)
+  targets.recordSent(target.worker)
   return new Promise(resolve => {
     const finish = (end: AttemptEnd): void => {
       timer.cancel()
-      landed()
-      exchange.response.off('close', gone)
-      targets.close(target.worker)
+      removeFromList()
+      exchange.response.off('close', onCallerGone)
+      targets.recordEnded(target.worker)
       resolve(end)
     }
     const cancel = send(dispatcher, attemptCall(context, exchange, attempt, options.headers), new Collector({
-      whole: answer => finish(judge(context, attempt, answer)),
-      failed: ({ sent }) => finish(broken(sent, late(exchange, clock)))
+      whole: answer => finish(endOfAnswer(context, attempt, answer)),
+      failed: ({ sent }) => finish(endOfFailure(sent, isExpired(exchange, clock)))
     }))
-    const timer = clock.after(left(exchange, clock), () => cancel(new Error('The deadline has passed.')))
-    const landed = flights.add(target, cancel)
-    const gone = (): void => cancel(new Error('The caller went away.'))
-    exchange.response.once('close', gone)
+    const timer = clock.after(timeLeft(exchange, clock), () => cancel(new Error('The deadline has passed.')))
+    const removeFromList = inFlight.add(target, cancel)
+    const onCallerGone = (): void => cancel(new Error('The caller went away.'))
+    exchange.response.once('close', onCallerGone)
   })
 }
 
@@ -53,21 +53,21 @@
 }
 
 /** Whether an answer is the one to this attempt. Others are dropped and counted. */
-export function ownAnswer (context: Context, attempt: Attempt, echoed: string | string[] | undefined): boolean {
+export function isOwnAnswer (context: Context, attempt: Attempt, echoed: string | string[] | undefined): boolean {
   if (echoed === attempt.id) return true
   context.log.write('answer-foreign', { attempt: attempt.id, worker: attempt.target.worker })
   context.metric.count('answer.foreign')
   return false
 }
 
-function judge (context: Context, attempt: Attempt, answer: Collected): AttemptEnd {
+function endOfAnswer (context: Context, attempt: Attempt, answer: Collected): AttemptEnd {
   const fault = workerFault(answer.status, answer.headers, answer.body)
   if (fault !== undefined) return { type: 'failed', failure: failure(fault, answer.headers[wireHeaders.judged] === '1') }
-  if (!ownAnswer(context, attempt, answer.headers[wireHeaders.attempt])) return { type: 'failed', failure: failure(new Fault('lost')) }
+  if (!isOwnAnswer(context, attempt, answer.headers[wireHeaders.attempt])) return { type: 'failed', failure: failure(new Fault('lost')) }
   return { type: 'answered', answer }
 }
 
-function broken (sent: boolean, expired: boolean): AttemptEnd {
+function endOfFailure (sent: boolean, expired: boolean): AttemptEnd {
   const code = sent ? (expired ? 'deadline-running' : 'lost') : (expired ? 'deadline' : 'upstream-down')
   return { type: 'failed', failure: failure(new Fault(code)) }
 }
--- a/packages/entry/src/callers.ts
+++ b/packages/entry/src/callers.ts
@@ -12,8 +12,8 @@
 import { type Exchange } from './exchange.js'
 import { type EntryBoard } from './facts.js'
 import { serveModel } from './modelpath.js'
-import { withoutWord } from './outcome.js'
-import { declaredOnce, servePlain } from './plainpath.js'
+import { accountForEarlierTries } from './outcome.js'
+import { isDeclaredNotRepeatable, servePlain } from './plainpath.js'
 import { type Teams } from './teams.js'
 
 /** Path of completions, of the list of models, and prefix of plain services. */
@@ -40,30 +40,30 @@
 /** The callers' side of an entry: reads and checks each request and hands it to the path of its service. */
 export class Callers {
   readonly #options: CallersOptions
-  #open = 0
-  #busyAt = -Infinity
+  #openRequests = 0
+  #lastAnsweredAt = -Infinity
 
   constructor (options: CallersOptions) {
     this.#options = options
   }
 
   /** Requests that are not answered yet. */
-  get open (): number {
-    return this.#open
+  get openRequests (): number {
+    return this.#openRequests
   }
 
   /** Time since the last request was answered, in ms; 0 while one is not answered yet. */
-  get quiet (): number {
-    return this.#open > 0 ? 0 : this.#options.context.clock.now() - this.#busyAt
+  get idleTime (): number {
+    return this.#openRequests > 0 ? 0 : this.#options.context.clock.now() - this.#lastAnsweredAt
   }
 
   /** Handles one request. */
   async handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (request.url === healthPath) return this.#health(response)
-    this.#open++
+    this.#openRequests++
     response.once('close', () => {
-      this.#open--
-      this.#busyAt = this.#options.context.clock.now()
+      this.#openRequests--
+      this.#lastAnsweredAt = this.#options.context.clock.now()
     })
     try {
       const fault = await this.#route(request, response)
@@ -74,32 +74,32 @@
   }
 
   #refuse (request: IncomingMessage, response: ServerResponse, fault: Fault): void {
-    refuse(response, withoutWord(fault, header(request, callerHeaders.key)), this.#options.context.clock)
+    refuse(response, accountForEarlierTries(fault, header(request, callerHeaders.key)), this.#options.context.clock)
   }
 
-  get #leaving (): boolean {
+  get #isLeaving (): boolean {
     const { board, context, entry } = this.#options
     return board.read('stopping') || context.current.configuration.leaving.includes(entry)
   }
 
   /** Whether this entry has the present configuration, as far as it can tell. */
-  get #current (): boolean {
+  get #isCurrent (): boolean {
     const { board, context } = this.#options
     return context.current.revision > 0 && !board.read('behind')
   }
 
   #health (response: ServerResponse): void {
-    response.statusCode = this.#current && !this.#leaving ? 200 : 503
+    response.statusCode = this.#isCurrent && !this.#isLeaving ? 200 : 503
     response.end()
   }
 
   async #route (request: IncomingMessage, response: ServerResponse): Promise<Fault | undefined> {
     const { teams } = this.#options
-    if (this.#leaving) {
+    if (this.#isLeaving) {
       response.setHeader('connection', 'close')
       return new Fault('leaving')
     }
-    if (!this.#current) return new Fault('behind')
+    if (!this.#isCurrent) return new Fault('behind')
     const team = teams.find(request.headers.authorization)
     if (team === undefined) return new Fault('bad-key')
     const [path] = (request.url ?? '/').split('?')
@@ -130,25 +130,25 @@
     if (request.headers[callerHeaders.lastEvent] !== undefined && completion.value.resume === undefined) {
       return new Fault('bad-request', { detail: 'Last-Event-ID needs the text so far, as resume.text in the body.' })
     }
-    this.#observe(exchange.value)
+    this.#recordMetrics(exchange.value)
     await serveModel(context, exchange.value, completion.value)
   }
 
-  async #plain (request: IncomingMessage, response: ServerResponse, team: Team, rest: string): Promise<Fault | undefined> {
+  async #plain (request: IncomingMessage, response: ServerResponse, team: Team, remainder: string): Promise<Fault | undefined> {
     const { context, bodyLimit } = this.#options
-    const name = rest.split('/')[0]
+    const name = remainder.split('/')[0]
     const service = context.current.configuration.services.find(each => each.name === name)
     if (service?.kind !== 'plain') return new Fault('unknown-service', { detail: `There is no plain service ${name}.` })
     const body = await readBody(request, bodyLimit)
     if (body.isErr()) return body.error
     const exchange = this.#exchange(request, response, body.value, team, service)
     if (exchange.isErr()) return exchange.error
-    const inner = rest.slice(name.length) || '/'
-    const once = !exchange.value.repeatable || exchange.value.key !== undefined || declaredOnce(service, request.method ?? 'GET', inner)
+    const servicePath = remainder.slice(name.length) || '/'
+    const atMostOnce = !exchange.value.repeatable || exchange.value.key !== undefined || isDeclaredNotRepeatable(service, request.method ?? 'GET', servicePath)
     request.url = (request.url ?? '/').slice(servicesPrefix.length + name.length) || '/'
     if (!request.url.startsWith('/')) request.url = `/${request.url}`
-    this.#observe(exchange.value)
-    await servePlain(context, exchange.value, once)
+    this.#recordMetrics(exchange.value)
+    await servePlain(context, exchange.value, atMostOnce)
   }
 
   #exchange (request: IncomingMessage, response: ServerResponse, body: Buffer, team: Team, service: Service): Result<Exchange, Fault> {
@@ -182,7 +182,7 @@
     return Ok(Math.min(span, this.#options.deadline))
   }
 
-  #observe ({ response, service, team, startedAt }: Exchange): void {
+  #recordMetrics ({ response, service, team, startedAt }: Exchange): void {
     const { metric, clock } = this.#options.context
     response.once('close', () => {
       metric.count('request.count', { service, team: team.name, status: String(response.statusCode) })
--- a/packages/entry/src/calls.ts
+++ b/packages/entry/src/calls.ts
@@ -7,7 +7,7 @@
 import { beatsOf, reportTargets, type Reports } from '@eiderwind/spread'
 import { EntryCalls, type Exchange, type ExchangeAnswer, type Known } from '@eiderwind/wire'
 import { assignment } from './assignment.js'
-import { knownDigest, takeSender, type EntryBoard } from './facts.js'
+import { knownDigest, updateSender, type EntryBoard } from './facts.js'
 import { type Peers } from './peers.js'
 
 /** What the calls of an entry stand on. */
@@ -21,7 +21,7 @@
   /** The heads that serve a model service in this region. */
   readonly heads: (service: string) => Peer[]
   /** Fetches what another entry has and this one lacks. */
-  readonly fetch: (address: string, revision: number, known: number) => Promise<void>
+  readonly fetchMissing: (address: string, revision: number, known: number) => Promise<void>
 }
 
 /** The calls of an entry to workers and other entries. */
@@ -49,16 +49,16 @@
   }
 
   async exchange ({ from, revision, known, reports, beats }: Exchange): Promise<ExchangeAnswer> {
-    const { board, current, peers, fetch } = this.#options
-    takeSender(board, from)
-    peers.heard(from.id)
+    const { board, current, peers, fetchMissing } = this.#options
+    updateSender(board, from)
+    peers.recordContact(from.id)
     const source = from.dataCentre === this.#options.dataCentre ? 'near' : 'far'
     for (const aged of reports) this.#options.reports.accept(aged, source)
     const lacking = beatsOf(beats).filter(beat => this.#options.reports.beat(beat, source) === 'lacking').map(each => each.worker)
-    const mine = { revision: current.revision, known: knownDigest(board), lacking }
+    const local = { revision: current.revision, known: knownDigest(board), lacking }
     // A failed fetch is not repeated here: the next exchange finds the same difference and fetches again.
-    if (revision > mine.revision || known !== mine.known) fetch(from.peer, revision, known).catch(() => {})
-    return mine
+    if (revision > local.revision || known !== local.known) fetchMissing(from.peer, revision, known).catch(() => {})
+    return local
   }
 
   async configuration (): Promise<Configuration> {
--- a/packages/entry/src/context.ts
+++ b/packages/entry/src/context.ts
@@ -8,7 +8,7 @@
 import { type Log, type Metric } from '@eiderwind/log'
 import { type Affinity, type Balanced, type Budget } from '@eiderwind/route'
 import { type Clients } from '@eiderwind/wire'
-import { type Flights } from './flights.js'
+import { type AttemptsInFlight } from './inflight.js'
 import { type Targets } from './targets.js'
 
 /** What the path of a request through an entry stands on. */
@@ -16,7 +16,7 @@
   readonly clock: Clock
   readonly current: Current
   readonly targets: Targets
-  readonly flights: Flights
+  readonly inFlight: AttemptsInFlight
   readonly policy: Balanced
   readonly affinity: Affinity
   readonly budget: Budget
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -23,7 +23,7 @@
 import { type Context } from './context.js'
 import { entryBoard, type EntryBoard } from './facts.js'
 import { Fence } from './fence.js'
-import { Flights } from './flights.js'
+import { AttemptsInFlight } from './inflight.js'
 import { DualListener } from './listener.js'
 import { NodeReader } from './nodereader.js'
 import { OperatorCalls, operatorCheck } from './operators.js'
@@ -37,13 +37,13 @@
 import { Watcher } from './watcher.js'
 
 /** How often a stop looks whether everything is answered, in ms. */
-const stopInterval = 50
+const stopCheckInterval = 50
 
 /** How long nothing may have come in before connections are closed, in ms, so that none is closed under a request. */
-const quietTime = 250
+const minIdleTime = 250
 
 /** How long that is waited for at the most, in ms. */
-const closeTime = 2000
+const maxCloseTime = 2000
 
 /** Options of an entry. Spans are in ms. */
 export interface EntryOptions {
@@ -87,7 +87,7 @@
   readonly #reports: Reports
   readonly #servers: Server[] = []
   #operators: DualListener | undefined
-  #flights: Flights | undefined
+  #inFlight: AttemptsInFlight | undefined
   #targets: Targets | undefined
   #callers: Callers | undefined
   #board: EntryBoard | undefined
@@ -116,7 +116,7 @@
       peers,
       dataCentre,
       heads: service => this.#heads(service),
-      fetch: (from, revision, known) => spreader.fetch(from, revision, known)
+      fetchMissing: (from, revision, known) => spreader.fetchMissing(from, revision, known)
     })
     serve(peerServer, { router: entryRouter(calls) })
     const callers = await this.#startCallers(board, self)
@@ -128,21 +128,21 @@
   async stop (): Promise<void> {
     const { clock, stop, notice } = this.#options
     this.#board?.write('stopping', true)
-    const end = clock.now() + stop
+    const answerBy = clock.now() + stop
     await clock.wait(notice)
-    while (clock.now() < end && (this.#callers?.open ?? 0) > 0) await clock.wait(stopInterval)
+    while (clock.now() < answerBy && (this.#callers?.openRequests ?? 0) > 0) await clock.wait(stopCheckInterval)
     for (const server of this.#servers) stopAccepting(server)
-    const late = clock.now() + closeTime
-    while (clock.now() < late && (this.#callers?.quiet ?? Infinity) < quietTime) await clock.wait(stopInterval)
+    const closeBy = clock.now() + maxCloseTime
+    while (clock.now() < closeBy && (this.#callers?.idleTime ?? Infinity) < minIdleTime) await clock.wait(stopCheckInterval)
     for (const server of this.#servers) server.closeIdleConnections()
-    await clock.wait(stopInterval)
+    await clock.wait(stopCheckInterval)
     await this.kill()
   }
 
   /** Ends at once. */
   async kill (): Promise<void> {
     this.#scheduler.stop()
-    this.#flights?.stop()
+    this.#inFlight?.stop()
     this.#operators?.close()
     for (const server of this.#servers) {
       server.close()
@@ -163,12 +163,12 @@
     this.#scheduler.add(spreader)
     this.#scheduler.add(new Planning({ board, clock, current, reports, store, planner: new Repairing({ restart }), self, log, lostAfter }))
     this.#scheduler.add(new Voting({ board, clock, current, reports, store, self }))
-    board.listen('platform', up => log.write(up ? 'store-back' : 'store-lost'))
+    board.listen('platformAnswers', up => log.write(up ? 'store-back' : 'store-lost'))
     board.listen('placements', () => this.#scheduler.wake('spreader'))
     current.listen(configuration => {
       log.write('configuration-new', { revision: configuration.revision })
       metric.gauge('configuration.revision', configuration.revision)
-      spreader.urge()
+      spreader.sendToAllNext()
       this.#scheduler.wake('spreader')
     })
     return spreader
@@ -182,14 +182,14 @@
   async #startCallers (board: EntryBoard, self: EntryAddress): Promise<string> {
     const { clock, log, metric, bodyLimit, deadline, lostAfter, callers: address } = this.#options
     const current = this.#current
-    const targets = new Targets({ board, clock, current, reports: this.#reports, self, nearAge: lostAfter })
+    const targets = new Targets({ board, clock, current, reports: this.#reports, self, maxNearReportAge: lostAfter })
     this.#targets = targets
-    this.#flights = new Flights(clock, targets)
+    this.#inFlight = new AttemptsInFlight(clock, targets)
     const context: Context = {
       clock,
       current,
       targets,
-      flights: this.#flights,
+      inFlight: this.#inFlight,
       policy: new Balanced({ random: seeded(digest(self.id)) }),
       affinity: new Affinity(),
       budget: new Budget(clock),
@@ -209,10 +209,10 @@
   async #startOperators (board: EntryBoard, self: EntryAddress): Promise<string> {
     const { clock, log, store, first, lostAfter, operators } = this.#options
     const current = this.#current
-    const calls = new OperatorCalls({ board, clock, current, reports: this.#reports, store, clients: this.#clients, log, self, first, lostAfter })
+    const calls = new OperatorCalls({ board, clock, current, reports: this.#reports, store, clients: this.#clients, log, self, firstOperator: first, lostAfter })
     const listener = new DualListener(connectNodeAdapter({
       routes: router => calls.register(router),
-      interceptors: [operatorCheck({ current, first })]
+      interceptors: [operatorCheck({ current, firstOperator: first })]
     }))
     this.#operators = listener
     const { host, port } = splitAddress(operators)
--- a/packages/entry/src/exchange.ts
+++ b/packages/entry/src/exchange.ts
@@ -41,7 +41,7 @@
 }
 
 /** Milliseconds that a request has left. */
-export function left (exchange: Exchange, clock: Clock): number {
+export function timeLeft (exchange: Exchange, clock: Clock): number {
   return exchange.deadline - clock.now()
 }
 
@@ -49,12 +49,12 @@
 const timerSlack = 5
 
 /** Whether a request has no time left. A timer that is set to its deadline may be a little early. */
-export function late (exchange: Exchange, clock: Clock): boolean {
-  return left(exchange, clock) < timerSlack
+export function isExpired (exchange: Exchange, clock: Clock): boolean {
+  return timeLeft(exchange, clock) < timerSlack
 }
 
 /** How much earlier a worker gives up than the entry, in ms, so that its own word on whether the request ran comes in time. */
-const answerTime = 25
+const answerMargin = 25
 
 /** A session as replicas know it: sessions of two teams are never the same, whatever they are called. */
 export function sessionKey ({ team, session }: Exchange): string | undefined {
@@ -62,18 +62,18 @@
 }
 
 /** Headers of a request that only concern the entry. */
-const entryOnly: ReadonlySet<string> = new Set(['authorization', 'content-length', callerHeaders.session, callerHeaders.deadline, callerHeaders.repeatable, callerHeaders.lastEvent, ...Object.values(wireHeaders)])
+const entryOnlyHeaders: ReadonlySet<string> = new Set(['authorization', 'content-length', callerHeaders.session, callerHeaders.deadline, callerHeaders.repeatable, callerHeaders.lastEvent, ...Object.values(wireHeaders)])
 
 /** The headers that a worker gets: the caller's, without the hop's and the key of the team, and the attempt's own. */
 export function attemptHeaders (exchange: Exchange, attempt: Attempt, clock: Clock): Record<string, string> {
   const headers: Record<string, string> = {}
   for (const [name, value] of Object.entries(exchange.request.headers)) {
-    if (value === undefined || hopHeaders.has(name) || entryOnly.has(name)) continue
+    if (value === undefined || hopHeaders.has(name) || entryOnlyHeaders.has(name)) continue
     headers[name] = Array.isArray(value) ? value.join(', ') : value
   }
   headers[wireHeaders.attempt] = attempt.id
   headers[wireHeaders.incarnation] = attempt.target.incarnation
-  headers[wireHeaders.deadline] = String(Math.max(1, Math.ceil(left(exchange, clock) - answerTime)))
+  headers[wireHeaders.deadline] = String(Math.max(1, Math.ceil(timeLeft(exchange, clock) - answerMargin)))
   headers[wireHeaders.team] = exchange.team.name
   headers[wireHeaders.service] = exchange.service
   const session = sessionKey(exchange)
--- a/packages/entry/src/facts.ts
+++ b/packages/entry/src/facts.ts
@@ -28,7 +28,7 @@
   /** By service. */
   readonly homes: ReadonlyMap<string, Homes>
   /** Whether the platform answered last. */
-  readonly platform: boolean
+  readonly platformAnswers: boolean
   /** Whether a later configuration than this entry has been able to get is known to be in force elsewhere. */
   readonly behind: boolean
   readonly stopping: boolean
@@ -46,7 +46,7 @@
     nodes: undefined,
     placements: new Map(),
     homes: new Map(),
-    platform: false,
+    platformAnswers: false,
     behind: false,
     stopping: false
   })
@@ -57,57 +57,57 @@
 }
 
 /** Whether an address that was found replaces the one that is known. */
-type Replaces = (found: EntryAddress, known: EntryAddress) => boolean
+type ReplaceRule = (found: EntryAddress, known: EntryAddress) => boolean
 
 /** Takes a placement unless it is older than the one known. */
-export function takePlacement (board: EntryBoard, placement: Placement): void {
+export function mergePlacement (board: EntryBoard, placement: Placement): void {
   const known = board.read('placements')
-  if (newer(placement, known.get(placement.domain))) board.write('placements', new Map(known).set(placement.domain, placement))
+  if (isNewer(placement, known.get(placement.domain))) board.write('placements', new Map(known).set(placement.domain, placement))
 }
 
 /** Takes a list of voters unless it is older than the one known. */
-export function takeHomes (board: EntryBoard, homes: Homes): void {
+export function mergeHomes (board: EntryBoard, homes: Homes): void {
   const known = board.read('homes')
-  if (newer(homes, known.get(homes.service))) board.write('homes', new Map(known).set(homes.service, homes))
+  if (isNewer(homes, known.get(homes.service))) board.write('homes', new Map(known).set(homes.service, homes))
 }
 
 /** Takes a node list unless one was seen later. */
-export function takeNodes (board: EntryBoard, list: NodeList): void {
+export function mergeNodes (board: EntryBoard, list: NodeList): void {
   const known = board.read('nodes')
   if (known === undefined || list.seen > known.seen) board.write('nodes', list)
 }
 
 /** Takes entries that others tell of: those that were not known, and the addresses of later lives. */
-export function takeEntries (board: EntryBoard, entries: readonly EntryAddress[]): void {
-  take(board, entries, laterLife)
+export function mergeEntries (board: EntryBoard, entries: readonly EntryAddress[]): void {
+  merge(board, entries, isLaterIncarnation)
 }
 
 /** Takes the platform's list, where entries of earlier builds stand without their life. */
-export function takeListed (board: EntryBoard, entries: readonly EntryAddress[]): void {
-  take(board, entries, (found, known) => found.incarnation === undefined ? found.peer !== known.peer : laterLife(found, known))
+export function mergeListedEntries (board: EntryBoard, entries: readonly EntryAddress[]): void {
+  merge(board, entries, (found, known) => found.incarnation === undefined ? found.peer !== known.peer : isLaterIncarnation(found, known))
 }
 
 /** Takes what a known entry says of itself. One that is not known yet is fetched with what it knows. */
-export function takeSender (board: EntryBoard, sender: EntryAddress): void {
+export function updateSender (board: EntryBoard, sender: EntryAddress): void {
   if (!board.read('entries').some(each => each.id === sender.id)) return
-  take(board, [sender], (found, known) => found.peer !== known.peer || found.incarnation !== known.incarnation)
+  merge(board, [sender], (found, known) => found.peer !== known.peer || found.incarnation !== known.incarnation)
 }
 
 /** Takes entries that were not known, and those that replace what is known. Nobody else's word on this entry counts. */
-function take (board: EntryBoard, entries: readonly EntryAddress[], replaces: Replaces): void {
-  const { id: own } = board.read('self')
+function merge (board: EntryBoard, entries: readonly EntryAddress[], replaces: ReplaceRule): void {
+  const { id: selfId } = board.read('self')
   const known = new Map(board.read('entries').map(each => [each.id, each]))
-  const news = entries.filter(each => {
+  const changed = entries.filter(each => {
     const before = known.get(each.id)
-    return each.id !== own && (before === undefined || replaces(each, before))
+    return each.id !== selfId && (before === undefined || replaces(each, before))
   })
-  if (news.length === 0) return
-  for (const entry of news) known.set(entry.id, entry)
+  if (changed.length === 0) return
+  for (const entry of changed) known.set(entry.id, entry)
   board.write('entries', [...known.values()])
 }
 
 /** Whether an address is that of a later life. One without its life replaces only one without it. */
-function laterLife (found: EntryAddress, known: EntryAddress): boolean {
+function isLaterIncarnation (found: EntryAddress, known: EntryAddress): boolean {
   if (known.incarnation === undefined) return found.incarnation !== undefined || found.peer !== known.peer
   return found.incarnation !== undefined && found.incarnation > known.incarnation
 }
@@ -121,6 +121,6 @@
   return digest([...parts, String(board.read('nodes')?.seen ?? 0)].join())
 }
 
-function newer (found: Revised, known: Revised | undefined): boolean {
+function isNewer (found: Revised, known: Revised | undefined): boolean {
   return known === undefined || found.revision > known.revision
 }
--- a/packages/entry/src/fence.ts
+++ b/packages/entry/src/fence.ts
@@ -13,7 +13,7 @@
  * How long an entry goes on with a configuration that it knows is not the present one, in ms: longer than fetching the
  * present one takes, and short enough that with the second after which workers tell of it 6 s are kept.
  */
-const patience = 3000
+const maxBehindTime = 3000
 
 /** What the fence stands on. */
 export interface FenceOptions {
@@ -33,7 +33,7 @@
   readonly name = 'fence'
   readonly interval = 500
   readonly #options: FenceOptions
-  #since = Infinity
+  #behindSince = Infinity
 
   constructor (options: FenceOptions) {
     super()
@@ -43,15 +43,15 @@
   async update (): Promise<void> {
     const { board, clock, current, log } = this.#options
     const now = clock.now()
-    this.#since = this.#newest() > current.revision ? Math.min(this.#since, now) : Infinity
-    const behind = now - this.#since >= patience
+    this.#behindSince = this.#newestRevision() > current.revision ? Math.min(this.#behindSince, now) : Infinity
+    const behind = now - this.#behindSince >= maxBehindTime
     if (behind === board.read('behind')) return
     board.write('behind', behind)
-    log.write(behind ? 'entry-behind' : 'entry-current', { revision: current.revision, newest: this.#newest() })
+    log.write(behind ? 'entry-behind' : 'entry-current', { revision: current.revision, newest: this.#newestRevision() })
   }
 
   /** The latest revision that any worker has told of. */
-  #newest (): number {
+  #newestRevision (): number {
     let newest = 0
     for (const { report } of this.#options.reports.all) newest = Math.max(newest, report.revision)
     return newest
--- a/packages/entry/src/health.ts
+++ b/packages/entry/src/health.ts
@@ -18,17 +18,17 @@
 }
 
 /** How much later than in its own data centre a node is heard of in others, in ms, at the most. */
-const farDelay = 12_000
+const maxFarDelay = 12_000
 
 /** What is believed of each node. Nodes of other data centres that nobody tells of are as the platform lists them. */
 export function nodeFacts (facts: HealthFacts): NodeFact[] {
   const leaving = new Set(facts.configuration.leaving)
-  const cut = cutOff(facts)
+  const isolated = isolatedNodes(facts)
   return facts.nodes.map(node => {
     const age = facts.reports.age(node.id)
-    const health = cut.has(node.id) ? 'lost' : nodeHealth(node, age, leaving, facts)
+    const health = isolated.has(node.id) ? 'lost' : nodeHealth(node, age, leaving, facts)
     const report = facts.reports.of(node.id)?.report
-    return { node, health, lostFor: lostFor(health, age, facts, cut.has(node.id)), loaded: report?.loaded?.version }
+    return { node, health, lostFor: lostFor(health, age, facts, isolated.has(node.id)), loaded: report?.loaded?.version }
   })
 }
 
@@ -46,28 +46,28 @@
  * Nodes that answer the entries but whose replica's head has no grant of them for long: cut from the head alone. Where
  * a head lacks most of its members, it is the head that is cut off.
  */
-function cutOff ({ reports, lostAfter }: HealthFacts): Set<string> {
-  const cut = new Set<string>()
+function isolatedNodes ({ reports, lostAfter }: HealthFacts): Set<string> {
+  const isolated = new Set<string>()
   for (const { report } of reports.all) {
-    const silent = (reports.age(report.worker) ?? Infinity) > lostAfter
-    if (silent || report.missing.length === 0 || report.members === undefined) continue
-    const most = report.missing.length > report.members / 2
-    for (const id of most ? [report.worker] : report.missing) cut.add(id)
+    const isSilent = (reports.age(report.worker) ?? Infinity) > lostAfter
+    if (isSilent || report.missing.length === 0 || report.members === undefined) continue
+    const lacksMost = report.missing.length > report.members / 2
+    for (const id of lacksMost ? [report.worker] : report.missing) isolated.add(id)
   }
-  return cut
+  return isolated
 }
 
 /** How long a lost node has been lost, in ms; one that is cut off has been so for long. */
-function lostFor (health: Health, age: number | undefined, { lostAfter }: HealthFacts, cut: boolean): number {
+function lostFor (health: Health, age: number | undefined, { lostAfter }: HealthFacts, isIsolated: boolean): number {
   if (health !== 'lost') return 0
-  return cut ? Infinity : Math.max(0, (age ?? 0) - lostAfter)
+  return isIsolated ? Infinity : Math.max(0, (age ?? 0) - lostAfter)
 }
 
 function nodeHealth (node: Node, age: number | undefined, leaving: ReadonlySet<string>, { reports, lostAfter, dataCentre }: HealthFacts): Health {
-  const far = node.dataCentre !== dataCentre
-  if (age === undefined && !far) return 'unheard'
+  const isFar = node.dataCentre !== dataCentre
+  if (age === undefined && !isFar) return 'unheard'
   const report = reports.of(node.id)?.report
-  if ((age ?? 0) > lostAfter + (far ? farDelay : 0) || report?.healthy === false) return 'lost'
-  const told = node.state === 'leaving' || leaving.has(node.id) || report?.leaving === true
-  return told ? 'leaving' : 'live'
+  if ((age ?? 0) > lostAfter + (isFar ? maxFarDelay : 0) || report?.healthy === false) return 'lost'
+  const isLeaving = node.state === 'leaving' || leaving.has(node.id) || report?.leaving === true
+  return isLeaving ? 'leaving' : 'live'
 }
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,5 +1,5 @@
 /** The process that takes callers and operators. */
 export { Entry, type EntryAddresses, type EntryOptions } from './entry.js'
 export { Transcript, type Progress } from './transcript.js'
-export { Flights } from './flights.js'
+export { AttemptsInFlight } from './inflight.js'
 export { Targets, type HomeTarget, type Target, type TargetsOptions } from './targets.js'
--- a/packages/entry/src/flights.ts
+++ b/packages/entry/src/inflight.ts
@@ -7,12 +7,12 @@
 import { type Target, type Targets } from './targets.js'
 
 /** Time between two looks at the workers of what is in flight, in ms. */
-const lookInterval = 500
+const checkInterval = 500
 
 /** Time between two looks above which this process counts as late itself, in ms. */
-const mostLate = 2 * lookInterval
+const maxCheckDelay = 2 * checkInterval
 
-interface Flight {
+interface AttemptInFlight {
   readonly target: Target
   readonly cancel: Cancel
 }
@@ -21,25 +21,25 @@
  * The attempts in flight. A worker that freezes keeps its connections open, so an attempt there would wait until its
  * deadline; once the worker has been silent for too long, its attempts are given up and go on elsewhere, or are answered.
  */
-export class Flights {
+export class AttemptsInFlight {
   readonly #clock: Clock
   readonly #targets: Targets
-  readonly #flights = new Set<Flight>()
+  readonly #attempts = new Set<AttemptInFlight>()
   readonly #timer: Subscription
-  #lookedAt: number
+  #checkedAt: number
 
   constructor (clock: Clock, targets: Targets) {
     this.#clock = clock
     this.#targets = targets
-    this.#lookedAt = clock.now()
-    this.#timer = clock.every(lookInterval, () => this.#look())
+    this.#checkedAt = clock.now()
+    this.#timer = clock.every(checkInterval, () => this.#check())
   }
 
   /** Notes an attempt in flight. The returned function takes it out again. */
   add (target: Target, cancel: Cancel): () => void {
-    const flight: Flight = { target, cancel }
-    this.#flights.add(flight)
-    return () => { this.#flights.delete(flight) }
+    const attempt: AttemptInFlight = { target, cancel }
+    this.#attempts.add(attempt)
+    return () => { this.#attempts.delete(attempt) }
   }
 
   /** Looks no more. */
@@ -48,13 +48,13 @@
   }
 
   /** Looks, unless this process itself is late: then reports wait in its own sockets, and silence says nothing about the workers. */
-  #look (): void {
+  #check (): void {
     const now = this.#clock.now()
-    const late = now - this.#lookedAt > mostLate
-    this.#lookedAt = now
-    if (late) return
-    for (const { target, cancel } of [...this.#flights]) {
-      if (!this.#targets.alive(target)) cancel(new Error('The worker went silent.'))
+    const isLate = now - this.#checkedAt > maxCheckDelay
+    this.#checkedAt = now
+    if (isLate) return
+    for (const { target, cancel } of [...this.#attempts]) {
+      if (!this.#targets.isLive(target)) cancel(new Error('The worker went silent.'))
     }
   }
 }
--- a/packages/entry/src/keyedpath.ts
+++ b/packages/entry/src/keyedpath.ts
@@ -5,20 +5,20 @@
 import { Fault } from '@eiderwind/fault'
 import { mintKey, type Key, readKey } from '@eiderwind/run'
 import { answerFault, wireHeaders } from '@eiderwind/wire'
-import { tryWhole } from './attempting.js'
+import { collectAttempt } from './attempting.js'
 import { type Context } from './context.js'
-import { late, left, type Exchange } from './exchange.js'
-import { pass } from './modelpath.js'
-import { finalFault, withoutWord } from './outcome.js'
+import { isExpired, timeLeft, type Exchange } from './exchange.js'
+import { sendAnswer } from './modelpath.js'
+import { finalFault, accountForEarlierTries } from './outcome.js'
 
 /** Pause before the home of a key is asked again, in ms. */
-const askAgain = 150
+const retryPause = 150
 
 /** How often a home that does not answer is asked, beyond the first time. */
-const mostUnanswered = 3
+const maxUnanswered = 3
 
 /** How often another home is looked for when one said that it is not the home. */
-const mostMoves = 3
+const maxHomeChanges = 3
 
 /**
  * Serves one request that may not be repeated. It goes to the home of its key. When the connection to the home is
@@ -35,35 +35,35 @@
   if (read.isErr()) return answerFault(exchange.response, read.error)
   const key = read.value
   let last = new Fault('not-home', { detail: 'No worker is the home of this key now.' })
-  let doubt = false
-  let judged = false
+  let mayHaveRun = false
+  let noEarlierRun = false
   let unanswered = 0
-  let moves = 0
-  while (!late(exchange, clock)) {
+  let homeChanges = 0
+  while (!isExpired(exchange, clock)) {
     const target = targets.home(exchange.service, key.slot)
     if (target === undefined) break
-    const end = await tryWhole(context, exchange, target, { headers: keyHeaders(key, minted && !doubt ? target.tenure : undefined) })
-    if (end.type === 'answered') return pass(exchange, end.answer)
+    const end = await collectAttempt(context, exchange, target, { headers: keyHeaders(key, minted && !mayHaveRun ? target.tenure : undefined) })
+    if (end.type === 'answered') return sendAnswer(exchange, end.answer)
     const { fault, outcome } = end.failure
-    judged = end.failure.judged === true
+    noEarlierRun = end.failure.noEarlierRun === true
     log.write('attempt-failed', { service: exchange.service, worker: target.worker, code: fault.code, outcome })
     last = fault
-    if (outcome !== 'not-run') doubt = true
-    if (exchange.response.destroyed || !again(fault)) break
-    if (fault.code === 'lost' && ++unanswered > mostUnanswered) break
-    if (outcome === 'not-run' && ++moves > mostMoves) break
-    await clock.wait(Math.min(askAgain, left(exchange, clock)))
+    if (outcome !== 'not-run') mayHaveRun = true
+    if (exchange.response.destroyed || !canRetry(fault)) break
+    if (fault.code === 'lost' && ++unanswered > maxUnanswered) break
+    if (outcome === 'not-run' && ++homeChanges > maxHomeChanges) break
+    await clock.wait(Math.min(retryPause, timeLeft(exchange, clock)))
   }
-  const expired = late(exchange, clock)
-  const fault = finalFault(expired ? new Fault(doubt ? 'deadline-running' : 'deadline') : last, doubt)
-  answerFault(exchange.response, minted || (judged && !expired) ? fault : withoutWord(fault, exchange.key))
+  const expired = isExpired(exchange, clock)
+  const fault = finalFault(expired ? new Fault(mayHaveRun ? 'deadline-running' : 'deadline') : last, mayHaveRun)
+  answerFault(exchange.response, minted || (noEarlierRun && !expired) ? fault : accountForEarlierTries(fault, exchange.key))
 }
 
 /** Whether asking once more can bring a better answer. */
-function again ({ code }: Fault): boolean {
+function canRetry ({ code }: Fault): boolean {
   return code === 'lost' || code === 'still-running' || code === 'not-home' || code === 'not-serving' || code === 'leaving'
 }
 
-function keyHeaders (key: Key, fresh: number | undefined): Record<string, string> {
-  return { [wireHeaders.key]: key.text, ...(fresh === undefined ? {} : { [wireHeaders.fresh]: String(fresh) }) }
+function keyHeaders (key: Key, freshTenure: number | undefined): Record<string, string> {
+  return { [wireHeaders.key]: key.text, ...(freshTenure === undefined ? {} : { [wireHeaders.fresh]: String(freshTenure) }) }
 }
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -6,7 +6,7 @@
 import { createServer as createTcp, type Server, type Socket } from 'node:net'
 
 /** How an HTTP/2 connection with prior knowledge begins (RFC 9113, section 3.4). */
-const preface = 'PRI * HTTP/2.0'
+const http2Preface = 'PRI * HTTP/2.0'
 
 /**
  * One port for HTTP/1.1 and for HTTP/2 without TLS, so that gRPC clients and plain JSON clients both work. The first
@@ -26,7 +26,7 @@
       this.#sessions.add(session)
       session.once('close', () => this.#sessions.delete(session))
     })
-    this.#tcp = createTcp(socket => this.#sort(socket))
+    this.#tcp = createTcp(socket => this.#chooseServer(socket))
   }
 
   /** Listens and gives the port that was taken. */
@@ -44,14 +44,14 @@
     for (const socket of this.#sockets) socket.destroy()
   }
 
-  #sort (socket: Socket): void {
+  #chooseServer (socket: Socket): void {
     this.#sockets.add(socket)
     socket.once('close', () => this.#sockets.delete(socket))
     socket.on('error', () => socket.destroy())
     socket.once('readable', () => {
       const first = socket.read() as Buffer | null
       if (first === null) return
-      const server = first.toString('latin1', 0, preface.length) === preface.slice(0, first.length) ? this.#http2 : this.#http1
+      const server = first.toString('latin1', 0, http2Preface.length) === http2Preface.slice(0, first.length) ? this.#http2 : this.#http1
       socket.unshift(first)
       server.emit('connection', socket)
     })
--- a/packages/entry/src/modelpath.ts
+++ b/packages/entry/src/modelpath.ts
@@ -6,16 +6,16 @@
 import { ranked } from '@eiderwind/hash'
 import { prefixes } from '@eiderwind/route'
 import { answerFault, endToEnd, type Collected } from '@eiderwind/wire'
-import { tryWhole } from './attempting.js'
+import { collectAttempt } from './attempting.js'
 import { promptText, type Completion } from './completion.js'
 import { type Context } from './context.js'
-import { left, sessionKey, type Exchange } from './exchange.js'
-import { finalFault, withoutWord } from './outcome.js'
+import { timeLeft, sessionKey, type Exchange } from './exchange.js'
+import { finalFault, accountForEarlierTries } from './outcome.js'
 import { Stream } from './stream.js'
 import { type Target } from './targets.js'
 
 /** Replicas that entries prefer for a session, one after the other. */
-const sessionHomes = 3
+const preferredReplicas = 3
 
 /** Chooses replicas for one request, none of them twice. */
 export class Choice {
@@ -33,11 +33,11 @@
   /** The next replica to try, or undefined where none is left. */
   next (): Target | undefined {
     const { targets, policy, affinity } = this.#context
-    const left = targets.heads(this.#exchange.service).filter(({ candidate }) => !this.#tried.has(candidate.id))
-    if (left.length === 0) return undefined
-    const preference = { session: this.#homes(left), prefix: affinity.prefix(this.#blocks) }
-    const warm = left.filter(({ candidate: { id } }) => preference.session.includes(id) || preference.prefix.includes(id))
-    const near = [...new Set([...targets.nearest(left), ...warm])]
+    const untried = targets.heads(this.#exchange.service).filter(({ candidate }) => !this.#tried.has(candidate.id))
+    if (untried.length === 0) return undefined
+    const preference = { session: this.#replicasOfSession(untried), prefix: affinity.prefix(this.#blocks) }
+    const preferred = untried.filter(({ candidate: { id } }) => preference.session.includes(id) || preference.prefix.includes(id))
+    const near = [...new Set([...targets.nearest(untried), ...preferred])]
     const picked = policy.pick(near.map(each => each.candidate), preference)
     const target = near.find(each => each.candidate === picked)
     if (target !== undefined) this.#tried.add(target.candidate.id)
@@ -45,10 +45,10 @@
   }
 
   /** The replicas of this region that every entry prefers for the session, so that its requests meet whichever entry they come to. */
-  #homes (targets: readonly Target[]): string[] {
+  #replicasOfSession (targets: readonly Target[]): string[] {
     const session = sessionKey(this.#exchange)
     if (session === undefined) return []
-    return ranked(session, this.#context.targets.regional(targets).map(each => each.candidate.id)).slice(0, sessionHomes)
+    return ranked(session, this.#context.targets.regional(targets).map(each => each.candidate.id)).slice(0, preferredReplicas)
   }
 
   /** Lets every replica be tried again. */
@@ -57,7 +57,7 @@
   }
 
   /** Notes that a replica serves this request. */
-  served (target: Target): void {
+  recordServed (target: Target): void {
     this.#context.affinity.served(target.candidate.id, this.#blocks)
   }
 }
@@ -66,34 +66,34 @@
 export async function serveModel (context: Context, exchange: Exchange, completion: Completion): Promise<void> {
   const choice = new Choice(context, exchange, completion)
   if (completion.stream === true) return await new Stream(context, exchange, completion, choice).serve()
-  await serveWhole(context, exchange, choice)
+  await serveUnstreamed(context, exchange, choice)
 }
 
-async function serveWhole (context: Context, exchange: Exchange, choice: Choice): Promise<void> {
+async function serveUnstreamed (context: Context, exchange: Exchange, choice: Choice): Promise<void> {
   const { clock, budget, log, metric } = context
   let last = new Fault('no-replica')
-  let doubt = false
+  let mayHaveRun = false
   budget.deposit()
-  for (let tries = 0; left(exchange, clock) > 0 && !exchange.response.destroyed; tries++) {
+  for (let tries = 0; timeLeft(exchange, clock) > 0 && !exchange.response.destroyed; tries++) {
     const target = choice.next()
     if (target === undefined || (tries > 0 && !budget.withdraw())) break
     if (tries > 0) metric.count('request.retry')
-    const end = await tryWhole(context, exchange, target)
+    const end = await collectAttempt(context, exchange, target)
     if (end.type === 'answered') {
-      choice.served(target)
-      return pass(exchange, end.answer)
+      choice.recordServed(target)
+      return sendAnswer(exchange, end.answer)
     }
     const { fault, outcome } = end.failure
     log.write('attempt-failed', { service: exchange.service, worker: target.worker, code: fault.code, outcome })
     last = fault
-    if (outcome !== 'not-run') doubt = true
-    if (doubt && !exchange.repeatable) break
+    if (outcome !== 'not-run') mayHaveRun = true
+    if (mayHaveRun && !exchange.repeatable) break
   }
-  answerFault(exchange.response, withoutWord(finalFault(last, doubt), exchange.key))
+  answerFault(exchange.response, accountForEarlierTries(finalFault(last, mayHaveRun), exchange.key))
 }
 
 /** Answers the caller with an upstream's whole answer. */
-export function pass ({ response }: Exchange, { status, headers, body }: Collected): void {
+export function sendAnswer ({ response }: Exchange, { status, headers, body }: Collected): void {
   if (response.destroyed) return
   response.writeHead(status, { ...endToEnd(headers), 'content-length': body.length })
   response.end(body)
--- a/packages/entry/src/nodereader.ts
+++ b/packages/entry/src/nodereader.ts
@@ -7,7 +7,7 @@
 import { type EntryAddress } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { watchers } from '@eiderwind/spread'
-import { takeNodes, type EntryBoard } from './facts.js'
+import { mergeNodes, type EntryBoard } from './facts.js'
 
 /** Reads the platform's node list, where this entry is one of the few of its data centre that do. */
 export class NodeReader extends Controller {
@@ -27,13 +27,13 @@
   }
 
   async update (): Promise<void> {
-    const own = this.#board.read('live').filter(each => each.dataCentre === this.#self.dataCentre)
-    if (!watchers('nodes', own).some(each => each.id === this.#self.id)) return
+    const local = this.#board.read('live').filter(each => each.dataCentre === this.#self.dataCentre)
+    if (!watchers('nodes', local).some(each => each.id === this.#self.id)) return
     const found = await this.#store.nodes()
-    this.#board.write('platform', found.isOk())
+    this.#board.write('platformAnswers', found.isOk())
     if (found.isErr()) return
     const known = this.#board.read('nodes')?.nodes
     if (JSON.stringify(known) === JSON.stringify(found.value)) return
-    takeNodes(this.#board, { seen: Math.max(this.#clock.wall(), (this.#board.read('nodes')?.seen ?? 0) + 1), nodes: found.value })
+    mergeNodes(this.#board, { seen: Math.max(this.#clock.wall(), (this.#board.read('nodes')?.seen ?? 0) + 1), nodes: found.value })
   }
 }
--- a/packages/entry/src/operators.ts
+++ b/packages/entry/src/operators.ts
@@ -21,7 +21,7 @@
 import { bearerKey, secretDigest } from './teams.js'
 
 /** Entries that are given a change before it is answered as accepted, where there are so many. */
-const wantedPeers = 2
+const maxOfferPeers = 2
 
 /** What the operators' side stands on. */
 export interface OperatorsOptions {
@@ -34,18 +34,18 @@
   readonly log: Log
   readonly self: EntryAddress
   /** An operator who may call before the configuration names any. */
-  readonly first: Operator | undefined
+  readonly firstOperator: Operator | undefined
   readonly lostAfter: number
 }
 
 const operatorKey = createContextKey<string>('', { description: 'name of the operator who calls' })
 
 /** Lets only operators call, by the token in the Authorization header. */
-export function operatorCheck ({ current, first }: Pick<OperatorsOptions, 'current' | 'first'>): Interceptor {
+export function operatorCheck ({ current, firstOperator }: Pick<OperatorsOptions, 'current' | 'firstOperator'>): Interceptor {
   return next => async request => {
     const token = bearerKey(request.header.get('authorization') ?? undefined)
     const digest = token === undefined ? '' : secretDigest(token)
-    const known = [...current.configuration.operators, ...(first === undefined ? [] : [first])]
+    const known = [...current.configuration.operators, ...(firstOperator === undefined ? [] : [firstOperator])]
     const operator = known.find(each => each.token === digest)
     if (operator === undefined) throw connectError(new Fault('bad-operator'))
     request.contextValues.set(operatorKey, operator.name)
@@ -110,25 +110,25 @@
   async #offer (configuration: Configuration): Promise<number> {
     const { board, self, clients } = this.#options
     const others = board.read('live').filter(each => each.id !== self.id)
-    const near = others.filter(each => each.dataCentre === self.dataCentre).slice(0, wantedPeers)
-    const far = others.filter(each => each.dataCentre !== self.dataCentre).slice(0, wantedPeers)
-    const told = await Promise.allSettled([...near, ...far].map(each => clients.entry(each.peer).offer(configuration)))
-    return told.filter(each => each.status === 'fulfilled' && each.value >= configuration.revision).length
+    const near = others.filter(each => each.dataCentre === self.dataCentre).slice(0, maxOfferPeers)
+    const far = others.filter(each => each.dataCentre !== self.dataCentre).slice(0, maxOfferPeers)
+    const results = await Promise.allSettled([...near, ...far].map(each => clients.entry(each.peer).offer(configuration)))
+    return results.filter(each => each.status === 'fulfilled' && each.value >= configuration.revision).length
   }
 
   async * #watch (signal: AbortSignal) {
     const { current } = this.#options
-    let told = -1
+    let sentRevision = -1
     while (!signal.aborted) {
-      if (current.revision > told) {
-        told = current.revision
+      if (current.revision > sentRevision) {
+        sentRevision = current.revision
         yield configurationMessage(current.configuration)
       }
-      await this.#changed(signal)
+      await this.#nextChange(signal)
     }
   }
 
-  #changed (signal: AbortSignal): Promise<void> {
+  #nextChange (signal: AbortSignal): Promise<void> {
     return new Promise(resolve => {
       const stop = this.#options.current.listen(done)
       signal.addEventListener('abort', done, { once: true })
--- a/packages/entry/src/outcome.ts
+++ b/packages/entry/src/outcome.ts
@@ -12,7 +12,7 @@
   /** Whether this attempt may have run. */
   readonly outcome: Outcome
   /** Whether the home of a key said that no earlier try with it has run either. */
-  readonly judged?: boolean
+  readonly noEarlierRun?: boolean
 }
 
 /** How one attempt ended. */
@@ -21,8 +21,8 @@
   | { readonly type: 'failed', readonly failure: Failure }
 
 /** A failure with the outcome of its fault. */
-export function failure (fault: Fault, judged = false): Failure {
-  return { fault, outcome: fault.outcome, judged }
+export function failure (fault: Fault, noEarlierRun = false): Failure {
+  return { fault, outcome: fault.outcome, noEarlierRun }
 }
 
 /** The fault that a worker answered with, or undefined where the answer is the upstream's own. */
@@ -38,8 +38,8 @@
  * What the caller is told in the end. `last` is the newest failure; where any attempt before it may have run, the
  * whole request may have run, whatever the last one says.
  */
-export function finalFault (last: Fault, doubt: boolean): Fault {
-  if (!doubt || last.outcome !== 'not-run') return last
+export function finalFault (last: Fault, mayHaveRun: boolean): Fault {
+  if (!mayHaveRun || last.outcome !== 'not-run') return last
   return new Fault('lost', { retryAfter: last.retryAfter })
 }
 
@@ -49,7 +49,7 @@
  *
  * @param key the caller's own key, if it gave one
  */
-export function withoutWord (fault: Fault, key: string | undefined): Fault {
+export function accountForEarlierTries (fault: Fault, key: string | undefined): Fault {
   if (key === undefined || fault.outcome !== 'not-run' || fault.code === 'key-invalid') return fault
   return fault.doubted('An earlier try with this key may have run; keep the key.')
 }
--- a/packages/entry/src/part.ts
+++ b/packages/entry/src/part.ts
@@ -5,7 +5,7 @@
 import { type ServerResponse } from 'node:http'
 import { Fault } from '@eiderwind/fault'
 import { Receiver, wireHeaders, type AnswerHeaders, type CallFailure, type Flow } from '@eiderwind/wire'
-import { ownAnswer } from './attempting.js'
+import { isOwnAnswer } from './attempting.js'
 import { type Context } from './context.js'
 import { type Attempt } from './exchange.js'
 import { failure, workerFault, type Failure } from './outcome.js'
@@ -21,11 +21,11 @@
   readonly #attempt: Attempt
   readonly #listener: PartListener
   readonly #response: ServerResponse
-  readonly #other: Buffer[] = []
+  readonly #otherBody: Buffer[] = []
   #status = 0
   #headers: AnswerHeaders = {}
   #flow: Flow | undefined
-  #foreign = false
+  #isForeign = false
 
   constructor (context: Context, attempt: Attempt, listener: PartListener, response: ServerResponse) {
     super()
@@ -40,18 +40,18 @@
     this.#headers = headers
     this.#flow = flow
     if (status !== 200) return
-    this.#foreign = !ownAnswer(this.#context, this.#attempt, headers[wireHeaders.attempt])
-    if (this.#foreign) flow.abort(new Error('The answer belongs to another attempt.'))
+    this.#isForeign = !isOwnAnswer(this.#context, this.#attempt, headers[wireHeaders.attempt])
+    if (this.#isForeign) flow.abort(new Error('The answer belongs to another attempt.'))
     else this.#listener.begin(headers)
   }
 
   data (chunk: Buffer): void {
-    if (this.#foreign) return
+    if (this.#isForeign) return
     if (this.#status !== 200) {
-      this.#other.push(chunk)
+      this.#otherBody.push(chunk)
       return
     }
-    if (this.#listener.take(chunk) || this.#flow === undefined) return
+    if (this.#listener.forwardEvents(chunk) || this.#flow === undefined) return
     const flow = this.#flow
     flow.pause()
     this.#response.once('drain', () => flow.resume())
@@ -59,10 +59,10 @@
 
   end (): void {
     if (this.#status === 200) return this.#failed('interrupted')
-    const body = Buffer.concat(this.#other)
+    const body = Buffer.concat(this.#otherBody)
     const fault = workerFault(this.#status, this.#headers, body)
     if (fault !== undefined) this.#listener.ended({ type: 'failed', failure: failure(fault) })
-    else this.#listener.ended(this.#listener.pass(this.#status, this.#headers, body))
+    else this.#listener.ended(this.#listener.forwardAnswer(this.#status, this.#headers, body))
   }
 
   fail ({ sent }: CallFailure): void {
@@ -77,7 +77,7 @@
 /** What a part tells its stream. */
 export interface PartListener {
   readonly begin: (headers: AnswerHeaders) => void
-  readonly take: (chunk: Buffer) => boolean
-  readonly pass: (status: number, headers: AnswerHeaders, body: Buffer) => PartEnd
+  readonly forwardEvents: (chunk: Buffer) => boolean
+  readonly forwardAnswer: (status: number, headers: AnswerHeaders, body: Buffer) => PartEnd
   readonly ended: (end: PartEnd) => void
 }
--- a/packages/entry/src/peers.ts
+++ b/packages/entry/src/peers.ts
@@ -11,7 +11,7 @@
 export class Peers {
   readonly #clock: Clock
   readonly #self: EntryAddress
-  readonly #heard = new Map<string, number>()
+  readonly #lastContact = new Map<string, number>()
 
   constructor (clock: Clock, self: EntryAddress) {
     this.#clock = clock
@@ -19,23 +19,23 @@
   }
 
   /** Notes that an entry was heard of directly. */
-  heard (id: string): void {
-    this.#heard.set(id, this.#clock.now())
+  recordContact (id: string): void {
+    this.#lastContact.set(id, this.#clock.now())
   }
 
   /** The entries believed live among `entries`: all far ones, and those of the same data centre that are not silent. */
   live (entries: readonly EntryAddress[]): EntryAddress[] {
-    return entries.filter(entry => entry.id === this.#self.id || entry.dataCentre !== this.#self.dataCentre || this.#fresh(entry.id))
+    return entries.filter(entry => entry.id === this.#self.id || entry.dataCentre !== this.#self.dataCentre || this.#isRecent(entry.id))
   }
 
   /** Time since an entry was heard of, in ms. One first asked about now was heard of now. */
   silence (id: string): number {
-    const heard = this.#heard.get(id)
-    if (heard === undefined) this.heard(id)
-    return heard === undefined ? 0 : this.#clock.now() - heard
+    const lastContact = this.#lastContact.get(id)
+    if (lastContact === undefined) this.recordContact(id)
+    return lastContact === undefined ? 0 : this.#clock.now() - lastContact
   }
 
-  #fresh (id: string): boolean {
+  #isRecent (id: string): boolean {
     return this.silence(id) < goneAfter
   }
 }
--- a/packages/entry/src/plainpath.ts
+++ b/packages/entry/src/plainpath.ts
@@ -6,9 +6,9 @@
 import { noPreference } from '@eiderwind/route'
 import { type PlainService } from '@eiderwind/schema'
 import { Relay, answerFault, send, wireHeaders, type AnswerHeaders, type Flow } from '@eiderwind/wire'
-import { attemptCall, ownAnswer } from './attempting.js'
+import { attemptCall, isOwnAnswer } from './attempting.js'
 import { type Context } from './context.js'
-import { attemptAt, late, left, type Attempt, type Exchange } from './exchange.js'
+import { attemptAt, isExpired, timeLeft, type Attempt, type Exchange } from './exchange.js'
 import { serveKeyed } from './keyedpath.js'
 import { failure, finalFault, workerFault, type Failure } from './outcome.js'
 import { type Target } from './targets.js'
@@ -17,21 +17,21 @@
 const idempotent: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS', 'TRACE', 'PUT', 'DELETE'])
 
 /** Whether the service declares a call as not repeatable. The longest prefix of the path decides. */
-export function declaredOnce ({ routes }: PlainService, method: string, path: string): boolean {
+export function isDeclaredNotRepeatable ({ routes }: PlainService, method: string, path: string): boolean {
   const fitting = routes.filter(route => route.method === method && path.startsWith(route.path))
   fitting.sort((a, b) => b.path.length - a.path.length)
   return fitting[0]?.repeatable === false
 }
 
 /** Serves one request to a plain service; it answers the response in every case. */
-export async function servePlain (context: Context, exchange: Exchange, once: boolean): Promise<void> {
-  if (once) return await serveKeyed(context, exchange)
+export async function servePlain (context: Context, exchange: Exchange, atMostOnce: boolean): Promise<void> {
+  if (atMostOnce) return await serveKeyed(context, exchange)
   const { clock, budget, targets, policy, log, metric } = context
   const tried = new Set<string>()
   let last = new Fault('no-replica')
-  let doubt = false
+  let mayHaveRun = false
   budget.deposit()
-  while (left(exchange, clock) > 0 && !exchange.response.destroyed) {
+  while (timeLeft(exchange, clock) > 0 && !exchange.response.destroyed) {
     const usable = targets.workers(exchange.service).filter(each => !tried.has(each.worker))
     if (usable.length === 0 || (tried.size > 0 && !budget.withdraw())) break
     if (tried.size > 0) metric.count('request.retry')
@@ -43,31 +43,31 @@
     if (failed === undefined) return
     log.write('attempt-failed', { service: exchange.service, worker: target.worker, code: failed.fault.code, outcome: failed.outcome })
     last = failed.fault
-    if (failed.outcome !== 'not-run') doubt = true
-    if (doubt && !idempotent.has(exchange.request.method ?? '')) break
+    if (failed.outcome !== 'not-run') mayHaveRun = true
+    if (mayHaveRun && !idempotent.has(exchange.request.method ?? '')) break
   }
-  answerFault(exchange.response, finalFault(last, doubt))
+  answerFault(exchange.response, finalFault(last, mayHaveRun))
 }
 
 /** Passes a request to a worker and its answer back as it comes. Undefined once an answer was begun. */
 function tryRelay (context: Context, exchange: Exchange, target: Target): Promise<Failure | undefined> {
-  const { clock, targets, flights, dispatcher } = context
+  const { clock, targets, inFlight, dispatcher } = context
   const attempt = attemptAt(target, clock)
-  targets.open(target.worker)
+  targets.recordSent(target.worker)
   return new Promise(resolve => {
     const finish = (failed: Failure | undefined): void => {
       timer.cancel()
-      landed()
-      exchange.response.off('close', gone)
-      targets.close(target.worker)
+      removeFromList()
+      exchange.response.off('close', onCallerGone)
+      targets.recordEnded(target.worker)
       resolve(failed)
     }
     const relay = new PlainRelay(context, exchange, attempt, finish)
     const cancel = send(dispatcher, attemptCall(context, exchange, attempt), relay)
-    const timer = clock.after(left(exchange, clock), () => cancel(new Error('The deadline has passed.')))
-    const landed = flights.add(target, cancel)
-    const gone = (): void => cancel(new Error('The caller went away.'))
-    exchange.response.once('close', gone)
+    const timer = clock.after(timeLeft(exchange, clock), () => cancel(new Error('The deadline has passed.')))
+    const removeFromList = inFlight.add(target, cancel)
+    const onCallerGone = (): void => cancel(new Error('The caller went away.'))
+    exchange.response.once('close', onCallerGone)
   })
 }
 
@@ -84,7 +84,7 @@
       response: exchange.response,
       done: () => finish(undefined),
       failed: ({ sent }) => {
-        if (sent && late(exchange, context.clock)) return finish(failure(new Fault('deadline-running')))
+        if (sent && isExpired(exchange, context.clock)) return finish(failure(new Fault('deadline-running')))
         settle(context, attempt, sent).then(finish, () => finish(failure(new Fault('lost'))))
       }
     })
@@ -99,7 +99,7 @@
       this.#refused = { status, headers }
       return
     }
-    if (!ownAnswer(this.#context, this.#attempt, echoed)) {
+    if (!isOwnAnswer(this.#context, this.#attempt, echoed)) {
       flow.abort(new Error('The answer belongs to another attempt.'))
       return
     }
--- a/packages/entry/src/planning.ts
+++ b/packages/entry/src/planning.ts
@@ -10,7 +10,7 @@
 import { Placement, type EntryAddress, type ModelService } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { actor, type Reports } from '@eiderwind/spread'
-import { takePlacement, type EntryBoard } from './facts.js'
+import { mergePlacement, type EntryBoard } from './facts.js'
 import { nodeFacts, servingReplicas } from './health.js'
 
 /** What the planning stands on. */
@@ -45,8 +45,8 @@
 
   async update (): Promise<void> {
     const { board, clock, lostAfter, current } = this.#options
-    const settling = clock.now() - this.#startedAt < lostAfter / 2
-    if (settling || current.revision === 0 || board.read('nodes') === undefined) return
+    const isStarting = clock.now() - this.#startedAt < lostAfter / 2
+    if (isStarting || current.revision === 0 || board.read('nodes') === undefined) return
     for (const domain of this.#domains()) await this.#plan(domain)
   }
 
@@ -55,8 +55,8 @@
     const { board, self } = this.#options
     const live = board.read('live')
     const nodes = board.read('nodes')?.nodes ?? []
-    const homes = new Map(nodes.filter(each => each.service === undefined).map(each => [each.domain, each.dataCentre]))
-    return [...homes].filter(([domain, dataCentre]) => {
+    const dataCentreOf = new Map(nodes.filter(each => each.service === undefined).map(each => [each.domain, each.dataCentre]))
+    return [...dataCentreOf].filter(([domain, dataCentre]) => {
       const near = live.filter(each => each.dataCentre === dataCentre)
       return actor(`domain/${domain}`, near.length > 0 ? near : live)?.id === self.id
     }).map(([domain]) => domain)
@@ -72,7 +72,7 @@
     if (orders.length === 0) return
     const written = await store.write(`placement/${domain}`, placement, placement.revision - 1)
     if (written.isOk()) {
-      takePlacement(board, placement)
+      mergePlacement(board, placement)
       for (const { action, replica, members } of orders) log.write('placement-changed', { domain, action, replica, members: members.join(','), revision: placement.revision })
       return
     }
@@ -84,7 +84,7 @@
     const { board, store } = this.#options
     const found = await store.read(`placement/${domain}`)
     if (found.isErr()) return
-    takePlacement(board, found.value.version === 0 ? emptyPlacement(domain) : Placement.parse(found.value.value))
+    mergePlacement(board, found.value.version === 0 ? emptyPlacement(domain) : Placement.parse(found.value.value))
   }
 
   #facts (): Facts {
--- a/packages/entry/src/registrar.ts
+++ b/packages/entry/src/registrar.ts
@@ -6,14 +6,14 @@
 import { EntryList, Homes, Placement, type EntryAddress } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { watchers } from '@eiderwind/spread'
-import { takeHomes, takeListed, takePlacement, type EntryBoard } from './facts.js'
+import { mergeHomes, mergeListedEntries, mergePlacement, type EntryBoard } from './facts.js'
 import { type Peers } from './peers.js'
 
 /** Silence after which an entry is taken off its data centre's list, in ms. */
 const removeAfter = 600_000
 
 /** Updates between two readings of everything, for what was missed otherwise. */
-const readingEvery = 5
+const updatesPerRead = 5
 
 /** Registers this entry at the platform, and reads what is there: the other entries, placements and lists of voters. */
 export class Registrar extends Controller {
@@ -36,15 +36,15 @@
 
   async update (): Promise<void> {
     if (!this.#registered) this.#registered = await this.#register()
-    const due = this.#turn++ % readingEvery === 0 || this.#board.read('placements').size === 0
-    if (!due || !this.#reader()) return
+    const isDue = this.#turn++ % updatesPerRead === 0 || this.#board.read('placements').size === 0
+    if (!isDue || !this.#isReader()) return
     await this.#read()
   }
 
   /** A few entries of each data centre read; the others hear from them. One that knows nobody reads too. */
-  #reader (): boolean {
-    const own = this.#board.read('live').filter(each => each.dataCentre === this.#self.dataCentre)
-    return watchers('objects', own).some(each => each.id === this.#self.id)
+  #isReader (): boolean {
+    const local = this.#board.read('live').filter(each => each.dataCentre === this.#self.dataCentre)
+    return watchers('objects', local).some(each => each.id === this.#self.id)
   }
 
   async #register (): Promise<boolean> {
@@ -53,7 +53,7 @@
     if (read.isErr()) return false
     const { version, value } = read.value
     const listed = version === 0 ? [] : EntryList.parse(value).entries
-    takeListed(this.#board, listed)
+    mergeListedEntries(this.#board, listed)
     const kept = listed.filter(each => each.id !== this.#self.id && this.#peers.silence(each.id) < removeAfter)
     if (listed.length === kept.length + 1 && listed.some(each => each.id === this.#self.id && each.peer === this.#self.peer)) return true
     const list: EntryList = { dataCentre: this.#self.dataCentre, entries: [...kept, this.#self] }
@@ -62,9 +62,9 @@
 
   async #read (): Promise<void> {
     const [entries, placements, homes] = await Promise.all(['entries/', 'placement/', 'homes/'].map(prefix => this.#store.list(prefix)))
-    this.#board.write('platform', entries.isOk())
-    for (const { value } of entries.unwrapOr([])) takeListed(this.#board, EntryList.parse(value).entries)
-    for (const { value } of placements.unwrapOr([])) takePlacement(this.#board, Placement.parse(value))
-    for (const { value } of homes.unwrapOr([])) takeHomes(this.#board, Homes.parse(value))
+    this.#board.write('platformAnswers', entries.isOk())
+    for (const { value } of entries.unwrapOr([])) mergeListedEntries(this.#board, EntryList.parse(value).entries)
+    for (const { value } of placements.unwrapOr([])) mergePlacement(this.#board, Placement.parse(value))
+    for (const { value } of homes.unwrapOr([])) mergeHomes(this.#board, Homes.parse(value))
   }
 }
--- a/packages/entry/src/spreader.ts
+++ b/packages/entry/src/spreader.ts
@@ -8,17 +8,17 @@
 import { Configuration, type EntryAddress } from '@eiderwind/schema'
 import { Telling, columns, duties, reportTargets, type Heard, type Reports } from '@eiderwind/spread'
 import { type Clients } from '@eiderwind/wire'
-import { type EntryBoard, knownDigest, takeEntries, takeHomes, takeNodes, takePlacement } from './facts.js'
+import { type EntryBoard, knownDigest, mergeEntries, mergeHomes, mergeNodes, mergePlacement } from './facts.js'
 import { type Peers } from './peers.js'
 
 /** Updates between two tellings of another data centre. */
-const farEvery = 5
+const updatesPerFarExchange = 5
 
 /** Entries of the own data centre that are told in one update; where there are more, they take turns. */
-const nearAtOnce = 10
+const maxNearPeers = 10
 
 /** Silence of the entry that should tell of a worker after which the other one that the worker reports to does, in ms. */
-const relaySilence = 3000
+const relayTakeoverAfter = 3000
 
 /** Silence after which a worker is forgotten, in ms. */
 const forgetAfter = 600_000
@@ -53,43 +53,43 @@
   async update (): Promise<void> {
     const { board, peers, self, reports } = this.#options
     reports.forget(forgetAfter)
-    board.write('live', same(board.read('live'), peers.live(board.read('entries'))))
+    board.write('live', keepIfEqual(board.read('live'), peers.live(board.read('entries'))))
     const { near } = duties(self, board.read('entries'))
     const { far } = duties(self, board.read('live'))
-    const rounds = Math.max(1, Math.ceil(near.length / nearAtOnce))
+    const rounds = Math.max(1, Math.ceil(near.length / maxNearPeers))
     const turn = this.#turn++
-    const due = turn === 0 ? near : near.filter((_peer, index) => index % rounds === turn % rounds)
-    const tasks: Promise<unknown>[] = due.map(peer => this.#tell(peer, heard => this.#tellsNear(heard)))
-    if (turn % farEvery === 0) {
-      for (const { counterparts } of far) tasks.push(this.#tellFirst(counterparts))
+    const recipients = turn === 0 ? near : near.filter((_peer, index) => index % rounds === turn % rounds)
+    const tasks: Promise<unknown>[] = recipients.map(peer => this.#exchange(peer, heard => this.#relaysNear(heard)))
+    if (turn % updatesPerFarExchange === 0) {
+      for (const { counterparts } of far) tasks.push(this.#exchangeWithFirst(counterparts))
     }
-    if (near.length === 0) tasks.push(this.#askSeeds())
+    if (near.length === 0) tasks.push(this.#fetchFromSeeds())
     await Promise.all(tasks)
   }
 
   /** Has the next update tell the other data centres too, because there is news that cannot wait. */
-  urge (): void {
+  sendToAllNext (): void {
     this.#turn = 0
   }
 
   /** Fetches what another entry has and this one lacks. */
-  async fetch (address: string, revision: number, known: number): Promise<void> {
+  async fetchMissing (address: string, revision: number, peerDigest: number): Promise<void> {
     const { board, current, clients } = this.#options
     const calls = clients.entry(address)
     if (revision > current.revision) current.accept(Configuration.parse(await calls.configuration()))
-    if (known === knownDigest(board)) return
+    if (peerDigest === knownDigest(board)) return
     const { placements, homes, entries, nodes, nodesSeen } = await calls.known()
-    for (const placement of placements) takePlacement(board, placement)
-    for (const each of homes) takeHomes(board, each)
-    takeEntries(board, entries)
-    if (nodesSeen > 0) takeNodes(board, { seen: nodesSeen, nodes })
+    for (const placement of placements) mergePlacement(board, placement)
+    for (const each of homes) mergeHomes(board, each)
+    mergeEntries(board, entries)
+    if (nodesSeen > 0) mergeNodes(board, { seen: nodesSeen, nodes })
   }
 
   /** Tells the first of several entries that answers. */
-  async #tellFirst (counterparts: readonly EntryAddress[]): Promise<void> {
+  async #exchangeWithFirst (counterparts: readonly EntryAddress[]): Promise<void> {
     const { self } = this.#options
     for (const peer of counterparts.slice(0, 2)) {
-      if (await this.#tell(peer, heard => heard.report.dataCentre === self.dataCentre && takesRequests(heard))) return
+      if (await this.#exchange(peer, heard => heard.report.dataCentre === self.dataCentre && takesRequests(heard))) return
     }
   }
 
@@ -98,24 +98,24 @@
    * and those that report to it. Of the two entries that a worker reports to the first tells, and the second while
    * the first is silent about it.
    */
-  #tellsNear ({ report, source, relayedAt }: Heard): boolean {
+  #relaysNear ({ report, source, relayedAt }: Heard): boolean {
     const { board, self, clock } = this.#options
     if (source !== 'worker') return source === 'far'
     const [first] = reportTargets(report.worker, report.dataCentre, board.read('live'))
-    return first?.id === self.id || clock.now() - relayedAt > relaySilence
+    return first?.id === self.id || clock.now() - relayedAt > relayTakeoverAfter
   }
 
-  async #tell (peer: EntryAddress, chosen: (heard: Heard) => boolean): Promise<boolean> {
+  async #exchange (peer: EntryAddress, isChosen: (heard: Heard) => boolean): Promise<boolean> {
     const { clock, reports, peers, clients, board, current, self } = this.#options
     const now = clock.now()
-    const heard = reports.after(this.#telling.since(peer.id), chosen)
+    const heard = reports.after(this.#telling.since(peer.id), isChosen)
     const news = this.#telling.news(peer.id, heard)
     const message = { from: self, revision: current.revision, known: knownDigest(board), reports: [...news.reports], beats: columns(news.beats) }
     try {
       const { revision, known, lacking } = await clients.entry(peer.peer).exchange(message)
       this.#telling.arrived(peer.id, now, heard, lacking)
-      peers.heard(peer.id)
-      await this.fetch(peer.peer, revision, known)
+      peers.recordContact(peer.id)
+      await this.fetchMissing(peer.peer, revision, known)
       return true
     } catch {
       // Not logged, since this runs each second: a peer that stays silent drops out of `Peers.live`, and the next exchange sends everything.
@@ -124,11 +124,11 @@
     }
   }
 
-  async #askSeeds (): Promise<void> {
+  async #fetchFromSeeds (): Promise<void> {
     const { seeds, self } = this.#options
     for (const seed of seeds) {
       // A seed that does not answer is asked again with the next update, a second later.
-      if (seed !== self.peer) await this.fetch(seed, Infinity, -1).catch(() => {})
+      if (seed !== self.peer) await this.fetchMissing(seed, Infinity, -1).catch(() => {})
     }
   }
 }
@@ -139,6 +139,6 @@
 }
 
 /** The old list where the new one holds the same entries, so that nobody is told of a change that is none. */
-function same (before: readonly EntryAddress[], after: readonly EntryAddress[]): readonly EntryAddress[] {
+function keepIfEqual (before: readonly EntryAddress[], after: readonly EntryAddress[]): readonly EntryAddress[] {
   return JSON.stringify(before) === JSON.stringify(after) ? before : after
 }
--- a/packages/entry/src/status.ts
+++ b/packages/entry/src/status.ts
@@ -29,7 +29,7 @@
   const live = new Set(board.read('live').map(each => each.id))
   return {
     revision: BigInt(current.revision),
-    platform: board.read('platform'),
+    platform: board.read('platformAnswers'),
     replicas: replicas.map(replica => replicaStatus(replica, serving.has(replica.id), reports)),
     nodes: nodes.map(fact => nodeStatus(fact, replicas, reports)),
     entries: board.read('entries').map(({ id, dataCentre }) => ({ id, dataCentre, live: live.has(id) }))
--- a/packages/entry/src/stream.ts
+++ b/packages/entry/src/stream.ts
@@ -7,9 +7,9 @@
 import { attemptCall } from './attempting.js'
 import { type Completion } from './completion.js'
 import { type Context } from './context.js'
-import { attemptAt, left, type Exchange } from './exchange.js'
+import { attemptAt, timeLeft, type Exchange } from './exchange.js'
 import { type Choice } from './modelpath.js'
-import { failure, finalFault, withoutWord, type Failure } from './outcome.js'
+import { failure, finalFault, accountForEarlierTries, type Failure } from './outcome.js'
 import { Part, type PartEnd } from './part.js'
 import { type Target } from './targets.js'
 import { Transcript } from './transcript.js'
@@ -18,7 +18,7 @@
 const resumePause = 200
 
 /** How long a stream that has begun looks for a replica at the most, in ms. */
-const resumePatience = 60_000
+const maxResumeWait = 60_000
 
 /**
  * One streamed completion. It is whole only with its end mark. When a replica is lost in the middle, it is resumed on
@@ -39,7 +39,7 @@
     this.#completion = completion
     this.#choice = choice
     const offset = Number(exchange.request.headers[callerHeaders.lastEvent] ?? 0)
-    this.#transcript = new Transcript({ offset, text: completion.resume?.text ?? '', finished: false })
+    this.#transcript = new Transcript({ offset, text: completion.resume?.text ?? '', hasFinishReason: false })
   }
 
   /** Serves the stream; it answers the response in every case. */
@@ -47,33 +47,33 @@
     const { clock, budget, metric, targets } = this.#context
     const { response } = this.#exchange
     let last = new Fault('no-replica')
-    let doubt = false
+    let mayHaveRun = false
     let lostAt = Infinity
     budget.deposit()
-    for (let tries = 0; left(this.#exchange, clock) > 0 && !response.destroyed; tries++) {
+    for (let tries = 0; timeLeft(this.#exchange, clock) > 0 && !response.destroyed; tries++) {
       const target = this.#choice.next()
       if (!this.#begun && (target === undefined || (tries > 0 && !budget.withdraw()))) break
       if (target === undefined) {
-        if (clock.now() - lostAt > resumePatience) break
+        if (clock.now() - lostAt > maxResumeWait) break
         this.#choice.reset()
         await clock.wait(resumePause)
         continue
       }
       if (tries > 0) metric.count('request.retry')
-      targets.open(target.worker)
-      const end = await this.#part(target)
-      targets.close(target.worker)
+      targets.recordSent(target.worker)
+      const end = await this.#streamPart(target)
+      targets.recordEnded(target.worker)
       if (end.type === 'done') return
       last = end.failure.fault
-      this.#failed(target, end.failure)
-      if (end.failure.outcome !== 'not-run') doubt = true
-      if (doubt && !this.#exchange.repeatable) break
+      this.#recordFailure(target, end.failure)
+      if (end.failure.outcome !== 'not-run') mayHaveRun = true
+      if (mayHaveRun && !this.#exchange.repeatable) break
       lostAt = Math.min(lostAt, clock.now())
     }
-    this.#giveUp(withoutWord(finalFault(last, doubt), this.#exchange.key))
+    this.#endFailed(accountForEarlierTries(finalFault(last, mayHaveRun), this.#exchange.key))
   }
 
-  #failed (target: Target, { fault, outcome }: Failure): void {
+  #recordFailure (target: Target, { fault, outcome }: Failure): void {
     const { log, metric } = this.#context
     log.write('attempt-failed', { service: this.#exchange.service, worker: target.worker, code: fault.code, outcome })
     if (this.#begun && fault.code === 'interrupted') {
@@ -83,33 +83,33 @@
   }
 
   /** Streams from one replica until the end mark or a break. */
-  #part (target: Target): Promise<PartEnd> {
-    const { clock, flights, dispatcher } = this.#context
+  #streamPart (target: Target): Promise<PartEnd> {
+    const { clock, inFlight, dispatcher } = this.#context
     const exchange = this.#exchange
     const progress = this.#transcript.resume()
-    if (progress.finished) return Promise.resolve(this.#end())
+    if (progress.hasFinishReason) return Promise.resolve(this.#end())
     const attempt = attemptAt(target, clock)
     return new Promise(resolve => {
       const finish = (end: PartEnd): void => {
         timer.cancel()
-        landed()
-        exchange.response.off('close', gone)
+        removeFromList()
+        exchange.response.off('close', onCallerGone)
         resolve(end)
       }
       const part = new Part(this.#context, attempt, {
         begin: headers => this.#begin(target, headers),
-        take: chunk => this.#take(chunk),
-        pass: (status, headers, body) => this.#pass(status, headers, body),
-        ended: end => finish(this.#transcript.done ? this.#end() : end)
+        forwardEvents: chunk => this.#forwardEvents(chunk),
+        forwardAnswer: (status, headers, body) => this.#forwardAnswer(status, headers, body),
+        ended: end => finish(this.#transcript.isComplete ? this.#end() : end)
       }, this.#exchange.response)
       const cancel = send(dispatcher, attemptCall(this.#context, exchange, attempt, {}, this.#body(progress.offset, progress.text)), part)
-      const timer = clock.after(left(exchange, clock), () => cancel(new Error('The deadline has passed.')))
-      const landed = flights.add(target, cancel)
-      const gone = (): void => {
+      const timer = clock.after(timeLeft(exchange, clock), () => cancel(new Error('The deadline has passed.')))
+      const removeFromList = inFlight.add(target, cancel)
+      const onCallerGone = (): void => {
         this.#context.log.write('caller-gone', { service: exchange.service })
         cancel(new Error('The caller went away.'))
       }
-      exchange.response.once('close', gone)
+      exchange.response.once('close', onCallerGone)
     })
   }
 
@@ -121,7 +121,7 @@
 
   #begin (target: Target, headers: AnswerHeaders): void {
     const { clock, metric } = this.#context
-    this.#choice.served(target)
+    this.#choice.recordServed(target)
     if (this.#begun) return
     this.#begun = true
     metric.timing('request.first_byte_ms', clock.now() - this.#exchange.startedAt, { service: this.#exchange.service })
@@ -131,13 +131,13 @@
   }
 
   /** Passes whole events on. False while the caller takes no more. */
-  #take (chunk: Buffer): boolean {
+  #forwardEvents (chunk: Buffer): boolean {
     const events = this.#transcript.take(chunk)
     return events === undefined || this.#exchange.response.write(events)
   }
 
   /** Answers with what the engine said instead of a stream, such as that it does not understand the request. */
-  #pass (status: number, headers: AnswerHeaders, body: Buffer): PartEnd {
+  #forwardAnswer (status: number, headers: AnswerHeaders, body: Buffer): PartEnd {
     const { response } = this.#exchange
     if (this.#begun) return { type: 'failed', failure: failure(new Fault('interrupted')) }
     const { [wireHeaders.attempt]: _attempt, ...kept } = endToEnd(headers)
@@ -149,16 +149,16 @@
   /** Ends a whole stream, with the end mark where the replica was lost just before it. */
   #end (): PartEnd {
     const { response } = this.#exchange
-    response.end(this.#transcript.done ? undefined : 'data: [DONE]\n\n')
+    response.end(this.#transcript.isComplete ? undefined : 'data: [DONE]\n\n')
     return { type: 'done' }
   }
 
   /** Tells the caller that the stream is not whole: by an answer, or by an event of type `error` and no end mark. */
-  #giveUp (fault: Fault): void {
+  #endFailed (fault: Fault): void {
     const { response } = this.#exchange
     if (!this.#begun) return answerFault(response, fault)
     if (response.destroyed) return
-    const told = new Fault('interrupted')
-    response.end(`event: error\ndata: ${JSON.stringify({ error: told.body })}\n\n`)
+    const streamFault = new Fault('interrupted')
+    response.end(`event: error\ndata: ${JSON.stringify({ error: streamFault.body })}\n\n`)
   }
 }
--- a/packages/entry/src/targets.ts
+++ b/packages/entry/src/targets.ts
@@ -10,10 +10,10 @@
 import { type EntryBoard } from './facts.js'
 
 /** Age at which a report of a worker in another data centre is too old to send anything by it, in ms. */
-const farAge = 15_000
+const maxFarReportAge = 15_000
 
 /** Requests at a worker, in multiples of those that run at once there, from which on it is too crowded to be the nearest. */
-const crowd = 2
+const crowdedFactor = 2
 
 /** A worker that requests can be sent to. */
 export interface Target {
@@ -31,9 +31,9 @@
 }
 
 /** What an entry counts itself of one worker. */
-interface Tally {
+interface LocalCounts {
   open: number
-  sent: number[]
+  sentAt: number[]
 }
 
 /** What the targets stand on. */
@@ -44,16 +44,16 @@
   readonly reports: Reports
   readonly self: EntryAddress
   /** Age at which a report of a worker in the own data centre is too old, in ms. */
-  readonly nearAge: number
+  readonly maxNearReportAge: number
 }
 
 /** The workers that requests can be sent to, with their load as this entry can tell. */
 export class Targets {
   readonly #options: TargetsOptions
-  readonly #tallies = new Map<string, Tally>()
+  readonly #localCounts = new Map<string, LocalCounts>()
   /** The region of each node in the list that it was made from. */
   #regions: ReadonlyMap<string, string> = new Map()
-  #regionsOf: readonly Node[] = []
+  #regionNodes: readonly Node[] = []
 
   constructor (options: TargetsOptions) {
     this.#options = options
@@ -80,7 +80,7 @@
     for (const heard of this.#options.reports.all) {
       const { report } = heard
       if (report.service !== service || report.replica !== undefined || leaving.has(report.worker)) continue
-      if (this.#usable(heard)) targets.push(this.#target(heard, report.worker))
+      if (this.#isUsable(heard)) targets.push(this.#target(heard, report.worker))
     }
     return targets
   }
@@ -90,7 +90,7 @@
     let latest: Heard | undefined
     for (const heard of this.#options.reports.all) {
       const { report, madeAt } = heard
-      if (report.service !== service || !this.#usable(heard) || madeAt <= (latest?.madeAt ?? -Infinity)) continue
+      if (report.service !== service || !this.#isUsable(heard) || madeAt <= (latest?.madeAt ?? -Infinity)) continue
       if (report.slots.some(each => each.slot === slot)) latest = heard
     }
     const held = latest?.report.slots.find(each => each.slot === slot)
@@ -100,7 +100,7 @@
 
   /** The nearest of `targets` that are not crowded: own data centre, own region, anywhere; all of them where none is. */
   nearest (targets: readonly Target[]): Target[] {
-    const free = targets.filter(({ candidate }) => load(candidate) < crowd * candidate.concurrency)
+    const free = targets.filter(({ candidate }) => load(candidate) < crowdedFactor * candidate.concurrency)
     const near = free.filter(({ worker }) => this.#options.reports.of(worker)?.report.dataCentre === this.#options.self.dataCentre)
     if (near.length > 0) return near
     const regional = this.regional(free)
@@ -112,68 +112,68 @@
   regional (targets: readonly Target[]): Target[] {
     const { board, self } = this.#options
     const nodes = board.read('nodes')?.nodes ?? []
-    if (this.#regionsOf !== nodes) {
-      this.#regionsOf = nodes
+    if (this.#regionNodes !== nodes) {
+      this.#regionNodes = nodes
       this.#regions = new Map(nodes.map(each => [each.id, each.region]))
     }
     return targets.filter(({ worker }) => (this.#regions.get(worker) ?? self.region) === self.region)
   }
 
   /** Whether a worker still is the process that a request was sent to, and not silent. */
-  alive ({ worker, incarnation }: Target): boolean {
+  isLive ({ worker, incarnation }: Target): boolean {
     const heard = this.#options.reports.of(worker)
-    return heard !== undefined && heard.report.incarnation === incarnation && this.#fresh(heard)
+    return heard !== undefined && heard.report.incarnation === incarnation && this.#isFresh(heard)
   }
 
   /** Notes that a request goes to a worker. */
-  open (worker: string): void {
-    const tally = this.#tally(worker)
-    tally.open++
-    tally.sent.push(this.#options.clock.now())
+  recordSent (worker: string): void {
+    const counts = this.#countsOf(worker)
+    counts.open++
+    counts.sentAt.push(this.#options.clock.now())
   }
 
   /** Notes that a request at a worker is over. */
-  close (worker: string): void {
-    this.#tally(worker).open--
+  recordEnded (worker: string): void {
+    this.#countsOf(worker).open--
   }
 
   #head (replica: Replica): Target | undefined {
     const heard = this.#options.reports.of(replica.members[0])
-    if (heard === undefined || heard.report.replica !== replica.id || !this.#usable(heard)) return undefined
+    if (heard === undefined || heard.report.replica !== replica.id || !this.#isUsable(heard)) return undefined
     return this.#target(heard, replica.id)
   }
 
-  #usable (heard: Heard): boolean {
-    return heard.report.serving && !heard.report.leaving && this.#fresh(heard)
+  #isUsable (heard: Heard): boolean {
+    return heard.report.serving && !heard.report.leaving && this.#isFresh(heard)
   }
 
-  #fresh ({ report, madeAt }: Heard): boolean {
-    const { self, clock, nearAge } = this.#options
-    const limit = report.dataCentre === self.dataCentre ? nearAge : farAge
+  #isFresh ({ report, madeAt }: Heard): boolean {
+    const { self, clock, maxNearReportAge } = this.#options
+    const limit = report.dataCentre === self.dataCentre ? maxNearReportAge : maxFarReportAge
     return clock.now() - madeAt < limit
   }
 
   #target ({ report, madeAt }: Heard, id: string): Target {
-    const tally = this.#tally(report.worker)
-    while (tally.sent.length > 0 && tally.sent[0] < madeAt) tally.sent.shift()
-    return { worker: report.worker, address: report.address, incarnation: report.incarnation, candidate: this.#candidate(report, tally, id) }
+    const counts = this.#countsOf(report.worker)
+    while (counts.sentAt.length > 0 && counts.sentAt[0] < madeAt) counts.sentAt.shift()
+    return { worker: report.worker, address: report.address, incarnation: report.incarnation, candidate: this.#candidate(report, counts, id) }
   }
 
-  #candidate (report: Report, { open, sent }: Tally, id: string): Candidate {
+  #candidate (report: Report, { open, sentAt }: LocalCounts, id: string): Candidate {
     return {
       id,
       reported: report.running + report.queued,
       concurrency: report.concurrency,
       open,
-      unseen: sent.length
+      unseen: sentAt.length
     }
   }
 
-  #tally (worker: string): Tally {
-    const known = this.#tallies.get(worker)
+  #countsOf (worker: string): LocalCounts {
+    const known = this.#localCounts.get(worker)
     if (known !== undefined) return known
-    const tally: Tally = { open: 0, sent: [] }
-    this.#tallies.set(worker, tally)
-    return tally
+    const counts: LocalCounts = { open: 0, sentAt: [] }
+    this.#localCounts.set(worker, counts)
+    return counts
   }
 }
--- a/packages/entry/src/teams.ts
+++ b/packages/entry/src/teams.ts
@@ -23,8 +23,8 @@
   #byDigest = new Map<string, Team>()
 
   constructor (current: Current) {
-    this.#take(current.configuration)
-    current.listen(configuration => this.#take(configuration))
+    this.#update(current.configuration)
+    current.listen(configuration => this.#update(configuration))
   }
 
   /** The team of the key in an Authorization header. */
@@ -33,7 +33,7 @@
     return key === undefined ? undefined : this.#byDigest.get(secretDigest(key))
   }
 
-  #take ({ teams }: Configuration): void {
+  #update ({ teams }: Configuration): void {
     this.#byDigest = new Map(teams.flatMap(team => team.keys.map(key => [key, team])))
   }
 }
--- a/packages/entry/src/transcript.ts
+++ b/packages/entry/src/transcript.ts
@@ -9,7 +9,7 @@
 const endMark = Buffer.from('data: [DONE]')
 
 /** Bytes that are kept as they came before their text is taken out. */
-const foldSize = 16_384
+const maxPendingBytes = 16_384
 
 /** What of one event of a completion stream matters here. */
 const Chunk = z.object({
@@ -26,7 +26,7 @@
   /** Text that the caller has. */
   readonly text: string
   /** Whether the caller has the event that says why the answer ended. */
-  readonly finished: boolean
+  readonly hasFinishReason: boolean
 }
 
 /**
@@ -35,73 +35,73 @@
  * stream has to be resumed; the usual chunk costs two searches.
  */
 export class Transcript {
-  #rest: Buffer | undefined
-  #kept: Buffer[] = []
-  #size = 0
+  #partial: Buffer | undefined
+  #pending: Buffer[] = []
+  #pendingBytes = 0
   #progress: Progress
-  #done = false
+  #isComplete = false
 
   /** @param start what the caller had before this request */
-  constructor (start: Progress = { offset: 0, text: '', finished: false }) {
+  constructor (start: Progress = { offset: 0, text: '', hasFinishReason: false }) {
     this.#progress = start
   }
 
   /** Whether the end mark was handed on: only then is the stream whole. */
-  get done (): boolean {
-    return this.#done
+  get isComplete (): boolean {
+    return this.#isComplete
   }
 
   /** Takes a chunk and gives the whole events in it, or undefined where there is none. */
   take (chunk: Buffer): Buffer | undefined {
-    const bytes = this.#rest === undefined ? chunk : Buffer.concat([this.#rest, chunk])
+    const bytes = this.#partial === undefined ? chunk : Buffer.concat([this.#partial, chunk])
     const last = bytes.lastIndexOf(boundary)
     if (last < 0) {
-      this.#rest = bytes
+      this.#partial = bytes
       return undefined
     }
     const end = last + boundary.length
-    this.#rest = end === bytes.length ? undefined : bytes.subarray(end)
+    this.#partial = end === bytes.length ? undefined : bytes.subarray(end)
     const events = end === bytes.length ? bytes : bytes.subarray(0, end)
-    this.#keep(events)
+    this.#append(events)
     return events
   }
 
   /** Forgets a part of an event that will not be completed, and says where the stream stands. */
   resume (): Progress {
-    this.#rest = undefined
-    this.#fold()
+    this.#partial = undefined
+    this.#parsePending()
     return this.#progress
   }
 
-  #keep (events: Buffer): void {
-    if (events.includes(endMark)) this.#done = true
-    this.#kept.push(events)
-    this.#size += events.length
-    if (this.#size >= foldSize) this.#fold()
+  #append (events: Buffer): void {
+    if (events.includes(endMark)) this.#isComplete = true
+    this.#pending.push(events)
+    this.#pendingBytes += events.length
+    if (this.#pendingBytes >= maxPendingBytes) this.#parsePending()
   }
 
-  #fold (): void {
-    let { offset, text, finished } = this.#progress
+  #parsePending (): void {
+    let { offset, text, hasFinishReason } = this.#progress
     const parser = createParser({
       onEvent: ({ id, data }) => {
         if (id === undefined) return
-        const chunk = Chunk.safeParse(parsed(data))
+        const chunk = Chunk.safeParse(parseJson(data))
         if (Number(id) > offset) offset = Number(id)
         if (!chunk.success) return
         for (const { delta, finish_reason: reason } of chunk.data.choices) {
           text += delta?.content ?? ''
-          finished ||= typeof reason === 'string'
+          hasFinishReason ||= typeof reason === 'string'
         }
       }
     })
-    parser.feed(Buffer.concat(this.#kept).toString())
-    this.#kept = []
-    this.#size = 0
-    this.#progress = { offset, text, finished }
+    parser.feed(Buffer.concat(this.#pending).toString())
+    this.#pending = []
+    this.#pendingBytes = 0
+    this.#progress = { offset, text, hasFinishReason }
   }
 }
 
-function parsed (text: string): unknown {
+function parseJson (text: string): unknown {
   try {
     return JSON.parse(text)
   } catch {
--- a/packages/entry/src/voting.ts
+++ b/packages/entry/src/voting.ts
@@ -8,7 +8,7 @@
 import { Homes, type EntryAddress } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { actor, type Reports } from '@eiderwind/spread'
-import { takeHomes, type EntryBoard } from './facts.js'
+import { mergeHomes, type EntryBoard } from './facts.js'
 
 /** Time for which a majority must go by a list before the next one is made, in ms: longer than any lease. */
 const settleTime = 10_000
@@ -47,49 +47,49 @@
     for (const service of current.configuration.services) {
       if (service.kind !== 'plain') continue
       if (actor(`homes/${service.name}`, board.read('live'))?.id !== self.id) continue
-      await this.#keep(service.name)
+      await this.#updateList(service.name)
     }
   }
 
-  async #keep (service: string): Promise<void> {
+  async #updateList (service: string): Promise<void> {
     const { board, store } = this.#options
     const known = board.read('homes').get(service)
-    const next = known === undefined ? this.#first(service) : this.#next(known)
+    const next = known === undefined ? this.#firstList(service) : this.#nextList(known)
     if (next === undefined) return
     const written = await store.write(`homes/${service}`, next, next.revision - 1)
-    if (written.isOk()) return takeHomes(board, next)
+    if (written.isOk()) return mergeHomes(board, next)
     const found = await store.read(`homes/${service}`)
-    if (found.isOk() && found.value.version > 0) takeHomes(board, Homes.parse(found.value.value))
+    if (found.isOk() && found.value.version > 0) mergeHomes(board, Homes.parse(found.value.value))
   }
 
-  #first (service: string): Homes | undefined {
-    const voters = this.#listed(service)
+  #firstList (service: string): Homes | undefined {
+    const voters = this.#liveWorkers(service)
     return voters.length === 0 ? undefined : { service, revision: 1, voters }
   }
 
   /** The list that follows, where one voter has to come or go and the present list has settled. */
-  #next (known: Homes): Homes | undefined {
+  #nextList (known: Homes): Homes | undefined {
     const { service, revision, voters } = known
-    const listed = this.#listed(service)
-    const added = listed.find(id => !voters.includes(id) && this.#silence(id) < replaceAfter)
-    const gone = voters.find(id => !listed.includes(id) || this.#silence(id) > replaceAfter)
+    const candidates = this.#liveWorkers(service)
+    const added = candidates.find(id => !voters.includes(id) && this.#silence(id) < replaceAfter)
+    const gone = voters.find(id => !candidates.includes(id) || this.#silence(id) > replaceAfter)
     if (added === undefined && (gone === undefined || voters.length === 1)) return undefined
-    if (!this.#settled(known)) return undefined
+    if (!this.#isSettled(known)) return undefined
     if (added !== undefined) return { service, revision: revision + 1, voters: [...voters, added] }
     return { service, revision: revision + 1, voters: voters.filter(id => id !== gone) }
   }
 
-  #settled ({ service, revision, voters }: Homes): boolean {
+  #isSettled ({ service, revision, voters }: Homes): boolean {
     const { reports, clock } = this.#options
-    const mark = `${service}@${revision}`
+    const listKey = `${service}@${revision}`
     const adopted = voters.filter(id => reports.of(id)?.report.votersRevision === revision)
-    if (adopted.length <= voters.length / 2) this.#settledAt.delete(mark)
-    else if (!this.#settledAt.has(mark)) this.#settledAt.set(mark, clock.now())
-    const since = this.#settledAt.get(mark)
+    if (adopted.length <= voters.length / 2) this.#settledAt.delete(listKey)
+    else if (!this.#settledAt.has(listKey)) this.#settledAt.set(listKey, clock.now())
+    const since = this.#settledAt.get(listKey)
     return since !== undefined && clock.now() - since >= settleTime
   }
 
-  #listed (service: string): string[] {
+  #liveWorkers (service: string): string[] {
     const nodes = this.#options.board.read('nodes')?.nodes ?? []
     return nodes.filter(each => each.service === service && each.state === 'live').map(each => each.id).sort()
   }
--- a/packages/entry/src/watcher.ts
+++ b/packages/entry/src/watcher.ts
@@ -10,7 +10,7 @@
 import { type EntryBoard } from './facts.js'
 
 /** How long one watch waits at the platform, in ms. */
-const watchTime = 10_000
+const maxWatchTime = 10_000
 
 /** Keeps a watch on the configuration at the platform, where this entry is one of the few of its data centre that do. */
 export class Watcher extends Controller {
@@ -30,16 +30,16 @@
   }
 
   async update (): Promise<void> {
-    if (!this.#chosen()) return
+    if (!this.#isWatcher()) return
     const before = this.#current.revision
-    const found = await this.#store.watch(configurationKey, before, watchTime)
-    this.#board.write('platform', found.isOk())
+    const found = await this.#store.watch(configurationKey, before, maxWatchTime)
+    this.#board.write('platformAnswers', found.isOk())
     if (found.isErr() || found.value.version === 0) return
     this.#current.accept(Configuration.parse(found.value.value))
   }
 
-  #chosen (): boolean {
-    const own = this.#board.read('live').filter(each => each.dataCentre === this.#self.dataCentre)
-    return watchers('configuration', own).some(each => each.id === this.#self.id)
+  #isWatcher (): boolean {
+    const local = this.#board.read('live').filter(each => each.dataCentre === this.#self.dataCentre)
+    return watchers('configuration', local).some(each => each.id === this.#self.id)
   }
 }
--- a/packages/entry/test/addresses.test.ts
+++ b/packages/entry/test/addresses.test.ts
@@ -6,21 +6,21 @@
 import { Reports } from '@eiderwind/spread'
 import { type Clients, type EntryCalls, type Exchange } from '@eiderwind/wire'
 import { Calls } from '../src/calls.js'
-import { entryBoard, takeEntries, takeListed, type EntryBoard } from '../src/facts.js'
+import { entryBoard, mergeEntries, mergeListedEntries, type EntryBoard } from '../src/facts.js'
 import { Peers } from '../src/peers.js'
 import { Spreader } from '../src/spreader.js'
 
-const old = address('e1', 'a', '127.0.0.1:1')
-const now = address('e1', 'b', '127.0.0.1:11')
-const second = address('e2', 'a', '127.0.0.1:2')
-const third = address('e3', 'a', '127.0.0.1:3')
+const oldAddress = address('e1', 'a', '127.0.0.1:1')
+const newAddress = address('e1', 'b', '127.0.0.1:11')
+const secondAddress = address('e2', 'a', '127.0.0.1:2')
+const thirdAddress = address('e3', 'a', '127.0.0.1:3')
 
 function address (id: string, incarnation: string | undefined, peer: string): EntryAddress {
   return { id, dataCentre: 'd1', region: 'r1', peer, incarnation }
 }
 
 /** The parts of an entry that tell others and are told, without a network. */
-class Part {
+class TestEntry {
   readonly board: EntryBoard
   readonly calls: Calls
   readonly spreader: Spreader
@@ -33,7 +33,7 @@
     const peers = new Peers(clock, self)
     this.board = board
     this.spreader = new Spreader({ board, clock, current, reports, peers, clients, self, seeds })
-    this.calls = new Calls({ board, current, reports, peers, dataCentre: 'd1', heads: () => [], fetch: (from, revision, known) => this.spreader.fetch(from, revision, known) })
+    this.calls = new Calls({ board, current, reports, peers, dataCentre: 'd1', heads: () => [], fetchMissing: (from, revision, known) => this.spreader.fetchMissing(from, revision, known) })
   }
 
   /** The address under which this entry would reach another one. */
@@ -44,7 +44,7 @@
 
 /** Calls between entries by their address, which end in an order that a test draws. */
 class Network {
-  readonly #parts = new Map<string, Part>()
+  readonly #entries = new Map<string, TestEntry>()
   readonly #delay: () => number
   readonly clients = { entry: (peer: string) => this.#calls(peer) } as unknown as Clients
 
@@ -52,19 +52,19 @@
     this.#delay = delay
   }
 
-  add (self: EntryAddress, seeds: readonly string[] = []): Part {
-    const part = new Part(self, this.clients, seeds)
-    this.#parts.set(self.peer, part)
+  add (self: EntryAddress, seeds: readonly string[] = []): TestEntry {
+    const part = new TestEntry(self, this.clients, seeds)
+    this.#entries.set(self.peer, part)
     return part
   }
 
   #calls (peer: string): Pick<EntryCalls, 'configuration' | 'known' | 'exchange'> {
     const reach = async <Output> (call: (calls: Calls) => Promise<Output>): Promise<Output> => {
-      await turns(this.#delay())
-      const part = this.#parts.get(peer)
-      if (part === undefined) throw new Error('nobody listens there')
-      const output = await call(part.calls)
-      await turns(this.#delay())
+      await waitTurns(this.#delay())
+      const entry = this.#entries.get(peer)
+      if (entry === undefined) throw new Error('nobody listens there')
+      const output = await call(entry.calls)
+      await waitTurns(this.#delay())
       return output
     }
     return {
@@ -75,35 +75,35 @@
   }
 }
 
-async function turns (count: number): Promise<void> {
+async function waitTurns (count: number): Promise<void> {
   for (let turn = 0; turn < count; turn++) await new Promise(resolve => setImmediate(resolve))
 }
 
 test('an entry that starts again keeps its own address, whatever others still know', async t => {
   const network = new Network()
-  takeEntries(network.add(second).board, [old])
-  const entry = network.add(now, [second.peer])
+  mergeEntries(network.add(secondAddress).board, [oldAddress])
+  const entry = network.add(newAddress, [secondAddress.peer])
   await entry.spreader.update()
-  t.is(entry.peer('e1'), now.peer)
-  t.is(entry.peer('e2'), second.peer)
+  t.is(entry.peer('e1'), newAddress.peer)
+  t.is(entry.peer('e2'), secondAddress.peer)
 })
 
 test('an entry whose clock went back before it started again keeps its own address too', async t => {
   const network = new Network()
-  takeEntries(network.add(second).board, [{ ...old, incarnation: 'c' }])
-  const entry = network.add(now, [second.peer])
+  mergeEntries(network.add(secondAddress).board, [{ ...oldAddress, incarnation: 'c' }])
+  const entry = network.add(newAddress, [secondAddress.peer])
   await entry.spreader.update()
-  t.is(entry.peer('e1'), now.peer)
+  t.is(entry.peer('e1'), newAddress.peer)
 })
 
 test('what an entry says of its own address is taken at once, from one of an earlier build too', async t => {
-  for (const self of [now, { ...now, incarnation: undefined }, { ...now, incarnation: '0' }]) {
-    const part = new Network().add(second)
-    takeEntries(part.board, [old])
+  for (const self of [newAddress, { ...newAddress, incarnation: undefined }, { ...newAddress, incarnation: '0' }]) {
+    const part = new Network().add(secondAddress)
+    mergeEntries(part.board, [oldAddress])
     const none = { workers: [], stamps: [], sequences: [], running: [], queued: [], ages: [] }
     const message: Exchange = { from: self, revision: 0, known: 0, reports: [], beats: none }
     await part.calls.exchange(message)
-    t.is(part.peer('e1'), now.peer)
+    t.is(part.peer('e1'), newAddress.peer)
   }
 })
 
@@ -111,31 +111,31 @@
   for (let seed = 1; seed <= 200; seed++) {
     const random = seeded(seed)
     const network = new Network(() => Math.floor(random() * 4))
-    const parts = [network.add(second), network.add(third)]
-    for (const part of parts) takeEntries(part.board, [old, second, third])
-    const entry = network.add(now, [second.peer])
+    const parts = [network.add(secondAddress), network.add(thirdAddress)]
+    for (const part of parts) mergeEntries(part.board, [oldAddress, secondAddress, thirdAddress])
+    const entry = network.add(newAddress, [secondAddress.peer])
     for (let round = 0; round < 3; round++) {
       await Promise.all([entry, ...parts].map(each => each.spreader.update()))
-      await turns(20)
+      await waitTurns(20)
     }
-    for (const part of [entry, ...parts]) t.is(part.peer('e1'), now.peer, `seed ${seed}`)
+    for (const part of [entry, ...parts]) t.is(part.peer('e1'), newAddress.peer, `seed ${seed}`)
   }
 })
 
 test('of two addresses that are told by others the one of the later life is kept, in either order', t => {
-  for (const told of [[old, now], [now, old]]) {
-    const { board } = new Network().add(second)
-    for (const each of told) takeEntries(board, [each])
-    t.is(board.read('entries').find(each => each.id === 'e1')?.peer, now.peer)
+  for (const told of [[oldAddress, newAddress], [newAddress, oldAddress]]) {
+    const { board } = new Network().add(secondAddress)
+    for (const each of told) mergeEntries(board, [each])
+    t.is(board.read('entries').find(each => each.id === 'e1')?.peer, newAddress.peer)
   }
 })
 
 test('an address told by others without its life does not replace one with it, and the platform\'s list does', t => {
-  const earlier = { ...now, incarnation: undefined }
-  const { board } = new Network().add(second)
-  takeEntries(board, [old])
-  takeEntries(board, [earlier])
-  t.is(board.read('entries').find(each => each.id === 'e1')?.peer, old.peer)
-  takeListed(board, [earlier])
-  t.is(board.read('entries').find(each => each.id === 'e1')?.peer, now.peer)
+  const earlier = { ...newAddress, incarnation: undefined }
+  const { board } = new Network().add(secondAddress)
+  mergeEntries(board, [oldAddress])
+  mergeEntries(board, [earlier])
+  t.is(board.read('entries').find(each => each.id === 'e1')?.peer, oldAddress.peer)
+  mergeListedEntries(board, [earlier])
+  t.is(board.read('entries').find(each => each.id === 'e1')?.peer, newAddress.peer)
 })
--- a/packages/entry/test/fence.test.ts
+++ b/packages/entry/test/fence.test.ts
@@ -10,7 +10,7 @@
 import { Targets } from '../src/targets.js'
 import { plain, reportOf } from './harness.js'
 
-interface Made {
+interface Fixture {
   readonly clock: ManualClock
   readonly board: EntryBoard
   readonly current: Current
@@ -20,20 +20,20 @@
 }
 
 const self: EntryAddress = { id: 'e1', dataCentre: 'd1', region: 'r1', peer: '127.0.0.1:1' }
-const nearAge = 2500
+const maxNearReportAge = 2500
 
-function make (): Made {
+function setUp (): Fixture {
   const clock = new ManualClock()
   const board = entryBoard(self)
   const current = new Current()
   current.accept({ ...emptyConfiguration, revision: 4 })
   const reports = new Reports(clock)
   const fence = new Fence({ board, clock, current, reports, log: new Log({ sink: () => {} }) })
-  return { clock, board, current, reports, fence, targets: new Targets({ board, clock, current, reports, self, nearAge }) }
+  return { clock, board, current, reports, fence, targets: new Targets({ board, clock, current, reports, self, maxNearReportAge }) }
 }
 
 /** Lets a worker report at each second, going by `revision`, while the fence looks. */
-async function pass ({ clock, reports, fence }: Made, seconds: number, revision: number, leaving = false): Promise<void> {
+async function runSeconds ({ clock, reports, fence }: Fixture, seconds: number, revision: number, leaving = false): Promise<void> {
   for (let index = 0; index < seconds; index++) {
     const sequence = 1 + clock.now()
     reports.accept({ report: { ...reportOf('w', '127.0.0.1:2', plain, undefined), sequence, revision, leaving }, age: 0 }, 'worker')
@@ -45,12 +45,12 @@
 }
 
 test('an entry whose workers go by a later configuration stops within 4 s, and takes requests again when it has it', async t => {
-  const made = make()
-  await pass(made, 10, 4)
+  const made = setUp()
+  await runSeconds(made, 10, 4)
   t.false(made.board.read('behind'))
-  await pass(made, 3, 5)
+  await runSeconds(made, 3, 5)
   t.false(made.board.read('behind'), 'there is time to fetch it')
-  await pass(made, 1, 5)
+  await runSeconds(made, 1, 5)
   t.true(made.board.read('behind'))
   made.current.accept({ ...emptyConfiguration, revision: 5 })
   await made.fence.update()
@@ -58,9 +58,9 @@
 })
 
 test('a change that is fetched in time stops nothing, however many follow each other', async t => {
-  const made = make()
+  const made = setUp()
   for (let revision = 5; revision < 15; revision++) {
-    await pass(made, 1, revision)
+    await runSeconds(made, 1, revision)
     made.current.accept({ ...emptyConfiguration, revision })
     await made.fence.update()
     t.false(made.board.read('behind'))
@@ -68,22 +68,22 @@
 })
 
 test('an entry that hears nothing any more hands out no worker once the reports are old', async t => {
-  const made = make()
-  await pass(made, 3, 4)
+  const made = setUp()
+  await runSeconds(made, 3, 4)
   t.is(made.targets.workers(plain).length, 1)
   t.truthy(made.targets.home(plain, 3))
-  made.clock.advance(nearAge)
+  made.clock.advance(maxNearReportAge)
   t.deepEqual(made.targets.workers(plain), [])
   t.is(made.targets.home(plain, 3), undefined)
 })
 
 test('a worker that says that it leaves, or that the configuration tells to leave, gets nothing new at once', async t => {
-  const made = make()
-  await pass(made, 1, 4)
+  const made = setUp()
+  await runSeconds(made, 1, 4)
   made.current.accept({ ...emptyConfiguration, revision: 5, leaving: ['w'] })
   t.deepEqual(made.targets.workers(plain), [])
-  const other = make()
-  await pass(other, 1, 4, true)
+  const other = setUp()
+  await runSeconds(other, 1, 4, true)
   t.deepEqual(other.targets.workers(plain), [])
   t.is(other.targets.home(plain, 3), undefined)
 })
--- a/packages/entry/test/harness.ts
+++ b/packages/entry/test/harness.ts
@@ -10,7 +10,7 @@
 import { Fault, type Code } from '@eiderwind/fault'
 import { Callers } from '../src/callers.js'
 import { entryBoard, type EntryBoard } from '../src/facts.js'
-import { Flights } from '../src/flights.js'
+import { AttemptsInFlight } from '../src/inflight.js'
 import { Targets } from '../src/targets.js'
 import { Teams, secretDigest } from '../src/teams.js'
 
@@ -33,7 +33,7 @@
 }
 
 /** What a fake worker does. */
-export interface FakeOptions {
+export interface WorkerBehaviour {
   readonly answers: readonly Answer[]
   /** Its word on the fate of attempts; undefined cuts the connection instead. */
   readonly fate?: SettleAnswer
@@ -48,7 +48,7 @@
   readonly #servers: Server[] = []
   readonly #clients = new Clients()
   readonly #dispatcher = new Agent({ bodyTimeout: 0, headersTimeout: 0 })
-  readonly #flights: Flights
+  readonly #inFlight: AttemptsInFlight
   readonly #callers: Callers
   readonly #failed: string[] = []
   #origin = ''
@@ -62,13 +62,13 @@
       services: [service('plain'), service('model')],
       teams: [{ name: 'team', priority: 1, keys: [secretDigest(key)] }]
     })
-    const targets = new Targets({ board, clock: this.#clock, current, reports: this.reports, self, nearAge: 60_000 })
-    this.#flights = new Flights(this.#clock, targets)
+    const targets = new Targets({ board, clock: this.#clock, current, reports: this.reports, self, maxNearReportAge: 60_000 })
+    this.#inFlight = new AttemptsInFlight(this.#clock, targets)
     const context = {
       clock: this.#clock,
       current,
       targets,
-      flights: this.#flights,
+      inFlight: this.#inFlight,
       // With equal places, workers that have had no request are tried in the order in which they were reported.
       policy: new Balanced({ random: () => 0 }),
       affinity: new Affinity(),
@@ -92,7 +92,7 @@
   }
 
   /** Adds a worker that answers over HTTP. One of the plain service is the home of every slot. */
-  async worker (id: string, options: FakeOptions, service = plain): Promise<FakeWorker> {
+  async worker (id: string, options: WorkerBehaviour, service = plain): Promise<FakeWorker> {
     const requests: string[] = []
     const port = await this.#serve((request, response) => {
       if (request.url === '/trpc/settle') return options.fate === undefined ? request.socket.destroy() : response.end(JSON.stringify(options.fate))
@@ -120,7 +120,7 @@
   }
 
   async stop (): Promise<void> {
-    this.#flights.stop()
+    this.#inFlight.stop()
     for (const server of this.#servers) {
       server.close()
       server.closeAllConnections()
@@ -149,18 +149,18 @@
 }
 
 /** A worker's own refusal. */
-export function refusal (code: Code, judged = false): Answer {
+export function refusal (code: Code, noEarlierRun = false): Answer {
   return (_request, response) => {
-    if (judged) response.setHeader('eiderwind-judged', '1')
+    if (noEarlierRun) response.setHeader('eiderwind-judged', '1')
     answerFault(response, new Fault(code))
   }
 }
 
 /** Takes the request and cuts the connection. */
-export const cut: Answer = request => { request.socket.destroy() }
+export const cutConnection: Answer = request => { request.socket.destroy() }
 
 /** Takes the request and never answers. */
-export const silence: Answer = () => {}
+export const neverAnswer: Answer = () => {}
 
 function service (kind: 'plain' | 'model'): Service {
   const bounds = { concurrency: 8, queue: 8 }
--- a/packages/entry/test/honest.test.ts
+++ b/packages/entry/test/outcomes.test.ts
@@ -5,16 +5,16 @@
 import { createServer } from 'node:net'
 import test, { type ExecutionContext } from 'ava'
 import { v7 } from 'uuid'
-import { Harness, cut, echo, key, model, plain, refusal, silence, type Answer, type FakeOptions } from './harness.js'
+import { Harness, cutConnection, echo, key, model, plain, refusal, neverAnswer, type Answer, type WorkerBehaviour } from './harness.js'
 
 interface Case {
   readonly title: string
   readonly path?: string
   readonly init?: RequestInit
   /** Sets the entry up, beside the workers. */
-  readonly given?: (harness: Harness) => void | Promise<void>
+  readonly setUp?: (harness: Harness) => void | Promise<void>
   /** The workers, in the order in which they are tried. For a key the last one is the home. */
-  readonly workers?: readonly FakeOptions[]
+  readonly workers?: readonly WorkerBehaviour[]
   /** The workers whose attempts must have failed, in this order, where the order is what the case is about. */
   readonly failed?: readonly string[]
   readonly code: string
@@ -44,10 +44,10 @@
 const behind = (harness: Harness): void => harness.board.write('behind', true)
 
 const cases: readonly Case[] = [
-  { title: 'an entry that leaves', given: leaving, code: 'leaving', outcome: 'not-run' },
-  { title: 'an entry that leaves, with a key that may have run before', init: keyed(), given: leaving, code: 'leaving', outcome: 'unknown' },
-  { title: 'an entry that is behind', given: behind, code: 'behind', outcome: 'not-run' },
-  { title: 'an entry that is behind, with a key that may have run before', init: keyed(), given: behind, code: 'behind', outcome: 'unknown' },
+  { title: 'an entry that leaves', setUp: leaving, code: 'leaving', outcome: 'not-run' },
+  { title: 'an entry that leaves, with a key that may have run before', init: keyed(), setUp: leaving, code: 'leaving', outcome: 'unknown' },
+  { title: 'an entry that is behind', setUp: behind, code: 'behind', outcome: 'not-run' },
+  { title: 'an entry that is behind, with a key that may have run before', init: keyed(), setUp: behind, code: 'behind', outcome: 'unknown' },
   { title: 'a wrong team key, with a key that may have run before', init: keyed({ authorization: 'Bearer other' }), code: 'bad-key', outcome: 'unknown' },
   { title: 'an unknown service, with a key that may have run before', path: '/services/none/topups', init: keyed(), code: 'unknown-service', outcome: 'unknown' },
   { title: 'a body over the limit, with a key that may have run before', path: topUp, init: { ...keyed(), body: 'x'.repeat(1001) }, code: 'too-large', outcome: 'unknown' },
@@ -58,24 +58,24 @@
   { title: 'no replica for a stream, with a key that may have run before', path: '/v1/chat/completions', init: { ...keyed(), body: streamed }, code: 'no-replica', outcome: 'unknown' },
   { title: 'no home for a key that may have run before', path: topUp, init: keyed(), code: 'not-home', outcome: 'unknown' },
   { title: 'no home for a key that the entry minted', path: topUp, init: { method: 'POST', body: 'x' }, code: 'not-home', outcome: 'not-run' },
-  { title: 'a worker that takes no connection', given: harness => downWorker(harness), code: 'upstream-down', outcome: 'not-run' },
-  { title: 'a worker that takes no connection, after one that took the request and cut it', workers: [{ answers: [cut], fate: 'started' }], given: harness => downWorker(harness), failed: ['w0', 'down'], code: 'lost', outcome: 'unknown' },
-  { title: 'a head that takes no connection', path: '/v1/chat/completions', init: { method: 'POST', body: prompt }, given: harness => downWorker(harness, model), code: 'upstream-down', outcome: 'not-run' },
-  { title: 'a cut connection, where the worker gives its word that it never starts', workers: [{ answers: [cut], fate: 'tombstoned' }], code: 'upstream-down', outcome: 'not-run' },
-  { title: 'a cut connection, where the worker has started', workers: [{ answers: [cut], fate: 'started' }], code: 'lost', outcome: 'unknown' },
-  { title: 'a cut connection, where another incarnation answers for the worker', workers: [{ answers: [cut], fate: 'stranger' }], code: 'lost', outcome: 'unknown' },
-  { title: 'a cut connection, where nobody answers for the worker', workers: [{ answers: [cut] }], code: 'lost', outcome: 'unknown' },
+  { title: 'a worker that takes no connection', setUp: harness => downWorker(harness), code: 'upstream-down', outcome: 'not-run' },
+  { title: 'a worker that takes no connection, after one that took the request and cut it', workers: [{ answers: [cutConnection], fate: 'started' }], setUp: harness => downWorker(harness), failed: ['w0', 'down'], code: 'lost', outcome: 'unknown' },
+  { title: 'a head that takes no connection', path: '/v1/chat/completions', init: { method: 'POST', body: prompt }, setUp: harness => downWorker(harness, model), code: 'upstream-down', outcome: 'not-run' },
+  { title: 'a cut connection, where the worker gives its word that it never starts', workers: [{ answers: [cutConnection], fate: 'tombstoned' }], code: 'upstream-down', outcome: 'not-run' },
+  { title: 'a cut connection, where the worker has started', workers: [{ answers: [cutConnection], fate: 'started' }], code: 'lost', outcome: 'unknown' },
+  { title: 'a cut connection, where another incarnation answers for the worker', workers: [{ answers: [cutConnection], fate: 'stranger' }], code: 'lost', outcome: 'unknown' },
+  { title: 'a cut connection, where nobody answers for the worker', workers: [{ answers: [cutConnection] }], code: 'lost', outcome: 'unknown' },
   { title: 'a refusal by a worker', workers: [{ answers: [refusal('busy')] }], code: 'busy', outcome: 'not-run' },
-  { title: 'a refusal by a worker, after one that started and cut', workers: [{ answers: [cut], fate: 'started' }, { answers: [refusal('busy')] }], failed: ['w0', 'w1'], code: 'lost', outcome: 'unknown' },
+  { title: 'a refusal by a worker, after one that started and cut', workers: [{ answers: [cutConnection], fate: 'started' }, { answers: [refusal('busy')] }], failed: ['w0', 'w1'], code: 'lost', outcome: 'unknown' },
   { title: 'a worker that answers with nothing of the system\'s', workers: [{ answers: [(_request, response) => { response.statusCode = 500; response.end('?') }] }], code: 'lost', outcome: 'unknown' },
-  { title: 'a deadline that passes while the worker has the request', init: { headers: { 'eiderwind-deadline-ms': '200' } }, workers: [{ answers: [silence] }], code: 'deadline-running', outcome: 'unknown' },
+  { title: 'a deadline that passes while the worker has the request', init: { headers: { 'eiderwind-deadline-ms': '200' } }, workers: [{ answers: [neverAnswer] }], code: 'deadline-running', outcome: 'unknown' },
   { title: 'a home that refuses a caller\'s key without a word on earlier tries', path: topUp, init: keyed(), workers: [{ answers: [refusal('busy')] }], code: 'busy', outcome: 'unknown' },
   { title: 'a home that refuses a caller\'s key and gives its word on earlier tries', path: topUp, init: keyed(), workers: [{ answers: [refusal('busy', true)] }], code: 'busy', outcome: 'not-run' },
-  { title: 'a home that refuses with its word after it was sent the key and cut', path: topUp, init: keyed(), workers: [{ answers: [cut, refusal('busy', true)] }], code: 'lost', outcome: 'unknown' },
-  { title: 'a deadline that passes while the home has a minted key', path: topUp, init: { method: 'POST', body: 'x', headers: { 'eiderwind-deadline-ms': '200' } }, workers: [{ answers: [silence] }], code: 'deadline-running', outcome: 'unknown' }
+  { title: 'a home that refuses with its word after it was sent the key and cut', path: topUp, init: keyed(), workers: [{ answers: [cutConnection, refusal('busy', true)] }], code: 'lost', outcome: 'unknown' },
+  { title: 'a deadline that passes while the home has a minted key', path: topUp, init: { method: 'POST', body: 'x', headers: { 'eiderwind-deadline-ms': '200' } }, workers: [{ answers: [neverAnswer] }], code: 'deadline-running', outcome: 'unknown' }
 ]
 
-async function made (t: ExecutionContext, workers: readonly FakeOptions[] = []): Promise<Harness> {
+async function startHarness (t: ExecutionContext, workers: readonly WorkerBehaviour[] = []): Promise<Harness> {
   const harness = new Harness()
   t.teardown(() => harness.stop())
   await harness.start()
@@ -83,10 +83,10 @@
   return harness
 }
 
-for (const { title, path = query, init, given, workers, failed, code, outcome } of cases) {
+for (const { title, path = query, init, setUp, workers, failed, code, outcome } of cases) {
   test(`${title}: the caller is told ${outcome}`, async t => {
-    const harness = await made(t, workers)
-    await given?.(harness)
+    const harness = await startHarness(t, workers)
+    await setUp?.(harness)
     const response = await harness.ask(path, init)
     const { error } = await response.json() as { error: { code: string, outcome: string } }
     t.is(`${error.code} ${error.outcome}`, `${code} ${outcome}`)
@@ -110,7 +110,7 @@
 
 for (const { title, path, init, service } of paths) {
   test(`${title} that names another attempt is dropped, and the outcome is unknown`, async t => {
-    const harness = await made(t)
+    const harness = await startHarness(t)
     await harness.worker('w', { answers: [foreign], fate: 'started' }, service)
     const response = await harness.ask(path, init)
     const text = await response.text()
@@ -120,7 +120,7 @@
 }
 
 test('an answer that comes twice on a connection goes to its own caller only', async t => {
-  const harness = await made(t)
+  const harness = await startHarness(t)
   let sent = 0
   const twice = createServer(socket => socket.on('data', data => {
     for (const [, attempt] of data.toString().matchAll(/eiderwind-attempt: (\S+)/g)) {
@@ -145,7 +145,7 @@
 })
 
 test('an answer that comes after its deadline reaches nobody, and the next caller gets its own', async t => {
-  const harness = await made(t)
+  const harness = await startHarness(t)
   let late = (): void => {}
   const answers: Answer[] = [(request, response) => { late = () => echo('late')(request, response) }, echo('own')]
   await harness.worker('w', { answers, fate: 'started' })
@@ -157,7 +157,7 @@
 })
 
 test('the team key of a caller never reaches a worker', async t => {
-  const harness = await made(t)
+  const harness = await startHarness(t)
   let seen = ''
   await harness.worker('w', { answers: [(request, response) => { seen = JSON.stringify(request.headers); echo('x')(request, response) }] })
   await (await harness.ask(query)).text()
--- a/packages/entry/test/planning.test.ts
+++ b/packages/entry/test/planning.test.ts
@@ -10,7 +10,7 @@
 import { Reports } from '@eiderwind/spread'
 import { MemoryStore } from '@eiderwind/store'
 import { FaultyStore, type Turn } from '@eiderwind/store/testing'
-import { entryBoard, takeHomes, takeNodes, takePlacement, type EntryBoard } from '../src/facts.js'
+import { entryBoard, mergeHomes, mergeNodes, mergePlacement, type EntryBoard } from '../src/facts.js'
 import { Planning } from '../src/planning.js'
 import { model, reportOf } from './harness.js'
 
@@ -45,7 +45,7 @@
   }
 
   /** Hears of every node; those in `lost` say that their engine is gone. */
-  hear (lost: ReadonlySet<string>): void {
+  receiveReports (lost: ReadonlySet<string>): void {
     this.#sequence++
     for (const id of ids) {
       const report = { ...reportOf(id, 'x:1', model, undefined), sequence: this.#sequence, healthy: !lost.has(id) }
@@ -62,13 +62,13 @@
   }
 }
 
-interface Made {
+interface Fixture {
   readonly store: FaultyStore
   readonly clock: ManualClock
   readonly entries: readonly PlanningEntry[]
 }
 
-function make (): Made {
+function setUp (): Fixture {
   const store = new FaultyStore()
   const clock = new ManualClock()
   const entries = ['e1', 'e2', 'e3'].map(id => new PlanningEntry(id, store, clock))
@@ -96,12 +96,12 @@
   let changes = 0
   t.log(`seed ${seed}, ${runs} runs`)
   await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 4, maxLength: 20 }), async steps => {
-    const { store, clock, entries } = make()
+    const { store, clock, entries } = setUp()
     const members = new Map<string, string>()
     let generation = 0
-    for (const entry of entries) entry.hear(new Set())
+    for (const entry of entries) entry.receiveReports(new Set())
     for (const { who, lost, turns } of steps) {
-      entries[who[0]].hear(new Set(lost))
+      entries[who[0]].receiveReports(new Set(lost))
       store.plan(turns)
       const before = entries.map(each => each.known?.revision ?? 0)
       await Promise.all(who.map(index => entries[index].plan()))
@@ -144,8 +144,8 @@
 
 for (const { title, turns, first, second } of cases) {
   test(`a change of the placement where ${title} takes effect once, and the entry ends with what the platform has`, async t => {
-    const { store, entries: [entry] } = make()
-    entry.hear(new Set())
+    const { store, entries: [entry] } = setUp()
+    entry.receiveReports(new Set())
     store.plan(turns)
     await entry.plan()
     t.deepEqual([(await stored(store))?.revision ?? 0, entry.known?.revision ?? 0], [...first])
@@ -157,9 +157,9 @@
 test('placements and lists that come late never replace newer ones', t => {
   const board = entryBoard({ id: 'e1', dataCentre: 'd1', region: 'r1', peer: 'e1:1' })
   for (const revision of [2, 1]) {
-    takePlacement(board, { domain, revision, generation: revision, replicas: [] })
-    takeHomes(board, { service: 's', revision, voters: [] })
-    takeNodes(board, { seen: revision, nodes: revision === 1 ? nodes : [] })
+    mergePlacement(board, { domain, revision, generation: revision, replicas: [] })
+    mergeHomes(board, { service: 's', revision, voters: [] })
+    mergeNodes(board, { seen: revision, nodes: revision === 1 ? nodes : [] })
   }
   t.is(board.read('placements').get(domain)?.revision, 2)
   t.is(board.read('homes').get('s')?.revision, 2)
--- a/packages/entry/test/transcript.test.ts
+++ b/packages/entry/test/transcript.test.ts
@@ -32,17 +32,17 @@
       (handed === '' || handed.endsWith('\n\n')) &&
       progress.text === words.slice(0, tokens.length).join('') &&
       progress.offset === events.filter(each => each.startsWith('id: ')).length &&
-      transcript.done === handed.includes('[DONE]')
+      transcript.isComplete === handed.includes('[DONE]')
   }), { seed, numRuns: 300 })
   t.pass()
 })
 
 test('a long stream is folded, and goes on from where it stands', t => {
   const words = Array.from({ length: 2000 }, (_each, index) => `w${index} `)
-  const transcript = new Transcript({ offset: 0, text: '', finished: false })
+  const transcript = new Transcript({ offset: 0, text: '', hasFinishReason: false })
   transcript.take(stream(words))
-  t.deepEqual(transcript.resume(), { offset: 2001, text: words.join(''), finished: true })
-  const later = new Transcript({ offset: 7, text: 'before ', finished: false })
+  t.deepEqual(transcript.resume(), { offset: 2001, text: words.join(''), hasFinishReason: true })
+  const later = new Transcript({ offset: 7, text: 'before ', hasFinishReason: false })
   later.take(Buffer.from(event(8, 'after')))
-  t.deepEqual(later.resume(), { offset: 8, text: 'before after', finished: false })
+  t.deepEqual(later.resume(), { offset: 8, text: 'before after', hasFinishReason: false })
 })
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -279,7 +279,7 @@
     file: 'packages/entry/dist/src/outcome.js',
     find: "key === undefined || fault.outcome !== 'not-run'",
     replace: "true || fault.outcome !== 'not-run'",
-    test: 'packages/entry/dist/test/honest.test.js',
+    test: 'packages/entry/dist/test/outcomes.test.js',
     title: '*with a key that may have run before*'
   },
   {
@@ -287,9 +287,9 @@
     point: 4,
     rule: 'a request of which any attempt may have run is not reported as not run',
     file: 'packages/entry/dist/src/outcome.js',
-    find: "!doubt || last.outcome !== 'not-run'",
+    find: "!mayHaveRun || last.outcome !== 'not-run'",
     replace: 'true',
-    test: 'packages/entry/dist/test/honest.test.js',
+    test: 'packages/entry/dist/test/outcomes.test.js',
     title: '*after one that*'
   },
   {
@@ -299,7 +299,7 @@
     file: 'packages/entry/dist/src/plainpath.js',
     find: "fate === 'tombstoned'",
     replace: "fate !== 'started'",
-    test: 'packages/entry/dist/test/honest.test.js',
+    test: 'packages/entry/dist/test/outcomes.test.js',
     title: '*another incarnation answers*'
   },
   {
@@ -309,7 +309,7 @@
     file: 'packages/entry/dist/src/attempting.js',
     find: 'echoed === attempt.id',
     replace: 'true',
-    test: 'packages/entry/dist/test/honest.test.js',
+    test: 'packages/entry/dist/test/outcomes.test.js',
     title: '*that names another attempt*'
   },
   {
@@ -317,7 +317,7 @@
     point: 8,
     rule: 'an entry that knows of a later configuration than it can get takes no requests',
     file: 'packages/entry/dist/src/fence.js',
-    find: 'now - this.#since >= patience',
+    find: 'now - this.#behindSince >= maxBehindTime',
     replace: 'false',
     test: 'packages/entry/dist/test/fence.test.js',
     title: 'an entry whose workers go by*'
