--- a/packages/entry/src/assignment.ts
+++ b/packages/entry/src/assignment.ts
@@ -1,10 +1,10 @@
 /**
- * What a worker has to do, worked out from the configuration, the placements and the list of voters. Pure; an entry sends the
- * result to the worker in its answer to a report.
+ * Derives the assignment of a worker from the configuration, the placements and the lists of voters. Pure functions. An
+ * entry sends the assignment to the worker in its answer to a report.
  */
 import { type Assignment, type Configuration, type Homes, type Node, type Peer, type Placement, type PlainService } from '@eiderwind/schema'
 
-/** What an assignment is made from. */
+/** Inputs of an assignment. */
 export interface AssignmentFacts {
   readonly configuration: Configuration
   readonly nodes: readonly Node[]
@@ -12,7 +12,7 @@
   readonly homes: ReadonlyMap<string, Homes>
 }
 
-/** What the worker beside `id` has to do, or undefined where this entry does not know enough to say. */
+/** The assignment of the worker of node `id`, or undefined if this entry does not know enough to give one. */
 export function assignment (id: string, facts: AssignmentFacts): Assignment | undefined {
   const node = facts.nodes.find(each => each.id === id)
   if (node === undefined) return undefined
--- a/packages/entry/src/attempting.ts
+++ b/packages/entry/src/attempting.ts
@@ -1,6 +1,6 @@
 /**
- * One whole attempt of a request at a worker: sends it, collects the answer, and gives up at the deadline. Owns nothing; the
- * paths decide what follows from how an attempt ended (`outcome.ts`).
+ * One attempt of a request at a worker: sends it, collects the complete answer, and cancels at the deadline. Owns no
+ * state. The request paths decide what follows from the end of an attempt (`outcome.ts`).
  */
 import { type Context } from './context.js'
 import { attemptAt, attemptHeaders, isExpired, timeLeft, type Attempt, type Exchange } from './exchange.js'
@@ -9,14 +9,18 @@
 import { Fault } from '@eiderwind/fault'
 import { Collector, send, wireHeaders, type Call, type Collected } from '@eiderwind/wire'
 
-/** What a try adds to the request. */
+/** Options of one attempt. */
 export interface TryOptions {
+  /** Headers in addition to those of the request. */
   readonly headers?: Readonly<Record<string, string>>
-  /** Told of the attempt before it is sent. */
+  /** Called with the attempt before it is sent. */
   readonly begun?: (attempt: Attempt) => void
 }
 
-/** Sends a request to a target and collects the whole answer. Gives up at the deadline, and when the caller goes away. */
+/**
+ * Sends a request to a target and collects the complete answer. Cancels at the deadline and when the caller
+ * disconnects.
+ */
 export function collectAttempt (context: Context, exchange: Exchange, target: Target, options: TryOptions = {}): Promise<AttemptEnd> {
   const { clock, targets, inFlight, dispatcher } = context
   const attempt = attemptAt(target, clock)
@@ -36,12 +40,12 @@
     }))
     const timer = clock.after(timeLeft(exchange, clock), () => cancel(new Error('The deadline has passed.')))
     const removeFromList = inFlight.add(target, cancel)
-    const onCallerGone = (): void => cancel(new Error('The caller went away.'))
+    const onCallerGone = (): void => cancel(new Error('The caller disconnected.'))
     exchange.response.once('close', onCallerGone)
   })
 }
 
-/** The call that carries an attempt to its worker. */
+/** The HTTP call of an attempt. */
 export function attemptCall (context: Context, exchange: Exchange, attempt: Attempt, more: Readonly<Record<string, string>> = {}, body = exchange.body): Call {
   return {
     origin: `http://${attempt.target.address}`,
@@ -52,7 +56,9 @@
   }
 }
 
-/** Whether an answer is the one to this attempt. Others are dropped and counted. */
+/**
+ * Whether an answer belongs to this attempt, by the attempt id that it echoes. Logs and counts an answer that does not.
+ */
 export function isOwnAnswer (context: Context, attempt: Attempt, echoed: string | string[] | undefined): boolean {
   if (echoed === attempt.id) return true
   context.log.write('answer-foreign', { attempt: attempt.id, worker: attempt.target.worker })
--- a/packages/entry/src/callers.ts
+++ b/packages/entry/src/callers.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' side of an entry: reads and checks each request and hands it to the path of its service. Owns the HTTP server
- * and the count of open requests; relies on the board for the configuration.
+ * Handles the requests of callers: parses and checks each request, and passes it to the path of its service. Owns the
+ * count of open requests. Relies on the board and the current configuration.
  */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { Err, Ok, type Result } from 'ts-results-es'
@@ -16,28 +16,28 @@
 import { isDeclaredNotRepeatable, servePlain } from './plainpath.js'
 import { type Teams } from './teams.js'
 
-/** Path of completions, of the list of models, and prefix of plain services. */
+/** Paths of completions and of the list of models, and the path prefix of plain services. */
 const completionsPath = '/v1/chat/completions'
 const modelsPath = '/v1/models'
 const servicesPrefix = '/services/'
 
-/** Where the platform's balancer asks whether this entry takes requests. */
+/** Path at which the platform's balancer checks whether this entry takes requests. */
 const healthPath = '/healthz'
 
-/** What the callers' side stands on. */
+/** Dependencies of the callers' side. */
 export interface CallersOptions {
   readonly context: Context
   readonly board: EntryBoard
   readonly teams: Teams
   /** Id of this entry. */
   readonly entry: string
-  /** Longest body, in bytes. */
+  /** Maximum size of a body, in bytes. */
   readonly bodyLimit: number
-  /** Deadline of a request that gives none, in ms. */
+  /** Deadline of a request that gives none, and upper bound of the others, in ms. */
   readonly deadline: number
 }
 
-/** The callers' side of an entry: reads and checks each request and hands it to the path of its service. */
+/** The callers' side of an entry: parses and checks each request, and passes it to the path of its service. */
 export class Callers {
   readonly #options: CallersOptions
   #openRequests = 0
@@ -47,12 +47,12 @@
     this.#options = options
   }
 
-  /** Requests that are not answered yet. */
+  /** Number of requests without a complete answer. */
   get openRequests (): number {
     return this.#openRequests
   }
 
-  /** Time since the last request was answered, in ms; 0 while one is not answered yet. */
+  /** Time since the last request was answered, in ms. 0 while a request is open. */
   get idleTime (): number {
     return this.#openRequests > 0 ? 0 : this.#options.context.clock.now() - this.#lastAnsweredAt
   }
@@ -82,7 +82,7 @@
     return board.read('stopping') || context.current.configuration.leaving.includes(entry)
   }
 
-  /** Whether this entry has the present configuration, as far as it can tell. */
+  /** Whether this entry has a configuration and knows of no later one in force. */
   get #isCurrent (): boolean {
     const { board, context } = this.#options
     return context.current.revision > 0 && !board.read('behind')
@@ -106,7 +106,7 @@
     if (path === modelsPath) return this.#models(response)
     if (path === completionsPath && request.method === 'POST') return await this.#complete(request, response, team)
     if (path.startsWith(servicesPrefix)) return await this.#plain(request, response, team, path.slice(servicesPrefix.length))
-    return new Fault('unknown-path', { detail: `There is no ${request.method ?? ''} ${path}.` })
+    return new Fault('unknown-path', { detail: `There is no endpoint ${request.method ?? ''} ${path}.` })
   }
 
   #models (response: ServerResponse): undefined {
@@ -128,7 +128,7 @@
     const exchange = this.#exchange(request, response, body.value, team, service)
     if (exchange.isErr()) return exchange.error
     if (request.headers[callerHeaders.lastEvent] !== undefined && completion.value.resume === undefined) {
-      return new Fault('bad-request', { detail: 'Last-Event-ID needs the text so far, as resume.text in the body.' })
+      return new Fault('bad-request', { detail: 'A request with Last-Event-ID must give the text received so far, as resume.text in the body.' })
     }
     this.#recordMetrics(exchange.value)
     await serveModel(context, exchange.value, completion.value)
@@ -157,7 +157,7 @@
     if (span.isErr()) return span
     const repeatable = header(request, callerHeaders.repeatable)
     if (repeatable !== undefined && repeatable !== 'true' && repeatable !== 'false') {
-      return Err(new Fault('bad-request', { detail: `The header ${callerHeaders.repeatable} takes true or false.` }))
+      return Err(new Fault('bad-request', { detail: `The header ${callerHeaders.repeatable} must be true or false.` }))
     }
     const now = clock.now()
     return Ok({
@@ -178,7 +178,7 @@
     const given = header(request, callerHeaders.deadline)
     if (given === undefined) return Ok(this.#options.deadline)
     const span = Number(given)
-    if (!Number.isFinite(span) || span <= 0) return Err(new Fault('bad-request', { detail: `The header ${callerHeaders.deadline} takes milliseconds above 0.` }))
+    if (!Number.isFinite(span) || span <= 0) return Err(new Fault('bad-request', { detail: `The header ${callerHeaders.deadline} must be a number of milliseconds above 0.` }))
     return Ok(Math.min(span, this.#options.deadline))
   }
 
--- a/packages/entry/src/calls.ts
+++ b/packages/entry/src/calls.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry answers to workers and to other entries over HTTP: reports, news, the configuration. Owns no state of its own;
- * it reads and writes the board.
+ * Answers the calls of workers and other entries: reports of workers, exchanges between entries, and reads of the
+ * configuration. Owns no state. It reads and writes the board.
  */
 import { type Current } from '@eiderwind/config'
 import { type Configuration, type Peer, type Report, type ReportAnswer } from '@eiderwind/schema'
@@ -10,7 +10,7 @@
 import { knownDigest, updateSender, type EntryBoard } from './facts.js'
 import { type Peers } from './peers.js'
 
-/** What the calls of an entry stand on. */
+/** Dependencies of the calls of an entry. */
 export interface CallsOptions {
   readonly board: EntryBoard
   readonly current: Current
@@ -18,13 +18,13 @@
   readonly peers: Peers
   /** Data centre of this entry. */
   readonly dataCentre: string
-  /** The heads that serve a model service in this region. */
+  /** The heads that serve a model service in this entry's region. */
   readonly heads: (service: string) => Peer[]
-  /** Fetches what another entry has and this one lacks. */
+  /** Fetches from another entry the state that this entry lacks. `known` is the digest of the other entry's state. */
   readonly fetchMissing: (address: string, revision: number, known: number) => Promise<void>
 }
 
-/** The calls of an entry to workers and other entries. */
+/** Answers the calls of workers and other entries. */
 export class Calls extends EntryCalls {
   readonly #options: CallsOptions
 
@@ -56,7 +56,7 @@
     for (const aged of reports) this.#options.reports.accept(aged, source)
     const lacking = beatsOf(beats).filter(beat => this.#options.reports.beat(beat, source) === 'lacking').map(each => each.worker)
     const local = { revision: current.revision, known: knownDigest(board), lacking }
-    // A failed fetch is not repeated here: the next exchange finds the same difference and fetches again.
+    // A failed fetch is not repeated here. The next exchange finds the same difference and fetches again.
     if (revision > local.revision || known !== local.known) fetchMissing(from.peer, revision, known).catch(() => {})
     return local
   }
--- a/packages/entry/src/context.ts
+++ b/packages/entry/src/context.ts
@@ -1,6 +1,6 @@
 /**
- * What all requests of an entry share on their way: the dependencies of its paths and attempts. Made once, when the entry
- * starts.
+ * The dependencies that all requests of an entry share: those of its request paths and of its attempts. An entry
+ * creates one context when it starts.
  */
 import { type Dispatcher } from 'undici'
 import { type Clock } from '@eiderwind/clock'
@@ -11,7 +11,7 @@
 import { type AttemptsInFlight } from './inflight.js'
 import { type Targets } from './targets.js'
 
-/** What the path of a request through an entry stands on. */
+/** Dependencies of the request paths. */
 export interface Context {
   readonly clock: Clock
   readonly current: Current
--- a/packages/entry/src/convert.ts
+++ b/packages/entry/src/convert.ts
@@ -1,5 +1,6 @@
 /**
- * Translates between the configuration and the messages of the operators' schema. Pure; the shapes are checked by `schema`.
+ * Translates between the configuration and the messages of the operators' schema. Pure functions. Relies on `config` to
+ * check a change.
  */
 import { create } from '@bufbuild/protobuf'
 import { type Result, Err, Ok } from 'ts-results-es'
@@ -8,7 +9,7 @@
 import { ConfigurationSchema, type Configuration as ConfigurationMessage, type Service as ServiceMessage } from '@eiderwind/rpc'
 import { type Configuration, type Service } from '@eiderwind/schema'
 
-/** Bounds that a service gets where the message gives 0. */
+/** Bounds of a service whose message gives 0: requests that run at once, and requests that wait. */
 const defaultConcurrency = 64
 const defaultQueue = 256
 
@@ -23,7 +24,7 @@
   })
 }
 
-/** A change from parts of messages, checked against the schema. */
+/** A change built from parts of messages and checked against the schema. */
 export function checkedChange (parts: unknown): Result<Change, Fault> {
   const change = Change.safeParse(parts)
   if (change.success) return Ok(change.data)
@@ -31,7 +32,7 @@
   return Err(new Fault('bad-change', { detail: `${lines.join('; ')}.` }))
 }
 
-/** A service from its message, unchecked. */
+/** A service from its message. The result is not checked. */
 export function servicePart (message: ServiceMessage | undefined): unknown {
   if (message === undefined) return undefined
   const { name, kind } = message
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,6 +1,8 @@
 /**
- * The entry process: makes the parts, connects them, starts and stops them. Owns every part and the board that they share; it
- * holds no rule of its own but the steps of a planned stop.
+ * The entry process. An entry takes the requests of callers and the calls of operators. A worker is the process beside
+ * an upstream; entries send requests to workers. This module creates, connects, starts and stops the parts of an entry.
+ * It owns all of them and their shared board. The only rule that it holds itself is the order of the steps of a planned
+ * stop.
  */
 import { type Server } from 'node:http'
 import { Server as TcpServer } from 'node:net'
@@ -36,16 +38,19 @@
 import { Voting } from './voting.js'
 import { Watcher } from './watcher.js'
 
-/** How often a stop looks whether everything is answered, in ms. */
+/** Interval between checks during a stop, in ms. */
 const stopCheckInterval = 50
 
-/** How long nothing may have come in before connections are closed, in ms, so that none is closed under a request. */
+/**
+ * Time without requests after which a stop closes the connections, in ms. The wait keeps it from closing a connection
+ * on which a request is just arriving.
+ */
 const minIdleTime = 250
 
-/** How long that is waited for at the most, in ms. */
+/** Upper bound of the wait for `minIdleTime`, in ms. */
 const maxCloseTime = 2000
 
-/** Options of an entry. Spans are in ms. */
+/** Options of an entry. Times are in ms. */
 export interface EntryOptions {
   readonly clock: Clock
   readonly log: Log
@@ -54,30 +59,36 @@
   readonly id: string
   readonly dataCentre: string
   readonly region: string
-  /** Addresses as `host:port`; port 0 takes any. */
+  /** Listen addresses as `host:port`. Port 0 takes any free port. */
   readonly callers: string
   readonly operators: string
   readonly peers: string
+  /** Peer addresses of entries to ask while no other entry is known. */
   readonly seeds: readonly string[]
+  /** An operator who may call before the configuration names any. */
   readonly first: Operator | undefined
+  /** Maximum size of a request body, in bytes. */
   readonly bodyLimit: number
+  /** Deadline of a request that gives none. */
   readonly deadline: number
+  /** Maximum time of a planned stop, without the closing of connections. */
   readonly stop: number
-  /** How long the balancer gets to notice that this entry leaves, before it stops to listen. */
+  /** Time for the balancer to notice that this entry leaves, before the entry stops listening. */
   readonly notice: number
-  /** How long a node that restarts is away, as a rule. */
+  /** Usual time that a restarting node is away. */
   readonly restart: number
+  /** Silence after which a node counts as lost. */
   readonly lostAfter: number
 }
 
-/** The addresses that an entry has taken. */
+/** The addresses on which an entry listens. */
 export interface EntryAddresses {
   readonly callers: string
   readonly operators: string
   readonly peers: string
 }
 
-/** The process that takes callers and operators. */
+/** The process that takes the requests of callers and the calls of operators. */
 export class Entry {
   readonly #options: EntryOptions
   readonly #current = new Current()
@@ -124,7 +135,7 @@
     return { callers, operators, peers: self.peer }
   }
 
-  /** Refuses new requests, answers those it has, and ends. Every answer from now on asks the caller to close its connection. */
+  /** Refuses new requests, answers the open ones, and ends. Each refusal asks the caller to close its connection. */
   async stop (): Promise<void> {
     const { clock, stop, notice } = this.#options
     this.#board?.write('stopping', true)
@@ -139,7 +150,7 @@
     await this.kill()
   }
 
-  /** Ends at once. */
+  /** Ends at once: closes all connections, also those with open requests. */
   async kill (): Promise<void> {
     this.#scheduler.stop()
     this.#inFlight?.stop()
@@ -220,7 +231,10 @@
   }
 }
 
-/** Takes no new connection, and leaves those that there are alone; `Server.close` of HTTP would cut idle ones at once. */
+/**
+ * Accepts no new connections and keeps the existing ones open. The `close` of an HTTP server would also close idle
+ * connections at once.
+ */
 function stopAccepting (server: Server): void {
   TcpServer.prototype.close.call(server)
 }
--- a/packages/entry/src/exchange.ts
+++ b/packages/entry/src/exchange.ts
@@ -1,5 +1,6 @@
 /**
- * One caller's request and its attempts, as values. Owns nothing; relies on the clock for what is left of a deadline.
+ * A caller's request and its attempts, as values, and the headers that a worker gets. Owns no state. Relies on the
+ * clock for the time left until a deadline.
  */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { type Clock } from '@eiderwind/clock'
@@ -8,30 +9,30 @@
 import { v7 } from 'uuid'
 import { type Target } from './targets.js'
 
-/** One caller's request, read and checked. */
+/** One caller's request, parsed and checked. */
 export interface Exchange {
   readonly request: IncomingMessage
   readonly response: ServerResponse
   readonly body: Buffer
   readonly team: Team
   readonly service: string
-  /** On `Clock.now`. */
+  /** The time, on `Clock.now`. */
   readonly deadline: number
-  /** When the request came, on `Clock.now`. */
+  /** Arrival time of the request, on `Clock.now`. */
   readonly startedAt: number
   readonly session: string | undefined
-  /** Whether the caller allows that it runs more than once. */
+  /** Whether the caller allows the request to run more than once. */
   readonly repeatable: boolean
   /** The caller's Idempotency-Key. */
   readonly key: string | undefined
 }
 
-/** One try of a request at one worker. */
+/** One attempt of a request at one worker. */
 export interface Attempt {
-  /** The attempt's own id, echoed by the worker. */
+  /** Id of the attempt. The worker echoes it in its answer. */
   readonly id: string
   readonly target: Target
-  /** When it was sent, on `Clock.now`. */
+  /** Time of sending, on `Clock.now`. */
   readonly sentAt: number
 }
 
@@ -40,31 +41,37 @@
   return { id: v7(), target, sentAt: clock.now() }
 }
 
-/** Milliseconds that a request has left. */
+/** Time until the deadline of a request, in ms. */
 export function timeLeft (exchange: Exchange, clock: Clock): number {
   return exchange.deadline - clock.now()
 }
 
-/** How early a timer may be, in ms. */
+/** Maximum time by which a timer may fire early, in ms. */
 const timerSlack = 5
 
-/** Whether a request has no time left. A timer that is set to its deadline may be a little early. */
+/** Whether the deadline of a request has passed. Allows for a timer set to the deadline that fires a little early. */
 export function isExpired (exchange: Exchange, clock: Clock): boolean {
   return timeLeft(exchange, clock) < timerSlack
 }
 
-/** How much earlier a worker gives up than the entry, in ms, so that its own word on whether the request ran comes in time. */
+/**
+ * Time by which a worker's deadline precedes the entry's, in ms, so that the worker's answer on whether the request ran
+ * arrives in time.
+ */
 const answerMargin = 25
 
-/** A session as replicas know it: sessions of two teams are never the same, whatever they are called. */
+/** The session key that replicas get. It contains the team's name, so that sessions of two teams never share a key. */
 export function sessionKey ({ team, session }: Exchange): string | undefined {
   return session === undefined ? undefined : encodeURIComponent(`${team.name}/${session}`)
 }
 
-/** Headers of a request that only concern the entry. */
+/** Headers of a request that are not forwarded because they only concern the entry. */
 const entryOnlyHeaders: ReadonlySet<string> = new Set(['authorization', 'content-length', callerHeaders.session, callerHeaders.deadline, callerHeaders.repeatable, callerHeaders.lastEvent, ...Object.values(wireHeaders)])
 
-/** The headers that a worker gets: the caller's, without the hop's and the key of the team, and the attempt's own. */
+/**
+ * The headers that a worker gets: the caller's, without hop-by-hop headers and the team's key, and those of the
+ * attempt.
+ */
 export function attemptHeaders (exchange: Exchange, attempt: Attempt, clock: Clock): Record<string, string> {
   const headers: Record<string, string> = {}
   for (const [name, value] of Object.entries(exchange.request.headers)) {
--- a/packages/entry/src/facts.ts
+++ b/packages/entry/src/facts.ts
@@ -1,43 +1,44 @@
 /**
- * The board of an entry: what it has heard of the configuration, nodes, workers and other entries. Controllers write it,
- * requests read it.
+ * The board of an entry: the shared state that it knows of the platform, nodes, placements, voters and other entries.
+ * Owns the rules by which received state replaces known state. Controllers write the board, and requests read it.
  */
 import { Board } from '@eiderwind/board'
 import { digest } from '@eiderwind/hash'
 import { type EntryAddress, type Homes, type Node, type Placement } from '@eiderwind/schema'
 
-/** The node list as it was seen at the platform. */
+/** The node list as an entry read it from the platform. */
 export interface NodeList {
-  /** Wall time at which it was first seen as it is, in ms. */
+  /** Wall time at which an entry first read this version of the list, in ms. */
   readonly seen: number
   readonly nodes: readonly Node[]
 }
 
-/** The facts that an entry's controllers share. */
+/** The fields of an entry's board. */
 export interface EntryFacts {
   /** This entry. */
   readonly self: EntryAddress
-  /** Every registered entry, this one among them. */
+  /** All registered entries, including this one. */
   readonly entries: readonly EntryAddress[]
-  /** Those of them believed live. */
+  /** The registered entries that count as live, including this one. */
   readonly live: readonly EntryAddress[]
-  /** Undefined until the list was seen or heard of. */
+  /** Undefined until the list was read from the platform or received from another entry. */
   readonly nodes: NodeList | undefined
-  /** By domain. */
+  /** Placements by domain. */
   readonly placements: ReadonlyMap<string, Placement>
-  /** By service. */
+  /** Lists of voters by service. */
   readonly homes: ReadonlyMap<string, Homes>
-  /** Whether the platform answered last. */
+  /** Whether the platform answered the latest call. */
   readonly platformAnswers: boolean
-  /** Whether a later configuration than this entry has been able to get is known to be in force elsewhere. */
+  /** Whether a later configuration, which this entry could not fetch, is in force elsewhere. */
   readonly behind: boolean
+  /** Whether a planned stop of this entry has begun. */
   readonly stopping: boolean
 }
 
-/** The blackboard of an entry. */
+/** The board of an entry. */
 export type EntryBoard = Board<EntryFacts>
 
-/** The blackboard of an entry that knows only itself. */
+/** The board of an entry that knows only itself. */
 export function entryBoard (self: EntryAddress): EntryBoard {
   return new Board<EntryFacts>({
     self,
@@ -56,44 +57,49 @@
   readonly revision: number
 }
 
-/** Whether an address that was found replaces the one that is known. */
+/** Decides whether a received address of an entry replaces the known one. */
 type ReplaceRule = (found: EntryAddress, known: EntryAddress) => boolean
 
-/** Takes a placement unless it is older than the one known. */
+/** Stores a placement if it is newer than the known one. */
 export function mergePlacement (board: EntryBoard, placement: Placement): void {
   const known = board.read('placements')
   if (isNewer(placement, known.get(placement.domain))) board.write('placements', new Map(known).set(placement.domain, placement))
 }
 
-/** Takes a list of voters unless it is older than the one known. */
+/** Stores a list of voters if it is newer than the known one. */
 export function mergeHomes (board: EntryBoard, homes: Homes): void {
   const known = board.read('homes')
   if (isNewer(homes, known.get(homes.service))) board.write('homes', new Map(known).set(homes.service, homes))
 }
 
-/** Takes a node list unless one was seen later. */
+/** Stores a node list if it was read later than the known one. */
 export function mergeNodes (board: EntryBoard, list: NodeList): void {
   const known = board.read('nodes')
   if (known === undefined || list.seen > known.seen) board.write('nodes', list)
 }
 
-/** Takes entries that others tell of: those that were not known, and the addresses of later lives. */
+/**
+ * Merges entries received from another entry: adds unknown ones, and replaces addresses by those of later incarnations.
+ */
 export function mergeEntries (board: EntryBoard, entries: readonly EntryAddress[]): void {
   merge(board, entries, isLaterIncarnation)
 }
 
-/** Takes the platform's list, where entries of earlier builds stand without their life. */
+/** Merges the platform's list of entries. Entries of earlier builds are listed there without an incarnation. */
 export function mergeListedEntries (board: EntryBoard, entries: readonly EntryAddress[]): void {
   merge(board, entries, (found, known) => found.incarnation === undefined ? found.peer !== known.peer : isLaterIncarnation(found, known))
 }
 
-/** Takes what a known entry says of itself. One that is not known yet is fetched with what it knows. */
+/**
+ * Stores the address that a known entry sends for itself. An unknown entry is skipped: it is received with the rest of
+ * its state when that is fetched.
+ */
 export function updateSender (board: EntryBoard, sender: EntryAddress): void {
   if (!board.read('entries').some(each => each.id === sender.id)) return
   merge(board, [sender], (found, known) => found.peer !== known.peer || found.incarnation !== known.incarnation)
 }
 
-/** Takes entries that were not known, and those that replace what is known. Nobody else's word on this entry counts. */
+/** Adds unknown entries and replaces known ones by `replaces`. Ignores addresses of this entry itself. */
 function merge (board: EntryBoard, entries: readonly EntryAddress[], replaces: ReplaceRule): void {
   const { id: selfId } = board.read('self')
   const known = new Map(board.read('entries').map(each => [each.id, each]))
@@ -106,13 +112,18 @@
   board.write('entries', [...known.values()])
 }
 
-/** Whether an address is that of a later life. One without its life replaces only one without it. */
+/**
+ * Whether an address belongs to a later incarnation. One without an incarnation replaces only another one without it.
+ */
 function isLaterIncarnation (found: EntryAddress, known: EntryAddress): boolean {
   if (known.incarnation === undefined) return found.incarnation !== undefined || found.peer !== known.peer
   return found.incarnation !== undefined && found.incarnation > known.incarnation
 }
 
-/** A digest of all that entries tell each other beside reports and the configuration: equal digests, nothing to fetch. */
+/**
+ * Digest of the state that entries exchange besides reports and the configuration. Two entries with equal digests have
+ * nothing to fetch from each other.
+ */
 export function knownDigest (board: EntryBoard): number {
   const placements = [...board.read('placements').values()].map(each => `${each.domain}=${each.revision}`)
   const homes = [...board.read('homes').values()].map(each => `${each.service}:${each.revision}`)
--- a/packages/entry/src/fence.ts
+++ b/packages/entry/src/fence.ts
@@ -1,6 +1,6 @@
 /**
- * Takes an entry out of service whose configuration is older than one that it has heard of. Owns the time since when it knows;
- * relies on the revisions in workers' reports.
+ * Takes this entry out of service while its configuration is older than one that is in force elsewhere. Owns the time
+ * at which it first learned of the later configuration. Relies on the revisions in the reports of workers.
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
@@ -10,12 +10,12 @@
 import { type EntryBoard } from './facts.js'
 
 /**
- * How long an entry goes on with a configuration that it knows is not the present one, in ms: longer than fetching the
- * present one takes, and short enough that with the second after which workers tell of it 6 s are kept.
+ * How long an entry keeps serving after it learns of a later configuration, in ms. It is longer than fetching that
+ * configuration takes. Workers report the new revision within a second, so the entry stops within 6 s of the change.
  */
 const maxBehindTime = 3000
 
-/** What the fence stands on. */
+/** Dependencies of the fence. */
 export interface FenceOptions {
   readonly board: EntryBoard
   readonly clock: Clock
@@ -25,9 +25,10 @@
 }
 
 /**
- * Takes an entry out of service that is cut off from the platform and from other entries while the configuration
- * moves on. Workers name the revision that they go by in each report, so an entry that still hears workers learns from
- * them that a later one is in force; when it cannot get that one, it refuses new requests rather than go by the old.
+ * Takes an entry out of service that misses a change of the configuration because it is cut off from the platform and
+ * the other entries. Each report of a worker names the configuration revision that the worker uses. An entry that still
+ * receives reports therefore learns that a later revision is in force. If it cannot fetch that revision, it refuses new
+ * requests instead of serving them under the old one.
  */
 export class Fence extends Controller {
   readonly name = 'fence'
@@ -50,7 +51,7 @@
     log.write(behind ? 'entry-behind' : 'entry-current', { revision: current.revision, newest: this.#newestRevision() })
   }
 
-  /** The latest revision that any worker has told of. */
+  /** The latest configuration revision in any worker's report. */
   #newestRevision (): number {
     let newest = 0
     for (const { report } of this.#options.reports.all) newest = Math.max(newest, report.revision)
--- a/packages/entry/src/health.ts
+++ b/packages/entry/src/health.ts
@@ -1,26 +1,34 @@
 /**
- * What an entry believes of nodes and replicas, from what it has heard. Pure; the lease of a head, and no belief, decides
- * whether it may serve.
+ * Health of nodes and replicas, derived from the reports that this entry has received. Pure functions. Health is a
+ * belief. Whether a head may serve is decided by its lease alone. A head holds its lease by grants: a grant is the
+ * consent of one member of the replica for one lease period. The generation of a replica is the number of its current
+ * set of members.
  */
 import { type Configuration, type Node, type Replica } from '@eiderwind/schema'
 import { type Health, type NodeFact } from '@eiderwind/plan'
 import { type Reports } from '@eiderwind/spread'
 
-/** What health is judged from. */
+/** Inputs of the health of nodes. */
 export interface HealthFacts {
   readonly nodes: readonly Node[]
   readonly configuration: Configuration
   readonly reports: Reports
   /** Silence after which a node counts as lost, in ms. */
   readonly lostAfter: number
-  /** Data centre of this entry: of others it hears later, and of heads and plain workers only. */
+  /**
+   * Data centre of this entry. From other data centres, only reports of heads and plain workers arrive, and they arrive
+   * later.
+   */
   readonly dataCentre: string
 }
 
-/** How much later than in its own data centre a node is heard of in others, in ms, at the most. */
+/** Upper bound of the extra delay of a report in other data centres, in ms. */
 const maxFarDelay = 12_000
 
-/** What is believed of each node. Nodes of other data centres that nobody tells of are as the platform lists them. */
+/**
+ * The health of each node. A node of another data centre without a report gets its health from the platform's node
+ * list.
+ */
 export function nodeFacts (facts: HealthFacts): NodeFact[] {
   const leaving = new Set(facts.configuration.leaving)
   const isolated = isolatedNodes(facts)
@@ -32,7 +40,7 @@
   })
 }
 
-/** Ids of the replicas whose present head, in the present generation, says that it serves and is not lost. */
+/** Ids of the replicas whose current head is not lost and reports that it serves the current generation. */
 export function servingReplicas (replicas: readonly Replica[], nodes: readonly NodeFact[], reports: Reports): Set<string> {
   const lost = new Set(nodes.filter(each => each.health === 'lost').map(each => each.node.id))
   const serving = replicas.filter(({ id, generation, members: [head] }) => {
@@ -43,8 +51,8 @@
 }
 
 /**
- * Nodes that answer the entries but whose replica's head has no grant of them for long: cut from the head alone. Where
- * a head lacks most of its members, it is the head that is cut off.
+ * Nodes that are isolated within their replica: they report to entries, but the head of their replica has had no grant
+ * from them for a long time. If a head lacks the grants of most of its members, the head itself is the isolated node.
  */
 function isolatedNodes ({ reports, lostAfter }: HealthFacts): Set<string> {
   const isolated = new Set<string>()
@@ -57,7 +65,10 @@
   return isolated
 }
 
-/** How long a lost node has been lost, in ms; one that is cut off has been so for long. */
+/**
+ * How long a lost node has been lost, in ms. It is infinite for an isolated node, since a head reports a member as
+ * missing only after a long time.
+ */
 function lostFor (health: Health, age: number | undefined, { lostAfter }: HealthFacts, isIsolated: boolean): number {
   if (health !== 'lost') return 0
   return isIsolated ? Infinity : Math.max(0, (age ?? 0) - lostAfter)
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** The process that takes callers and operators. */
+/** The process that takes the requests of callers and the calls of operators. */
 export { Entry, type EntryAddresses, type EntryOptions } from './entry.js'
 export { Transcript, type Progress } from './transcript.js'
 export { AttemptsInFlight } from './inflight.js'
--- a/packages/entry/src/inflight.ts
+++ b/packages/entry/src/inflight.ts
@@ -1,15 +1,15 @@
 /**
- * Attempts in flight, by worker, so that those at a worker that has gone silent are given up. Owns their list and a timer;
- * relies on the board for when each worker was last heard.
+ * The attempts in flight. Cancels those at a worker whose reports have stopped. Owns the list of attempts and a timer.
+ * Relies on `targets.ts` for whether a worker is live.
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type Cancel } from '@eiderwind/wire'
 import { type Target, type Targets } from './targets.js'
 
-/** Time between two looks at the workers of what is in flight, in ms. */
+/** Interval between checks of the workers of all attempts in flight, in ms. */
 const checkInterval = 500
 
-/** Time between two looks above which this process counts as late itself, in ms. */
+/** Time between two checks above which the later check counts as late, in ms. */
 const maxCheckDelay = 2 * checkInterval
 
 interface AttemptInFlight {
@@ -18,8 +18,9 @@
 }
 
 /**
- * The attempts in flight. A worker that freezes keeps its connections open, so an attempt there would wait until its
- * deadline; once the worker has been silent for too long, its attempts are given up and go on elsewhere, or are answered.
+ * The attempts in flight. A frozen worker keeps its connections open, so an attempt there would wait until its
+ * deadline. When the worker has been silent for too long, its attempts are cancelled. Each request is then tried at
+ * another worker or answered.
  */
 export class AttemptsInFlight {
   readonly #clock: Clock
@@ -35,26 +36,29 @@
     this.#timer = clock.every(checkInterval, () => this.#check())
   }
 
-  /** Notes an attempt in flight. The returned function takes it out again. */
+  /** Adds an attempt. The returned function removes it. */
   add (target: Target, cancel: Cancel): () => void {
     const attempt: AttemptInFlight = { target, cancel }
     this.#attempts.add(attempt)
     return () => { this.#attempts.delete(attempt) }
   }
 
-  /** Looks no more. */
+  /** Stops the checks. */
   stop (): void {
     this.#timer.cancel()
   }
 
-  /** Looks, unless this process itself is late: then reports wait in its own sockets, and silence says nothing about the workers. */
+  /**
+   * Cancels the attempts at workers that are not live. A check that runs late cancels nothing: this process was paused,
+   * reports may wait in its sockets, and a missing report says nothing about the worker.
+   */
   #check (): void {
     const now = this.#clock.now()
     const isLate = now - this.#checkedAt > maxCheckDelay
     this.#checkedAt = now
     if (isLate) return
     for (const { target, cancel } of [...this.#attempts]) {
-      if (!this.#targets.isLive(target)) cancel(new Error('The worker went silent.'))
+      if (!this.#targets.isLive(target)) cancel(new Error('The worker stopped reporting.'))
     }
   }
 }
--- a/packages/entry/src/keyedpath.ts
+++ b/packages/entry/src/keyedpath.ts
@@ -1,6 +1,7 @@
 /**
- * The way of a request that may not be repeated: to the home of its key, where it runs at most once. Relies on `run` for the
- * rule and on `targets.ts` for the home.
+ * The path of a request that may not be repeated. It goes to the home of its key: the one worker that may run requests
+ * with that key and that runs each of them at most once. Relies on `run` for this rule and on `targets.ts` for the
+ * home.
  */
 import { Fault } from '@eiderwind/fault'
 import { mintKey, type Key, readKey } from '@eiderwind/run'
@@ -11,22 +12,25 @@
 import { sendAnswer } from './modelpath.js'
 import { finalFault, accountForEarlierTries } from './outcome.js'
 
-/** Pause before the home of a key is asked again, in ms. */
+/** Pause before the next attempt at the home of a key, in ms. */
 const retryPause = 150
 
-/** How often a home that does not answer is asked, beyond the first time. */
+/** Maximum number of repeated attempts at homes that do not answer. */
 const maxUnanswered = 3
 
-/** How often another home is looked for when one said that it is not the home. */
+/**
+ * Maximum number of repeated attempts after a worker answered that it did not run the request, such as because it is
+ * not the home.
+ */
 const maxHomeChanges = 3
 
 /**
- * Serves one request that may not be repeated. It goes to the home of its key. When the connection to the home is
- * lost, the same key is sent to the home again: it gives the first answer, or says that the request still runs, and
- * never runs it twice. The answer is final at once when the home can no longer tell.
+ * Serves one request that may not be repeated. It is sent to the home of its key. If the connection to the home is
+ * lost, the request is sent again with the same key. The home then returns the first answer, or answers that the
+ * request still runs. It never runs the request twice. If the home no longer knows what happened, its answer is final.
  *
- * A key that the caller gave may have been used in an earlier try, at any entry. So "not run" is said of it only on the
- * home's word that no try of it has run; a refusal without that word ends as "unknown".
+ * The caller may have used its key in an earlier try, at any entry. The outcome is therefore "not run" only if the home
+ * confirms that no earlier try with the key has run. A refusal without this confirmation ends as "unknown".
  */
 export async function serveKeyed (context: Context, exchange: Exchange): Promise<void> {
   const { clock, targets, log } = context
@@ -34,7 +38,7 @@
   const read = readKey(exchange.key ?? mintKey(clock.wall()))
   if (read.isErr()) return answerFault(exchange.response, read.error)
   const key = read.value
-  let last = new Fault('not-home', { detail: 'No worker is the home of this key now.' })
+  let last = new Fault('not-home', { detail: 'No worker is currently the home of this key.' })
   let mayHaveRun = false
   let noEarlierRun = false
   let unanswered = 0
@@ -59,11 +63,15 @@
   answerFault(exchange.response, minted || (noEarlierRun && !expired) ? fault : accountForEarlierTries(fault, exchange.key))
 }
 
-/** Whether asking once more can bring a better answer. */
+/** Whether another attempt can bring a better answer. */
 function canRetry ({ code }: Fault): boolean {
   return code === 'lost' || code === 'still-running' || code === 'not-home' || code === 'not-serving' || code === 'leaving'
 }
 
+/**
+ * Headers that give the home the key. `freshTenure` is the tenure in which the entry made the key: no earlier attempt
+ * can have used it.
+ */
 function keyHeaders (key: Key, freshTenure: number | undefined): Record<string, string> {
   return { [wireHeaders.key]: key.text, ...(freshTenure === undefined ? {} : { [wireHeaders.fresh]: String(freshTenure) }) }
 }
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -1,16 +1,17 @@
 /**
- * One port for HTTP/1.1 and HTTP/2 without TLS. Owns the listening socket; the two servers behind it are its caller's.
+ * One port for HTTP/1.1 and HTTP/2 without TLS. Owns the listening socket, the two servers behind it and their
+ * connections.
  */
 import { createServer as createHttp, type RequestListener, type Server as HttpServer } from 'node:http'
 import { createServer as createHttp2, type Http2Server, type ServerHttp2Session } from 'node:http2'
 import { createServer as createTcp, type Server, type Socket } from 'node:net'
 
-/** How an HTTP/2 connection with prior knowledge begins (RFC 9113, section 3.4). */
+/** First bytes of an HTTP/2 connection with prior knowledge (RFC 9113, section 3.4). */
 const http2Preface = 'PRI * HTTP/2.0'
 
 /**
  * One port for HTTP/1.1 and for HTTP/2 without TLS, so that gRPC clients and plain JSON clients both work. The first
- * bytes of a connection tell which it is.
+ * bytes of a connection show its protocol.
  */
 export class DualListener {
   readonly #http1: HttpServer
@@ -29,7 +30,7 @@
     this.#tcp = createTcp(socket => this.#chooseServer(socket))
   }
 
-  /** Listens and gives the port that was taken. */
+  /** Starts to listen. Resolves to the port. */
   listen (host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.#tcp.once('error', reject)
@@ -37,7 +38,7 @@
     })
   }
 
-  /** Ends at once, with every connection. */
+  /** Closes the port and every connection at once. */
   close (): void {
     this.#tcp.close()
     for (const session of this.#sessions) session.destroy()
--- a/packages/entry/src/modelpath.ts
+++ b/packages/entry/src/modelpath.ts
@@ -1,5 +1,5 @@
 /**
- * The way of a completion to a replica: which replicas are tried, and in what order. Owns the choice for one request; relies on
+ * The path of a completion: chooses the replicas to try and their order. Owns the choice for one request. Relies on
  * `route` for the policy and on `stream.ts` for streamed answers.
  */
 import { Fault } from '@eiderwind/fault'
@@ -14,10 +14,10 @@
 import { Stream } from './stream.js'
 import { type Target } from './targets.js'
 
-/** Replicas that entries prefer for a session, one after the other. */
+/** Number of replicas that entries prefer for a session. */
 const preferredReplicas = 3
 
-/** Chooses replicas for one request, none of them twice. */
+/** Chooses replicas for one request, each at most once until `reset`. */
 export class Choice {
   readonly #context: Context
   readonly #exchange: Exchange
@@ -30,7 +30,7 @@
     this.#blocks = prefixes(promptText(completion))
   }
 
-  /** The next replica to try, or undefined where none is left. */
+  /** The next replica to try, or undefined if none is left. */
   next (): Target | undefined {
     const { targets, policy, affinity } = this.#context
     const untried = targets.heads(this.#exchange.service).filter(({ candidate }) => !this.#tried.has(candidate.id))
@@ -44,25 +44,28 @@
     return target
   }
 
-  /** The replicas of this region that every entry prefers for the session, so that its requests meet whichever entry they come to. */
+  /**
+   * The replicas of this region that are preferred for the request's session. All entries of the region prefer the same
+   * ones, so that the requests of a session reach the same replica through any entry.
+   */
   #replicasOfSession (targets: readonly Target[]): string[] {
     const session = sessionKey(this.#exchange)
     if (session === undefined) return []
     return ranked(session, this.#context.targets.regional(targets).map(each => each.candidate.id)).slice(0, preferredReplicas)
   }
 
-  /** Lets every replica be tried again. */
+  /** Makes all replicas available again. */
   reset (): void {
     this.#tried.clear()
   }
 
-  /** Notes that a replica serves this request. */
+  /** Records that a replica serves this request. */
   recordServed (target: Target): void {
     this.#context.affinity.served(target.candidate.id, this.#blocks)
   }
 }
 
-/** Serves one completion request; it answers the response in every case. */
+/** Serves one completion request. Always answers the response. */
 export async function serveModel (context: Context, exchange: Exchange, completion: Completion): Promise<void> {
   const choice = new Choice(context, exchange, completion)
   if (completion.stream === true) return await new Stream(context, exchange, completion, choice).serve()
@@ -92,7 +95,7 @@
   answerFault(exchange.response, accountForEarlierTries(finalFault(last, mayHaveRun), exchange.key))
 }
 
-/** Answers the caller with an upstream's whole answer. */
+/** Answers the caller with an upstream's complete answer. */
 export function sendAnswer ({ response }: Exchange, { status, headers, body }: Collected): void {
   if (response.destroyed) return
   response.writeHead(status, { ...endToEnd(headers), 'content-length': body.length })
--- a/packages/entry/src/nodereader.ts
+++ b/packages/entry/src/nodereader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the platform's node list for the entries of a data centre. Owns nothing that lasts; relies on `spread` for which
- * entries read.
+ * Reads the platform's node list on behalf of the entries of a data centre. Owns no lasting state. Relies on `spread`
+ * for which entries read it.
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
@@ -9,7 +9,7 @@
 import { watchers } from '@eiderwind/spread'
 import { mergeNodes, type EntryBoard } from './facts.js'
 
-/** Reads the platform's node list, where this entry is one of the few of its data centre that do. */
+/** Reads the platform's node list if this entry is one of the few of its data centre that do. */
 export class NodeReader extends Controller {
   readonly name = 'nodes'
   readonly interval = 1000
--- a/packages/entry/src/operators.ts
+++ b/packages/entry/src/operators.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' calls: each change is checked, made at the platform under a revision, and told to other entries before it is
- * accepted. Relies on `config` for changes and on the store for agreement.
+ * The calls of operators. Each change is checked, written to the platform's store under a new revision, and sent to a
+ * few other entries before the call is answered. Relies on `config` for the changes and on the store to order them.
  */
 import { create, type MessageInitShape } from '@bufbuild/protobuf'
 import { Code, ConnectError, createContextKey, type ConnectRouter, type HandlerContext, type Interceptor } from '@connectrpc/connect'
@@ -20,10 +20,13 @@
 import { status } from './status.js'
 import { bearerKey, secretDigest } from './teams.js'
 
-/** Entries that are given a change before it is answered as accepted, where there are so many. */
+/**
+ * Maximum number of entries of this data centre, and as many of others, that are sent a change before it is answered as
+ * accepted.
+ */
 const maxOfferPeers = 2
 
-/** What the operators' side stands on. */
+/** Dependencies of the operators' calls. */
 export interface OperatorsOptions {
   readonly board: EntryBoard
   readonly clock: Clock
@@ -35,12 +38,13 @@
   readonly self: EntryAddress
   /** An operator who may call before the configuration names any. */
   readonly firstOperator: Operator | undefined
+  /** Silence after which a node counts as lost, in ms. */
   readonly lostAfter: number
 }
 
 const operatorKey = createContextKey<string>('', { description: 'name of the operator who calls' })
 
-/** Lets only operators call, by the token in the Authorization header. */
+/** Rejects a call without the token of an operator in its Authorization header. */
 export function operatorCheck ({ current, firstOperator }: Pick<OperatorsOptions, 'current' | 'firstOperator'>): Interceptor {
   return next => async request => {
     const token = bearerKey(request.header.get('authorization') ?? undefined)
@@ -53,7 +57,7 @@
   }
 }
 
-/** Serves the operators' calls. */
+/** Answers the calls of operators. */
 export class OperatorCalls {
   readonly #options: OperatorsOptions
   readonly #writer: Writer
@@ -106,7 +110,10 @@
     this.#options.log.write('configuration-changed', { who: record?.who, what: record?.what, type: change.type, from: record?.from, to: record?.to, operation })
   }
 
-  /** Gives the configuration to a few other entries, so that it outlives this one and the platform. Gives how many have it. */
+  /**
+   * Sends the configuration to a few other entries, so that it survives the loss of this entry and of the platform.
+   * Resolves to the number of entries that have it.
+   */
   async #offer (configuration: Configuration): Promise<number> {
     const { board, self, clients } = this.#options
     const others = board.read('live').filter(each => each.id !== self.id)
@@ -149,7 +156,7 @@
   }
 }
 
-/** A fault as an error of the RPC, with its code and outcome in the metadata. */
+/** Converts a fault to an RPC error with the fault's code and outcome in the metadata. */
 export function connectError (fault: Fault): ConnectError {
   return new ConnectError(fault.message, rpcCode(fault), { 'eiderwind-code': fault.code, 'eiderwind-outcome': fault.outcome })
 }
--- a/packages/entry/src/part.ts
+++ b/packages/entry/src/part.ts
@@ -1,6 +1,6 @@
 /**
- * One part of a streamed completion: what a single replica sends for it. Owns the bytes of the event that is not complete;
- * `stream.ts` joins parts.
+ * One part of a streamed completion: the answer of a single replica. Owns the body of an answer that is not a stream.
+ * `stream.ts` joins the parts.
  */
 import { type ServerResponse } from 'node:http'
 import { Fault } from '@eiderwind/fault'
@@ -10,12 +10,12 @@
 import { type Attempt } from './exchange.js'
 import { failure, workerFault, type Failure } from './outcome.js'
 
-/** How one attempt at a stream ended. */
+/** The end of one part. */
 export type PartEnd =
   | { readonly type: 'done' }
   | { readonly type: 'failed', readonly failure: Failure }
 
-/** Receives what one replica sends for a stream. */
+/** Receives the answer of one replica for a stream. */
 export class Part extends Receiver {
   readonly #context: Context
   readonly #attempt: Attempt
@@ -74,10 +74,14 @@
   }
 }
 
-/** What a part tells its stream. */
+/** The callbacks of a part to its stream. */
 export interface PartListener {
+  /** A stream begins. */
   readonly begin: (headers: AnswerHeaders) => void
+  /** Forwards a chunk. Returns false while the caller's connection accepts no more data. */
   readonly forwardEvents: (chunk: Buffer) => boolean
+  /** Answers the caller with an answer that is not a stream. */
   readonly forwardAnswer: (status: number, headers: AnswerHeaders, body: Buffer) => PartEnd
+  /** The part has ended. */
   readonly ended: (end: PartEnd) => void
 }
--- a/packages/entry/src/peers.ts
+++ b/packages/entry/src/peers.ts
@@ -1,13 +1,17 @@
 /**
- * Which other entries are believed live. Owns when each was last heard; it only steers who is told and asked first.
+ * Liveness of the other entries. Owns the time of the last contact with each. The result is a belief: it only decides
+ * which entries exchange state with each other and which one acts on a subject.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type EntryAddress } from '@eiderwind/schema'
 
-/** Silence after which an entry of the same data centre counts as gone, in ms. */
+/** Time without contact after which an entry of the same data centre no longer counts as live, in ms. */
 const goneAfter = 4000
 
-/** Which other entries are believed live. An entry counts as live from when it was first known until it is silent for too long. */
+/**
+ * Liveness of the other entries. An entry counts as live from the time it becomes known until it is silent for too
+ * long.
+ */
 export class Peers {
   readonly #clock: Clock
   readonly #self: EntryAddress
@@ -18,17 +22,20 @@
     this.#self = self
   }
 
-  /** Notes that an entry was heard of directly. */
+  /** Records a direct contact with an entry. */
   recordContact (id: string): void {
     this.#lastContact.set(id, this.#clock.now())
   }
 
-  /** The entries believed live among `entries`: all far ones, and those of the same data centre that are not silent. */
+  /**
+   * The entries among `entries` that count as live: those of other data centres, and those of this one that are not
+   * silent.
+   */
   live (entries: readonly EntryAddress[]): EntryAddress[] {
     return entries.filter(entry => entry.id === this.#self.id || entry.dataCentre !== this.#self.dataCentre || this.#isRecent(entry.id))
   }
 
-  /** Time since an entry was heard of, in ms. One first asked about now was heard of now. */
+  /** Time since the last contact with an entry, in ms. The first call for an entry counts as a contact. */
   silence (id: string): number {
     const lastContact = this.#lastContact.get(id)
     if (lastContact === undefined) this.recordContact(id)
--- a/packages/entry/src/plainpath.ts
+++ b/packages/entry/src/plainpath.ts
@@ -1,6 +1,7 @@
 /**
- * The way of a request to a plain service that may be repeated, or declares nothing. Relies on `targets.ts` for workers; asks a
- * worker whose answer was lost what became of the attempt.
+ * The path of a request to a plain service that may be repeated or is not declared either way. Relies on `targets.ts`
+ * for the workers. When an answer is lost, it asks the worker whether the attempt has started. A worker that has not
+ * started the attempt records a tombstone for it: a mark that keeps it from ever starting.
  */
 import { Fault } from '@eiderwind/fault'
 import { noPreference } from '@eiderwind/route'
@@ -13,17 +14,17 @@
 import { failure, finalFault, workerFault, type Failure } from './outcome.js'
 import { type Target } from './targets.js'
 
-/** Methods that may be repeated by their definition (RFC 9110, section 9.2.2). */
+/** Methods that are idempotent by definition (RFC 9110, section 9.2.2). */
 const idempotent: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS', 'TRACE', 'PUT', 'DELETE'])
 
-/** Whether the service declares a call as not repeatable. The longest prefix of the path decides. */
+/** Whether the service declares a call as not repeatable. The route with the longest matching path prefix decides. */
 export function isDeclaredNotRepeatable ({ routes }: PlainService, method: string, path: string): boolean {
   const fitting = routes.filter(route => route.method === method && path.startsWith(route.path))
   fitting.sort((a, b) => b.path.length - a.path.length)
   return fitting[0]?.repeatable === false
 }
 
-/** Serves one request to a plain service; it answers the response in every case. */
+/** Serves one request to a plain service. Always answers the response. */
 export async function servePlain (context: Context, exchange: Exchange, atMostOnce: boolean): Promise<void> {
   if (atMostOnce) return await serveKeyed(context, exchange)
   const { clock, budget, targets, policy, log, metric } = context
@@ -49,7 +50,9 @@
   answerFault(exchange.response, finalFault(last, mayHaveRun))
 }
 
-/** Passes a request to a worker and its answer back as it comes. Undefined once an answer was begun. */
+/**
+ * Sends a request to a worker and forwards the answer as it arrives. Resolves to undefined once an answer has begun.
+ */
 function tryRelay (context: Context, exchange: Exchange, target: Target): Promise<Failure | undefined> {
   const { clock, targets, inFlight, dispatcher } = context
   const attempt = attemptAt(target, clock)
@@ -66,12 +69,12 @@
     const cancel = send(dispatcher, attemptCall(context, exchange, attempt), relay)
     const timer = clock.after(timeLeft(exchange, clock), () => cancel(new Error('The deadline has passed.')))
     const removeFromList = inFlight.add(target, cancel)
-    const onCallerGone = (): void => cancel(new Error('The caller went away.'))
+    const onCallerGone = (): void => cancel(new Error('The caller disconnected.'))
     exchange.response.once('close', onCallerGone)
   })
 }
 
-/** Passes a service's answer on, and keeps a worker's refusal back so that another worker can be tried. */
+/** Forwards the answer of a service. Holds back a worker's refusal so that another worker can be tried. */
 class PlainRelay extends Relay {
   readonly #context: Context
   readonly #attempt: Attempt
@@ -120,8 +123,9 @@
 }
 
 /**
- * What became of an attempt whose connection broke before an answer. Asks the same incarnation of the worker: if the
- * attempt has not started, it never will, and "not run" is true.
+ * Finds out whether an attempt has run after its connection broke before an answer. Only the incarnation of the worker
+ * that received the attempt can tell. If it has not started the attempt, it records a tombstone, so the attempt never
+ * starts and "not run" is true.
  */
 async function settle ({ clients, clock }: Context, attempt: Attempt, sent: boolean): Promise<Failure> {
   if (!sent) return failure(new Fault('upstream-down'))
--- a/packages/entry/src/planning.ts
+++ b/packages/entry/src/planning.ts
@@ -1,6 +1,6 @@
 /**
- * Plans the replicas of the domains that this entry acts for. Owns nothing that lasts: placements are objects of the store,
- * written under the version that was planned on.
+ * Plans the replicas of the domains that this entry acts for. Owns no lasting state: placements are objects of the
+ * store, and each write names the version that the plan is based on.
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
@@ -13,7 +13,7 @@
 import { mergePlacement, type EntryBoard } from './facts.js'
 import { nodeFacts, servingReplicas } from './health.js'
 
-/** What the planning stands on. */
+/** Dependencies of the planning. */
 export interface PlanningOptions {
   readonly board: EntryBoard
   readonly clock: Clock
@@ -28,8 +28,9 @@
 }
 
 /**
- * Plans the domains that this entry acts for. Two entries that both act do no harm: a placement is one object, and
- * only the update on the version that was planned on takes effect.
+ * Plans the domains that this entry acts for. Two entries may act for the same domain at the same time without harm: a
+ * placement is one object of the store, and of two updates that are based on the same version only the first takes
+ * effect.
  */
 export class Planning extends Controller {
   readonly name = 'planning'
@@ -50,7 +51,10 @@
     for (const domain of this.#domains()) await this.#plan(domain)
   }
 
-  /** The domains that this entry acts for: those of its own data centre that fall to it, and those of data centres without entries. */
+  /**
+   * The domains that this entry acts for. One live entry of the domain's data centre acts for it. If that data centre
+   * has no live entry, one of all live entries does.
+   */
   #domains (): string[] {
     const { board, self } = this.#options
     const live = board.read('live')
--- a/packages/entry/src/registrar.ts
+++ b/packages/entry/src/registrar.ts
@@ -1,6 +1,6 @@
 /**
- * Registers this entry at the platform and reads what is there. Owns the time of the last full reading; changes come by other
- * ways in between.
+ * Registers this entry at the platform, and reads the stored entries, placements and lists of voters. Owns the count of
+ * updates since the last full read. Between full reads, changes arrive from other entries.
  */
 import { Controller } from '@eiderwind/board'
 import { EntryList, Homes, Placement, type EntryAddress } from '@eiderwind/schema'
@@ -9,13 +9,13 @@
 import { mergeHomes, mergeListedEntries, mergePlacement, type EntryBoard } from './facts.js'
 import { type Peers } from './peers.js'
 
-/** Silence after which an entry is taken off its data centre's list, in ms. */
+/** Silence after which an entry is removed from its data centre's list, in ms. */
 const removeAfter = 600_000
 
-/** Updates between two readings of everything, for what was missed otherwise. */
+/** Number of updates between two full reads. A full read finds changes that did not arrive from other entries. */
 const updatesPerRead = 5
 
-/** Registers this entry at the platform, and reads what is there: the other entries, placements and lists of voters. */
+/** Registers this entry at the platform, and reads the other entries, the placements and the lists of voters. */
 export class Registrar extends Controller {
   readonly name = 'registrar'
   readonly interval = 2000
@@ -41,7 +41,10 @@
     await this.#read()
   }
 
-  /** A few entries of each data centre read; the others hear from them. One that knows nobody reads too. */
+  /**
+   * Whether this entry reads. A few entries of each data centre read, and the others receive the objects from them. An
+   * entry that knows no other entry reads too.
+   */
   #isReader (): boolean {
     const local = this.#board.read('live').filter(each => each.dataCentre === this.#self.dataCentre)
     return watchers('objects', local).some(each => each.id === this.#self.id)
--- a/packages/entry/src/spreader.ts
+++ b/packages/entry/src/spreader.ts
@@ -1,6 +1,6 @@
 /**
- * Spreads what this entry has heard to other entries, and fetches what it lacks. Owns what each was told last; relies on
- * `spread` for who tells whom.
+ * Sends the reports that this entry has received to other entries, and fetches the state that it lacks. Owns the record
+ * of what each peer was sent. Relies on `spread` for which entries exchange state.
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
@@ -11,19 +11,22 @@
 import { type EntryBoard, knownDigest, mergeEntries, mergeHomes, mergeNodes, mergePlacement } from './facts.js'
 import { type Peers } from './peers.js'
 
-/** Updates between two tellings of another data centre. */
+/** Number of updates between two exchanges with another data centre. */
 const updatesPerFarExchange = 5
 
-/** Entries of the own data centre that are told in one update; where there are more, they take turns. */
+/** Target number of peers of this data centre in one update. If there are more, they take turns. */
 const maxNearPeers = 10
 
-/** Silence of the entry that should tell of a worker after which the other one that the worker reports to does, in ms. */
+/**
+ * A worker reports to two entries, and the first of them relays its reports. After this time without a relayed report,
+ * in ms, the second one relays them instead.
+ */
 const relayTakeoverAfter = 3000
 
-/** Silence after which a worker is forgotten, in ms. */
+/** Silence after which the report of a worker is deleted, in ms. */
 const forgetAfter = 600_000
 
-/** What the spreading stands on. */
+/** Dependencies of the spreader. */
 export interface SpreaderOptions {
   readonly board: EntryBoard
   readonly clock: Clock
@@ -36,7 +39,7 @@
   readonly seeds: readonly string[]
 }
 
-/** Tells other entries what this one has heard, and fetches from them what it lacks. */
+/** Exchanges state with other entries: sends new reports, and fetches the state that this entry lacks. */
 export class Spreader extends Controller {
   readonly name = 'spreader'
   readonly interval = 1000
@@ -67,12 +70,20 @@
     await Promise.all(tasks)
   }
 
-  /** Has the next update tell the other data centres too, because there is news that cannot wait. */
+  /**
+   * Makes the next update exchange state with all peers, including other data centres. For changes that must spread at
+   * once.
+   */
   sendToAllNext (): void {
     this.#turn = 0
   }
 
-  /** Fetches what another entry has and this one lacks. */
+  /**
+   * Fetches the state that another entry has and this one lacks.
+   *
+   * @param revision the other entry's configuration revision
+   * @param peerDigest the digest of the rest of its state (`knownDigest`)
+   */
   async fetchMissing (address: string, revision: number, peerDigest: number): Promise<void> {
     const { board, current, clients } = this.#options
     const calls = clients.entry(address)
@@ -85,7 +96,10 @@
     if (nodesSeen > 0) mergeNodes(board, { seen: nodesSeen, nodes })
   }
 
-  /** Tells the first of several entries that answers. */
+  /**
+   * Exchanges state with one entry of another data centre: the first of `counterparts`, or the second if it does not
+   * answer.
+   */
   async #exchangeWithFirst (counterparts: readonly EntryAddress[]): Promise<void> {
     const { self } = this.#options
     for (const peer of counterparts.slice(0, 2)) {
@@ -94,9 +108,9 @@
   }
 
   /**
-   * Whether this entry tells its own data centre of a worker: those of other data centres that it heard of from there,
-   * and those that report to it. Of the two entries that a worker reports to the first tells, and the second while
-   * the first is silent about it.
+   * Whether this entry relays a worker's report to its own data centre. It relays reports received from other data
+   * centres, and those of workers that report to it. Of the two entries to which a worker reports, the first relays.
+   * The second relays while the first relays nothing about that worker.
    */
   #relaysNear ({ report, source, relayedAt }: Heard): boolean {
     const { board, self, clock } = this.#options
@@ -118,7 +132,8 @@
       await this.fetchMissing(peer.peer, revision, known)
       return true
     } catch {
-      // Not logged, since this runs each second: a peer that stays silent drops out of `Peers.live`, and the next exchange sends everything.
+      // Not logged, since this runs each second. A peer that stays silent drops out of `Peers.live`. The next exchange
+      // sends everything again.
       this.#telling.failed(peer.id)
       return false
     }
@@ -127,18 +142,21 @@
   async #fetchFromSeeds (): Promise<void> {
     const { seeds, self } = this.#options
     for (const seed of seeds) {
-      // A seed that does not answer is asked again with the next update, a second later.
+      // A seed that does not answer is tried again in the next update, a second later.
       if (seed !== self.peer) await this.fetchMissing(seed, Infinity, -1).catch(() => {})
     }
   }
 }
 
-/** Whether a worker takes requests by itself: one of a plain service, or the head of a replica. Others concern their own data centre only. */
+/**
+ * Whether a worker takes requests itself: a worker of a plain service, or the head of a replica. The reports of other
+ * workers are only used in their own data centre.
+ */
 function takesRequests ({ report }: Heard): boolean {
   return report.service !== undefined && (report.replica === undefined || report.members !== undefined)
 }
 
-/** The old list where the new one holds the same entries, so that nobody is told of a change that is none. */
+/** The old list if the new one holds the same entries, so that the board notifies no listener without a change. */
 function keepIfEqual (before: readonly EntryAddress[], after: readonly EntryAddress[]): readonly EntryAddress[] {
   return JSON.stringify(before) === JSON.stringify(after) ? before : after
 }
--- a/packages/entry/src/status.ts
+++ b/packages/entry/src/status.ts
@@ -1,5 +1,5 @@
 /**
- * The status of the system for operators, from what this entry has heard. Pure.
+ * The status of the system for operators, derived from the state that this entry has received. Pure functions.
  */
 import { type MessageInitShape } from '@bufbuild/protobuf'
 import { type Current } from '@eiderwind/config'
@@ -10,7 +10,7 @@
 import { type EntryBoard } from './facts.js'
 import { nodeFacts, servingReplicas } from './health.js'
 
-/** What a status is made from. */
+/** Inputs of a status. */
 export interface StatusFacts {
   readonly board: EntryBoard
   readonly current: Current
@@ -20,7 +20,7 @@
   readonly self: EntryAddress
 }
 
-/** What every node, replica and entry does now, as far as this entry has heard. */
+/** The status of every node, replica and entry that this entry knows. */
 export function status (facts: StatusFacts): MessageInitShape<typeof StatusSchema> {
   const { board, current, reports, lostAfter, self } = facts
   const replicas = [...board.read('placements').values()].flatMap(each => each.replicas)
--- a/packages/entry/src/stream.ts
+++ b/packages/entry/src/stream.ts
@@ -1,6 +1,6 @@
 /**
- * One streamed completion over all the replicas that serve parts of it. Owns what the caller has received (`transcript.ts`); a
- * stream is complete only with its end mark.
+ * One streamed completion, over all replicas that serve parts of it. Owns the transcript of the events that the caller
+ * has received (`transcript.ts`). A stream is complete only with its end mark.
  */
 import { Fault } from '@eiderwind/fault'
 import { answerFault, callerHeaders, endToEnd, send, wireHeaders, type AnswerHeaders } from '@eiderwind/wire'
@@ -14,16 +14,16 @@
 import { type Target } from './targets.js'
 import { Transcript } from './transcript.js'
 
-/** Pause before a stream that has begun looks again for a replica, in ms. */
+/** Pause before a stream that has begun searches for a replica again, in ms. */
 const resumePause = 200
 
-/** How long a stream that has begun looks for a replica at the most, in ms. */
+/** Time after its first failed attempt for which a stream that has begun may search for a replica, in ms. */
 const maxResumeWait = 60_000
 
 /**
- * One streamed completion. It is whole only with its end mark. When a replica is lost in the middle, it is resumed on
- * another one at the offset that the caller has; a stream that has begun is not given up because replicas are busy
- * for a moment. The first attempt, with nothing sent to the caller, is answered at once when no replica takes it.
+ * One streamed completion. It is complete only with its end mark. If a replica fails before that, the stream is resumed
+ * at another replica, at the offset that the caller has. A stream that has begun waits if all replicas are briefly
+ * busy. While the caller has received nothing, the stream is refused at once when no replica takes it.
  */
 export class Stream {
   readonly #context: Context
@@ -42,7 +42,7 @@
     this.#transcript = new Transcript({ offset, text: completion.resume?.text ?? '', hasFinishReason: false })
   }
 
-  /** Serves the stream; it answers the response in every case. */
+  /** Serves the stream. Always answers the response. */
   async serve (): Promise<void> {
     const { clock, budget, metric, targets } = this.#context
     const { response } = this.#exchange
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Streams from one replica until the end mark or a break. */
+  /** Streams from one replica until the end mark or a failure. */
   #streamPart (target: Target): Promise<PartEnd> {
     const { clock, inFlight, dispatcher } = this.#context
     const exchange = this.#exchange
@@ -107,13 +107,13 @@
       const removeFromList = inFlight.add(target, cancel)
       const onCallerGone = (): void => {
         this.#context.log.write('caller-gone', { service: exchange.service })
-        cancel(new Error('The caller went away.'))
+        cancel(new Error('The caller disconnected.'))
       }
       exchange.response.once('close', onCallerGone)
     })
   }
 
-  /** The body for an engine: the caller's own, with where to go on from once something was sent. */
+  /** The request body for an engine. Contains the position to resume from once the caller has received events. */
   #body (offset: number, text: string): Buffer {
     if (offset === 0) return this.#exchange.body
     return Buffer.from(JSON.stringify({ ...this.#completion, resume: { offset, text } }))
@@ -130,13 +130,13 @@
     this.#exchange.response.flushHeaders()
   }
 
-  /** Passes whole events on. False while the caller takes no more. */
+  /** Forwards complete events. Returns false while the caller's connection accepts no more data. */
   #forwardEvents (chunk: Buffer): boolean {
     const events = this.#transcript.take(chunk)
     return events === undefined || this.#exchange.response.write(events)
   }
 
-  /** Answers with what the engine said instead of a stream, such as that it does not understand the request. */
+  /** Answers the caller with the engine's answer if that is not a stream, such as an error about the request. */
   #forwardAnswer (status: number, headers: AnswerHeaders, body: Buffer): PartEnd {
     const { response } = this.#exchange
     if (this.#begun) return { type: 'failed', failure: failure(new Fault('interrupted')) }
@@ -146,14 +146,17 @@
     return { type: 'done' }
   }
 
-  /** Ends a whole stream, with the end mark where the replica was lost just before it. */
+  /** Ends a complete stream. Adds the end mark if the replica failed just before sending it. */
   #end (): PartEnd {
     const { response } = this.#exchange
     response.end(this.#transcript.isComplete ? undefined : 'data: [DONE]\n\n')
     return { type: 'done' }
   }
 
-  /** Tells the caller that the stream is not whole: by an answer, or by an event of type `error` and no end mark. */
+  /**
+   * Ends an incomplete stream: with a refusal, or with an event of type `error` and no end mark if the stream has
+   * begun.
+   */
   #endFailed (fault: Fault): void {
     const { response } = this.#exchange
     if (!this.#begun) return answerFault(response, fault)
--- a/packages/entry/src/targets.ts
+++ b/packages/entry/src/targets.ts
@@ -1,6 +1,7 @@
 /**
- * The workers to which requests can be sent, and where a key has its home. Owns what this entry counts of each worker; relies
- * on the board for reports and leases.
+ * The workers to which requests can be sent, and the home of each key. The keys of a plain service are divided into
+ * slots. The home of a slot is the worker that may run requests with keys of that slot. Owns this entry's own counts of
+ * requests at each worker. Relies on the reports of workers and on the placements on the board.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Current } from '@eiderwind/config'
@@ -9,10 +10,10 @@
 import { type Heard, type Reports } from '@eiderwind/spread'
 import { type EntryBoard } from './facts.js'
 
-/** Age at which a report of a worker in another data centre is too old to send anything by it, in ms. */
+/** Age at which a report of a worker in another data centre is too old to send requests to that worker, in ms. */
 const maxFarReportAge = 15_000
 
-/** Requests at a worker, in multiples of those that run at once there, from which on it is too crowded to be the nearest. */
+/** A worker counts as crowded when its load reaches this multiple of its concurrency. */
 const crowdedFactor = 2
 
 /** A worker that requests can be sent to. */
@@ -21,37 +22,43 @@
   readonly worker: string
   /** `host:port`. */
   readonly address: string
+  /** Id of one run of the worker process. Each start of the process has a new one. */
   readonly incarnation: string
 }
 
 /** The home of a slot of keys. */
 export interface HomeTarget extends Target {
-  /** The stretch of being the home, as the worker counts them. */
+  /**
+   * Number of the period for which the worker has been the home without a break. Each period of a worker has a new
+   * number.
+   */
   readonly tenure: number
 }
 
-/** What an entry counts itself of one worker. */
+/** This entry's own counts of the requests at one worker. */
 interface LocalCounts {
+  /** Requests without an answer. */
   open: number
+  /** Times at which the requests were sent that the worker's latest report does not include yet, on `Clock.now`. */
   sentAt: number[]
 }
 
-/** What the targets stand on. */
+/** Dependencies of the targets. */
 export interface TargetsOptions {
   readonly board: EntryBoard
   readonly clock: Clock
   readonly current: Current
   readonly reports: Reports
   readonly self: EntryAddress
-  /** Age at which a report of a worker in the own data centre is too old, in ms. */
+  /** Age at which a report of a worker in this data centre is too old, in ms. */
   readonly maxNearReportAge: number
 }
 
-/** The workers that requests can be sent to, with their load as this entry can tell. */
+/** The workers that requests can be sent to, with their load from reports and this entry's own counts. */
 export class Targets {
   readonly #options: TargetsOptions
   readonly #localCounts = new Map<string, LocalCounts>()
-  /** The region of each node in the list that it was made from. */
+  /** Region of each node of `#regionNodes`. Rebuilt when the node list changes. */
   #regions: ReadonlyMap<string, string> = new Map()
   #regionNodes: readonly Node[] = []
 
@@ -59,7 +66,7 @@
     this.#options = options
   }
 
-  /** The heads of the replicas of a model service that serve. */
+  /** The heads of the serving replicas of a model service. */
   heads (service: string): Target[] {
     const leaving = new Set(this.#options.current.configuration.leaving)
     const targets: Target[] = []
@@ -73,7 +80,7 @@
     return targets
   }
 
-  /** The workers of a plain service that serve. */
+  /** The serving workers of a plain service. */
   workers (service: string): Target[] {
     const leaving = new Set(this.#options.current.configuration.leaving)
     const targets: Target[] = []
@@ -85,7 +92,10 @@
     return targets
   }
 
-  /** The worker of a plain service that is the home of a slot of keys: of several that say so, the one that said it last. */
+  /**
+   * The home of a slot of a plain service's keys. If several workers report that they are the home, the latest report
+   * decides.
+   */
   home (service: string, slot: number): HomeTarget | undefined {
     let latest: Heard | undefined
     for (const heard of this.#options.reports.all) {
@@ -98,7 +108,10 @@
     return { ...this.#target(latest, latest.report.worker), tenure: held.tenure }
   }
 
-  /** The nearest of `targets` that are not crowded: own data centre, own region, anywhere; all of them where none is. */
+  /**
+   * The nearest of `targets` that are not crowded: those of this data centre, else those of this region, else all
+   * others. All of `targets` if every one is crowded.
+   */
   nearest (targets: readonly Target[]): Target[] {
     const free = targets.filter(({ candidate }) => load(candidate) < crowdedFactor * candidate.concurrency)
     const near = free.filter(({ worker }) => this.#options.reports.of(worker)?.report.dataCentre === this.#options.self.dataCentre)
@@ -108,7 +121,7 @@
     return free.length > 0 ? free : [...targets]
   }
 
-  /** Those of `targets` in this entry's region. */
+  /** The targets in this entry's region. */
   regional (targets: readonly Target[]): Target[] {
     const { board, self } = this.#options
     const nodes = board.read('nodes')?.nodes ?? []
@@ -119,20 +132,20 @@
     return targets.filter(({ worker }) => (this.#regions.get(worker) ?? self.region) === self.region)
   }
 
-  /** Whether a worker still is the process that a request was sent to, and not silent. */
+  /** Whether the worker process that a request was sent to still runs: same incarnation, and a recent report. */
   isLive ({ worker, incarnation }: Target): boolean {
     const heard = this.#options.reports.of(worker)
     return heard !== undefined && heard.report.incarnation === incarnation && this.#isFresh(heard)
   }
 
-  /** Notes that a request goes to a worker. */
+  /** Records that a request is sent to a worker. */
   recordSent (worker: string): void {
     const counts = this.#countsOf(worker)
     counts.open++
     counts.sentAt.push(this.#options.clock.now())
   }
 
-  /** Notes that a request at a worker is over. */
+  /** Records that a request at a worker has ended. */
   recordEnded (worker: string): void {
     this.#countsOf(worker).open--
   }
--- a/packages/entry/src/teams.ts
+++ b/packages/entry/src/teams.ts
@@ -1,14 +1,14 @@
 /**
- * Teams by the key in an Authorization header. Owns a table of digests; no key is kept.
+ * Finds the team of a request by the key in its Authorization header. Owns a table of the keys' digests. Stores no key.
  */
 import { createHash } from 'node:crypto'
 import { type Current } from '@eiderwind/config'
 import { type Configuration, type Team } from '@eiderwind/schema'
 
-/** The scheme of the Authorization header that keys and tokens come in (RFC 6750). */
+/** Form of an Authorization header with a key or token (RFC 6750). */
 const bearer = /^Bearer\s+(\S+)$/i
 
-/** The key in an Authorization header. */
+/** The key in an Authorization header, or undefined if it has none. */
 export function bearerKey (header: string | undefined): string | undefined {
   return header === undefined ? undefined : bearer.exec(header)?.[1]
 }
@@ -18,7 +18,7 @@
   return createHash('sha256').update(secret).digest('hex')
 }
 
-/** Finds the team that a key belongs to. */
+/** The teams of the current configuration, by key. */
 export class Teams {
   #byDigest = new Map<string, Team>()
 
--- a/packages/entry/src/transcript.ts
+++ b/packages/entry/src/transcript.ts
@@ -1,17 +1,18 @@
 /**
- * What the caller of a stream has received, so that it can be resumed elsewhere without a part twice. Owns whole events only.
+ * The events that the caller of a stream has received, so that the stream can be resumed at another replica without
+ * repeating any. Owns the events that were forwarded and the bytes of an incomplete one.
  */
 import { createParser } from 'eventsource-parser'
 import { z } from 'zod'
 
-/** The end of a server-sent event, and of a whole stream. */
+/** The end of a server-sent event, and the last event of a complete stream. */
 const boundary = Buffer.from('\n\n')
 const endMark = Buffer.from('data: [DONE]')
 
-/** Bytes that are kept as they came before their text is taken out. */
+/** Size of the stored events at which their text is extracted, in bytes. */
 const maxPendingBytes = 16_384
 
-/** What of one event of a completion stream matters here. */
+/** The fields of a completion stream's event that the transcript reads. */
 const Chunk = z.object({
   choices: z.array(z.object({
     delta: z.object({ content: z.string().nullish() }).optional(),
@@ -19,20 +20,20 @@
   }))
 })
 
-/** Where a stream stands: enough to go on with it elsewhere. */
+/** The position in a stream, from which another replica can resume it. */
 export interface Progress {
-  /** Events that the caller has. */
+  /** Id of the last event that the caller has. */
   readonly offset: number
   /** Text that the caller has. */
   readonly text: string
-  /** Whether the caller has the event that says why the answer ended. */
+  /** Whether the caller has the event with the finish reason. */
   readonly hasFinishReason: boolean
 }
 
 /**
- * What the caller of one stream has received. Only whole events are handed on, so that a stream that breaks inside
- * one can be resumed without a part twice. Events are kept as bytes and read only when there are many or when the
- * stream has to be resumed; the usual chunk costs two searches.
+ * The events that the caller of one stream has received. Only complete events are forwarded, so that a stream that
+ * breaks inside an event can be resumed without repeating a part of it. Events are stored as bytes. They are parsed
+ * only when there are many, or when the stream has to be resumed. A usual chunk therefore costs only two searches.
  */
 export class Transcript {
   #partial: Buffer | undefined
@@ -41,17 +42,17 @@
   #progress: Progress
   #isComplete = false
 
-  /** @param start what the caller had before this request */
+  /** @param start the position that the caller had reached before this request */
   constructor (start: Progress = { offset: 0, text: '', hasFinishReason: false }) {
     this.#progress = start
   }
 
-  /** Whether the end mark was handed on: only then is the stream whole. */
+  /** Whether the end mark was forwarded. The stream is complete only then. */
   get isComplete (): boolean {
     return this.#isComplete
   }
 
-  /** Takes a chunk and gives the whole events in it, or undefined where there is none. */
+  /** Adds a chunk. Returns the events that it completes, or undefined if it completes none. */
   take (chunk: Buffer): Buffer | undefined {
     const bytes = this.#partial === undefined ? chunk : Buffer.concat([this.#partial, chunk])
     const last = bytes.lastIndexOf(boundary)
@@ -66,7 +67,7 @@
     return events
   }
 
-  /** Forgets a part of an event that will not be completed, and says where the stream stands. */
+  /** Discards an incomplete event, and returns the position from which the stream can be resumed. */
   resume (): Progress {
     this.#partial = undefined
     this.#parsePending()
@@ -105,7 +106,7 @@
   try {
     return JSON.parse(text)
   } catch {
-    // Such as the end mark `[DONE]`: an event that is no JSON has no text to resume from.
+    // An event that is not JSON, such as the end mark `[DONE]`, has no text.
     return undefined
   }
 }
--- a/packages/entry/src/voting.ts
+++ b/packages/entry/src/voting.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the list of workers that vote on the homes of keys. The list is an object of the store; a new one differs by one voter
- * and comes only when no older list can hold a majority.
+ * Maintains the list of voters of each plain service. The voters are the workers whose majority decides which of them
+ * is the home of a slot of keys. The list is an object of the store. A new list differs from the last one by one voter.
+ * It is written only when no older list can still form a majority.
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
@@ -10,13 +11,13 @@
 import { actor, type Reports } from '@eiderwind/spread'
 import { mergeHomes, type EntryBoard } from './facts.js'
 
-/** Time for which a majority must go by a list before the next one is made, in ms: longer than any lease. */
+/** Time for which a majority must have used a list before the next one is written, in ms. Longer than any lease. */
 const settleTime = 10_000
 
-/** Silence after which a voter is replaced, in ms. Voters that restart come back sooner. */
+/** Silence after which a voter is removed from the list, in ms. Longer than the restart of a voter takes. */
 const replaceAfter = 60_000
 
-/** What the voting stands on. */
+/** Dependencies of the voting controller. */
 export interface VotingOptions {
   readonly board: EntryBoard
   readonly clock: Clock
@@ -27,9 +28,9 @@
 }
 
 /**
- * Keeps the list of workers that vote on the homes of a plain service's keys. A list differs from the one before by
- * one voter, and the next is made only after a majority of the present one has gone by it for longer than any lease:
- * then no majority of an older list can still hold anything.
+ * Maintains the lists of voters. Each list differs from the previous one by one voter. The next list is written only
+ * after a majority of the current voters has used the current list for longer than any lease. Then no lease that a
+ * majority of an older list granted can still be held.
  */
 export class Voting extends Controller {
   readonly name = 'voting'
@@ -67,7 +68,7 @@
     return voters.length === 0 ? undefined : { service, revision: 1, voters }
   }
 
-  /** The list that follows, where one voter has to come or go and the present list has settled. */
+  /** The next list, if a voter must be added or removed and the current list has settled. */
   #nextList (known: Homes): Homes | undefined {
     const { service, revision, voters } = known
     const candidates = this.#liveWorkers(service)
@@ -79,6 +80,7 @@
     return { service, revision: revision + 1, voters: voters.filter(id => id !== gone) }
   }
 
+  /** Whether a majority of the voters has reported this list's revision for `settleTime`. */
   #isSettled ({ service, revision, voters }: Homes): boolean {
     const { reports, clock } = this.#options
     const listKey = `${service}@${revision}`
--- a/packages/entry/src/watcher.ts
+++ b/packages/entry/src/watcher.ts
@@ -1,6 +1,6 @@
 /**
- * Watches the configuration at the platform for the entries of a data centre. Owns nothing that lasts; relies on `spread` for
- * which entries watch.
+ * Watches the configuration at the platform on behalf of the entries of a data centre. Owns no lasting state. Relies on
+ * `spread` for which entries watch it.
  */
 import { Controller } from '@eiderwind/board'
 import { configurationKey, type Current } from '@eiderwind/config'
@@ -9,10 +9,10 @@
 import { watchers } from '@eiderwind/spread'
 import { type EntryBoard } from './facts.js'
 
-/** How long one watch waits at the platform, in ms. */
+/** Maximum time that one watch waits for a change, in ms. */
 const maxWatchTime = 10_000
 
-/** Keeps a watch on the configuration at the platform, where this entry is one of the few of its data centre that do. */
+/** Watches the configuration at the platform if this entry is one of the few of its data centre that do. */
 export class Watcher extends Controller {
   readonly name = 'watcher'
   readonly interval = 500
--- a/packages/entry/test/addresses.test.ts
+++ b/packages/entry/test/addresses.test.ts
@@ -1,4 +1,7 @@
-/** Where another entry is reached after it has started again: its new address stays known, whoever still tells of the old one. */
+/**
+ * The address of an entry that has restarted. Other entries may still relay the old address. The tests guard against
+ * the old address replacing the new one, after which other entries could no longer reach the entry.
+ */
 import test from 'ava'
 import { ManualClock, seeded } from '@eiderwind/clock'
 import { Current } from '@eiderwind/config'
@@ -19,7 +22,7 @@
   return { id, dataCentre: 'd1', region: 'r1', peer, incarnation }
 }
 
-/** The parts of an entry that tell others and are told, without a network. */
+/** The parts of an entry that exchange state with other entries, without a network. */
 class TestEntry {
   readonly board: EntryBoard
   readonly calls: Calls
@@ -36,13 +39,13 @@
     this.calls = new Calls({ board, current, reports, peers, dataCentre: 'd1', heads: () => [], fetchMissing: (from, revision, known) => this.spreader.fetchMissing(from, revision, known) })
   }
 
-  /** The address under which this entry would reach another one. */
+  /** The known address of another entry. */
   peer (id: string): string | undefined {
     return this.board.read('entries').find(each => each.id === id)?.peer
   }
 }
 
-/** Calls between entries by their address, which end in an order that a test draws. */
+/** Delivers calls between entries by address. Each call is delayed by a random number of turns of the event loop. */
 class Network {
   readonly #entries = new Map<string, TestEntry>()
   readonly #delay: () => number
@@ -62,7 +65,7 @@
     const reach = async <Output> (call: (calls: Calls) => Promise<Output>): Promise<Output> => {
       await waitTurns(this.#delay())
       const entry = this.#entries.get(peer)
-      if (entry === undefined) throw new Error('nobody listens there')
+      if (entry === undefined) throw new Error('no entry listens at this address')
       const output = await call(entry.calls)
       await waitTurns(this.#delay())
       return output
@@ -79,7 +82,7 @@
   for (let turn = 0; turn < count; turn++) await new Promise(resolve => setImmediate(resolve))
 }
 
-test('an entry that starts again keeps its own address, whatever others still know', async t => {
+test('an entry that restarts keeps its new address although another entry still has the old one', async t => {
   const network = new Network()
   mergeEntries(network.add(secondAddress).board, [oldAddress])
   const entry = network.add(newAddress, [secondAddress.peer])
@@ -88,7 +91,7 @@
   t.is(entry.peer('e2'), secondAddress.peer)
 })
 
-test('an entry whose clock went back before it started again keeps its own address too', async t => {
+test('an entry that restarts with its clock set back keeps its new address', async t => {
   const network = new Network()
   mergeEntries(network.add(secondAddress).board, [{ ...oldAddress, incarnation: 'c' }])
   const entry = network.add(newAddress, [secondAddress.peer])
@@ -96,7 +99,7 @@
   t.is(entry.peer('e1'), newAddress.peer)
 })
 
-test('what an entry says of its own address is taken at once, from one of an earlier build too', async t => {
+test('the address that an entry sends for itself replaces the known one at once, also with an earlier incarnation or none', async t => {
   for (const self of [newAddress, { ...newAddress, incarnation: undefined }, { ...newAddress, incarnation: '0' }]) {
     const part = new Network().add(secondAddress)
     mergeEntries(part.board, [oldAddress])
@@ -107,7 +110,7 @@
   }
 })
 
-test('whatever the order in which entries ask each other, all know the new address of one that started again, after three rounds', async t => {
+test('after three rounds all entries know the new address of one that restarted, whatever the order of their calls', async t => {
   for (let seed = 1; seed <= 200; seed++) {
     const random = seeded(seed)
     const network = new Network(() => Math.floor(random() * 4))
@@ -122,7 +125,7 @@
   }
 })
 
-test('of two addresses that are told by others the one of the later life is kept, in either order', t => {
+test('of two relayed addresses of an entry, the one with the later incarnation is kept, in either order', t => {
   for (const told of [[oldAddress, newAddress], [newAddress, oldAddress]]) {
     const { board } = new Network().add(secondAddress)
     for (const each of told) mergeEntries(board, [each])
@@ -130,7 +133,7 @@
   }
 })
 
-test('an address told by others without its life does not replace one with it, and the platform\'s list does', t => {
+test('an address without an incarnation replaces a known one if it comes from the platform\'s list, but not if it is relayed', t => {
   const earlier = { ...newAddress, incarnation: undefined }
   const { board } = new Network().add(secondAddress)
   mergeEntries(board, [oldAddress])
--- a/packages/entry/test/fence.test.ts
+++ b/packages/entry/test/fence.test.ts
@@ -1,4 +1,7 @@
-/** An entry that is cut off: what it may still hand out, and when it stops. */
+/**
+ * An entry that is cut off. The tests guard against serving under an outdated configuration, and against sending
+ * requests to workers whose reports are too old.
+ */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { Current } from '@eiderwind/config'
@@ -32,7 +35,7 @@
   return { clock, board, current, reports, fence, targets: new Targets({ board, clock, current, reports, self, maxNearReportAge }) }
 }
 
-/** Lets a worker report at each second, going by `revision`, while the fence looks. */
+/** Runs the fence twice a second while a worker reports each second that it uses `revision`. */
 async function runSeconds ({ clock, reports, fence }: Fixture, seconds: number, revision: number, leaving = false): Promise<void> {
   for (let index = 0; index < seconds; index++) {
     const sequence = 1 + clock.now()
@@ -44,12 +47,12 @@
   }
 }
 
-test('an entry whose workers go by a later configuration stops within 4 s, and takes requests again when it has it', async t => {
+test('an entry whose workers report a later configuration stops serving within 4 s, and serves again once it has it', async t => {
   const made = setUp()
   await runSeconds(made, 10, 4)
   t.false(made.board.read('behind'))
   await runSeconds(made, 3, 5)
-  t.false(made.board.read('behind'), 'there is time to fetch it')
+  t.false(made.board.read('behind'), 'the entry has time to fetch it')
   await runSeconds(made, 1, 5)
   t.true(made.board.read('behind'))
   made.current.accept({ ...emptyConfiguration, revision: 5 })
@@ -57,7 +60,7 @@
   t.false(made.board.read('behind'))
 })
 
-test('a change that is fetched in time stops nothing, however many follow each other', async t => {
+test('an entry that fetches each change in time keeps serving, also when changes follow each other', async t => {
   const made = setUp()
   for (let revision = 5; revision < 15; revision++) {
     await runSeconds(made, 1, revision)
@@ -67,7 +70,7 @@
   }
 })
 
-test('an entry that hears nothing any more hands out no worker once the reports are old', async t => {
+test('an entry that receives no reports offers no worker once the known reports are too old', async t => {
   const made = setUp()
   await runSeconds(made, 3, 4)
   t.is(made.targets.workers(plain).length, 1)
@@ -77,7 +80,7 @@
   t.is(made.targets.home(plain, 3), undefined)
 })
 
-test('a worker that says that it leaves, or that the configuration tells to leave, gets nothing new at once', async t => {
+test('a worker that reports that it leaves, or that the configuration lists as leaving, is no longer offered', async t => {
   const made = setUp()
   await runSeconds(made, 1, 4)
   made.current.accept({ ...emptyConfiguration, revision: 5, leaving: ['w'] })
--- a/packages/entry/test/harness.ts
+++ b/packages/entry/test/harness.ts
@@ -14,7 +14,7 @@
 import { Targets } from '../src/targets.js'
 import { Teams, secretDigest } from '../src/teams.js'
 
-/** The key of the harness's only team, and its services. */
+/** The key of the harness's only team, and the names of its services. */
 export const key = 'key'
 export const plain = 'receipts'
 export const model = 'support'
@@ -24,22 +24,22 @@
 /** How a fake worker answers one request. */
 export type Answer = (request: IncomingMessage, response: ServerResponse) => void
 
-/** A worker of the harness. It answers with each of its `answers` in turn, the last one again and again. */
+/** A worker of the harness. It gives each of its `answers` in turn, and repeats the last one. */
 export interface FakeWorker {
   readonly id: string
   readonly address: string
-  /** Paths of the requests that it has had. */
+  /** Paths of the requests that it has received. */
   readonly requests: string[]
 }
 
-/** What a fake worker does. */
+/** The behaviour of a fake worker. */
 export interface WorkerBehaviour {
   readonly answers: readonly Answer[]
-  /** Its word on the fate of attempts; undefined cuts the connection instead. */
+  /** Its answer to a settle call for any attempt. If undefined, it cuts the connection of the call. */
   readonly fate?: SettleAnswer
 }
 
-/** The callers' side of an entry, with real sockets, before workers that a test makes. */
+/** The callers' side of an entry, with real sockets and the fake workers that a test adds. */
 export class Harness {
   readonly board: EntryBoard = entryBoard(self)
   readonly current = new Current()
@@ -69,7 +69,7 @@
       current,
       targets,
       inFlight: this.#inFlight,
-      // With equal places, workers that have had no request are tried in the order in which they were reported.
+      // With this random source, workers of equal rank and without requests are tried in the order of their reports.
       policy: new Balanced({ random: () => 0 }),
       affinity: new Affinity(),
       budget: new Budget(this.#clock),
@@ -81,7 +81,7 @@
     this.#callers = new Callers({ context, board, teams: new Teams(current), entry: self.id, bodyLimit: 1000, deadline: 10_000 })
   }
 
-  /** The workers whose attempts have failed, in that order. */
+  /** The workers of the failed attempts, in order. */
   get failed (): readonly string[] {
     return this.#failed
   }
@@ -91,7 +91,7 @@
     this.#origin = `http://127.0.0.1:${port}`
   }
 
-  /** Adds a worker that answers over HTTP. One of the plain service is the home of every slot. */
+  /** Adds a worker that answers over HTTP. A worker of the plain service is the home of every slot. */
   async worker (id: string, options: WorkerBehaviour, service = plain): Promise<FakeWorker> {
     const requests: string[] = []
     const port = await this.#serve((request, response) => {
@@ -105,7 +105,7 @@
     return worker
   }
 
-  /** Notes a worker of a service at any address. A worker of the model service is the head of a replica of its own. */
+  /** Adds a report of a worker at any address. A worker of the model service is the head of a replica of its own. */
   report (id: string, address: string, service: string): void {
     const replica = service === model ? `${id}-replica` : undefined
     this.reports.accept({ report: reportOf(id, address, service, replica), age: 0 }, 'worker')
@@ -140,7 +140,7 @@
   }
 }
 
-/** An upstream's answer, under the id of the attempt that it belongs to. */
+/** Answers as an upstream, with the id of the attempt in the answer. */
 export function echo (text: string): Answer {
   return (request, response) => {
     response.setHeader('eiderwind-attempt', request.headers['eiderwind-attempt'] ?? '')
@@ -148,7 +148,7 @@
   }
 }
 
-/** A worker's own refusal. */
+/** Refuses as a worker. */
 export function refusal (code: Code, noEarlierRun = false): Answer {
   return (_request, response) => {
     if (noEarlierRun) response.setHeader('eiderwind-judged', '1')
@@ -156,10 +156,10 @@
   }
 }
 
-/** Takes the request and cuts the connection. */
+/** Accepts the request and cuts the connection. */
 export const cutConnection: Answer = request => { request.socket.destroy() }
 
-/** Takes the request and never answers. */
+/** Accepts the request and never answers. */
 export const neverAnswer: Answer = () => {}
 
 function service (kind: 'plain' | 'model'): Service {
@@ -168,7 +168,7 @@
   return { kind, name: model, replicas: 1, members: 1, version: 'v1', adapters: [], checksOrders: true, ...bounds }
 }
 
-/** A report of a worker that serves. */
+/** A report of a serving worker. */
 export function reportOf (worker: string, address: string, name: string, replica: string | undefined): Report {
   return {
     worker,
--- a/packages/entry/test/inflight.test.ts
+++ b/packages/entry/test/inflight.test.ts
@@ -15,20 +15,20 @@
   const inFlight = new AttemptsInFlight(clock, targets)
   const target = { worker: 'w' } as Target
   inFlight.add(target, reason => made.cancelled.push(reason.message))
-  inFlight.add(target, () => made.cancelled.push('landed'))()
+  inFlight.add(target, () => made.cancelled.push('removed'))()
   return made
 }
 
-test('an attempt at a worker that went silent is given up, one that has landed is left alone', t => {
+test('attempts at a worker that stopped reporting are cancelled, and a removed attempt is not', t => {
   const made = setUp()
   made.clock.advance(2000)
   t.deepEqual(made.cancelled, [])
   made.silent = true
   made.clock.advance(500)
-  t.deepEqual(made.cancelled, ['The worker went silent.'])
+  t.deepEqual(made.cancelled, ['The worker stopped reporting.'])
 })
 
-test('a process that is late itself gives nothing up, since reports wait in its own sockets', t => {
+test('a check that runs late cancels nothing, since reports may wait in the sockets of this process', t => {
   const made = setUp()
   made.clock.advance(500)
   made.silent = true
@@ -37,5 +37,5 @@
   made.clock.advance(500)
   t.deepEqual(made.cancelled, [])
   made.clock.advance(500)
-  t.deepEqual(made.cancelled, ['The worker went silent.'])
+  t.deepEqual(made.cancelled, ['The worker stopped reporting.'])
 })
--- a/packages/entry/test/planning.test.ts
+++ b/packages/entry/test/planning.test.ts
@@ -1,4 +1,7 @@
-/** Planners that act for the same domain at once, with different beliefs and a platform that fails. */
+/**
+ * Planners that act for the same domain at the same time, with different health beliefs and a failing store. The tests
+ * guard against a node in two replicas and against two sets of members under one generation.
+ */
 import test from 'ava'
 import fc from 'fast-check'
 import { ManualClock } from '@eiderwind/clock'
@@ -23,7 +26,7 @@
 
 const nodes: readonly Node[] = ids.map(id => ({ id, domain, dataCentre: 'd1', region: 'r1', address: 'x:1', accelerators: 4, state: 'live' }))
 
-/** One entry that believes that it alone is live, and so acts. */
+/** An entry that counts only itself as live and therefore acts for every domain. */
 class PlanningEntry {
   readonly board: EntryBoard
   readonly #reports: Reports
@@ -44,7 +47,7 @@
     this.#planning = new Planning({ board: this.board, clock, current, reports: this.#reports, store, planner: new Repairing({ restart: 1000 }), self, log: new Log({ sink: () => {} }), lostAfter })
   }
 
-  /** Hears of every node; those in `lost` say that their engine is gone. */
+  /** Receives a report of each node. Nodes in `lost` report an unhealthy engine. */
   receiveReports (lost: ReadonlySet<string>): void {
     this.#sequence++
     for (const id of ids) {
@@ -76,7 +79,7 @@
   return { store, clock, entries }
 }
 
-/** What is at the platform, whatever faults are planned. */
+/** The stored placement, read without the planned faults. */
 async function stored (store: FaultyStore): Promise<Placement | undefined> {
   const { version, value } = (await MemoryStore.prototype.read.call(store, object)).unwrap()
   return version === 0 ? undefined : Placement.parse(value)
@@ -85,14 +88,14 @@
 const turn = fc.constantFrom<Turn>('well', 'well', 'well', 'lost-answer', 'lost-call', 'down')
 
 const step = fc.record({
-  /** Which entries plan at once. */
+  /** Indexes of the entries that plan at the same time. */
   who: fc.subarray([0, 1, 2], { minLength: 1 }),
-  /** What the first of them believes lost from now on. */
+  /** Nodes that the first of them counts as lost from now on. */
   lost: fc.subarray(ids, { maxLength: 3 }),
   turns: fc.array(turn, { maxLength: 4 })
 })
 
-test('whoever plans at once and whatever becomes of the writes, no node is in two replicas and no generation names two sets of members', async t => {
+test('with concurrent planners and failing writes, no node is in two replicas and no generation has two sets of members', async t => {
   let changes = 0
   t.log(`seed ${seed}, ${runs} runs`)
   await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 4, maxLength: 20 }), async steps => {
@@ -128,22 +131,22 @@
 interface Case {
   readonly title: string
   readonly turns: readonly Turn[]
-  /** Revision at the platform and at the entry after one plan, and after the next. */
+  /** Stored revision, and the revision known to the entry, after the first plan and after the second one. */
   readonly first: readonly [number, number]
   readonly second: readonly [number, number]
 }
 
 const cases: readonly Case[] = [
-  { title: 'all goes well', turns: [], first: [1, 1], second: [1, 1] },
-  { title: 'the platform is down at the first look', turns: ['down'], first: [0, 0], second: [1, 1] },
+  { title: 'no fault', turns: [], first: [1, 1], second: [1, 1] },
+  { title: 'the platform is down at the first read', turns: ['down'], first: [0, 0], second: [1, 1] },
   { title: 'the platform is down at the write', turns: ['well', 'down', 'down'], first: [0, 0], second: [1, 1] },
   { title: 'the write is lost', turns: ['well', 'lost-call'], first: [0, 0], second: [1, 1] },
   { title: 'the answer to the write is lost', turns: ['well', 'lost-answer'], first: [1, 1], second: [1, 1] },
-  { title: 'the answer is lost and the platform is down afterwards', turns: ['well', 'lost-answer', 'down'], first: [1, 0], second: [1, 1] }
+  { title: 'the answer to the write is lost and the platform is down afterwards', turns: ['well', 'lost-answer', 'down'], first: [1, 0], second: [1, 1] }
 ]
 
 for (const { title, turns, first, second } of cases) {
-  test(`a change of the placement where ${title} takes effect once, and the entry ends with what the platform has`, async t => {
+  test(`a placement change takes effect once, and the entry ends with the stored placement: ${title}`, async t => {
     const { store, entries: [entry] } = setUp()
     entry.receiveReports(new Set())
     store.plan(turns)
@@ -154,7 +157,7 @@
   })
 }
 
-test('placements and lists that come late never replace newer ones', t => {
+test('older placements, lists of voters and node lists never replace newer ones', t => {
   const board = entryBoard({ id: 'e1', dataCentre: 'd1', region: 'r1', peer: 'e1:1' })
   for (const revision of [2, 1]) {
     mergePlacement(board, { domain, revision, generation: revision, replicas: [] })
--- a/packages/entry/test/stop.test.ts
+++ b/packages/entry/test/stop.test.ts
@@ -2,7 +2,7 @@
 import { ManualClock } from '@eiderwind/clock'
 import { AttemptsInFlight, type Targets } from '../src/index.js'
 
-test('a stopped look at flights leaves no timer behind, which would keep its process from ending', t => {
+test('stopping the checks of attempts in flight cancels their timer, which would keep the process from ending', t => {
   const clock = new ManualClock()
   let looks = 0
   const targets = { isLive: () => { looks++; return true } } as unknown as Targets
--- a/packages/entry/test/transcript.test.ts
+++ b/packages/entry/test/transcript.test.ts
@@ -13,7 +13,7 @@
   return Buffer.from(words.map((word, index) => event(index + 1, word)).join('') + stop + 'data: [DONE]\n\n')
 }
 
-test('however a stream is cut into chunks and wherever it breaks, what was handed on is whole events, and the offset and text are theirs', t => {
+test('a stream cut into any chunks and broken anywhere is forwarded in complete events, and offset and text match them', t => {
   const text = fc.array(fc.string({ minLength: 1, maxLength: 40, unit: 'grapheme' }), { minLength: 1, maxLength: 40 })
   fc.assert(fc.property(text, fc.array(fc.nat(200), { minLength: 1 }), fc.double({ min: 0, max: 1, noNaN: true }), (words, cuts, end) => {
     const bytes = stream(words)
@@ -37,7 +37,7 @@
   t.pass()
 })
 
-test('a long stream is folded, and goes on from where it stands', t => {
+test('a long stream is parsed in steps, and a transcript with a start position continues from there', t => {
   const words = Array.from({ length: 2000 }, (_each, index) => `w${index} `)
   const transcript = new Transcript({ offset: 0, text: '', hasFinishReason: false })
   transcript.take(stream(words))
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -179,7 +179,7 @@
   {
     name: 'not-run-without-word',
     point: 4,
-    rule: 'of a key of the caller\'s, "not run" is said only on its home\'s word',
+    rule: 'a request with a caller\'s key is reported as not run only if the home of the key confirms it',
     file: 'packages/entry/dist/src/outcome.js',
     find: "fault.outcome !== 'not-run' || fault.code === 'key-invalid'",
     replace: 'true',
@@ -212,12 +212,12 @@
   {
     name: 'stream-partial-event',
     point: 3,
-    rule: 'only whole events are handed on',
+    rule: 'only complete events are forwarded',
     file: 'packages/entry/dist/src/transcript.js',
     find: 'bytes.subarray(0, end)',
     replace: 'bytes',
     test: 'packages/entry/dist/test/transcript.test.js',
-    title: 'however a stream is cut*'
+    title: 'a stream cut into any chunks*'
   },
   {
     name: 'change-sent-forgotten',
@@ -275,7 +275,7 @@
   {
     name: 'not-run-of-a-known-key',
     point: 4,
-    rule: 'without a home\'s word, "not run" is never said of a caller\'s key',
+    rule: 'without confirmation by the home, a request with a caller\'s key is not reported as not run',
     file: 'packages/entry/dist/src/outcome.js',
     find: "key === undefined || fault.outcome !== 'not-run'",
     replace: "true || fault.outcome !== 'not-run'",
@@ -285,7 +285,7 @@
   {
     name: 'not-run-after-doubt',
     point: 4,
-    rule: 'a request of which any attempt may have run is not reported as not run',
+    rule: 'a request is not reported as not run if any of its attempts may have run',
     file: 'packages/entry/dist/src/outcome.js',
     find: "!mayHaveRun || last.outcome !== 'not-run'",
     replace: 'true',
@@ -295,7 +295,7 @@
   {
     name: 'settle-stranger',
     point: 4,
-    rule: 'only the incarnation that had the attempt can say that it never starts',
+    rule: 'only the incarnation that received the attempt can confirm that it never starts',
     file: 'packages/entry/dist/src/plainpath.js',
     find: "fate === 'tombstoned'",
     replace: "fate !== 'started'",
@@ -315,22 +315,22 @@
   {
     name: 'entry-behind-serves',
     point: 8,
-    rule: 'an entry that knows of a later configuration than it can get takes no requests',
+    rule: 'an entry that knows of a later configuration and cannot fetch it takes no requests',
     file: 'packages/entry/dist/src/fence.js',
     find: 'now - this.#behindSince >= maxBehindTime',
     replace: 'false',
     test: 'packages/entry/dist/test/fence.test.js',
-    title: 'an entry whose workers go by*'
+    title: 'an entry whose workers report a later*'
   },
   {
     name: 'silent-worker-chosen',
     point: 6,
-    rule: 'a worker whose report is old gets nothing new',
+    rule: 'a worker whose report is too old gets no new requests',
     file: 'packages/entry/dist/src/targets.js',
     find: 'clock.now() - madeAt < limit',
     replace: 'true',
     test: 'packages/entry/dist/test/fence.test.js',
-    title: 'an entry that hears nothing*'
+    title: 'an entry that receives no reports*'
   }
 )
 
@@ -426,7 +426,7 @@
     find: 'placement.revision - 1)',
     replace: "(await store.read('placement/' + domain)).unwrapOr({ version: 0 }).version)",
     test: 'packages/entry/dist/test/planning.test.js',
-    title: 'whoever plans at once*'
+    title: 'with concurrent planners*'
   },
   {
     name: 'placement-falls',
@@ -436,7 +436,7 @@
     find: 'found.revision > known.revision',
     replace: 'true',
     test: 'packages/entry/dist/test/planning.test.js',
-    title: 'placements and lists that come late*'
+    title: 'older placements*'
   }
 )
 
