--- a/packages/entry/src/spreader.ts
+++ b/packages/entry/src/spreader.ts
@@ -14,7 +14,10 @@
 /** Number of updates between two exchanges with another data centre. */
 const updatesPerFarExchange = 5
 
-/** Target number of peers of this data centre in one update. If there are more, they take turns. */
+/**
+ * Maximum number of peers of this data centre in one update. If there are more, they take turns. An update after
+ * `sendToAllNext` includes all of them.
+ */
 const maxNearPeers = 10
 
 /**
--- a/packages/entry/test/addresses.test.ts
+++ b/packages/entry/test/addresses.test.ts
@@ -126,9 +126,9 @@
 })
 
 test('of two relayed addresses of an entry, the one with the later incarnation is kept, in either order', t => {
-  for (const told of [[oldAddress, newAddress], [newAddress, oldAddress]]) {
+  for (const relayed of [[oldAddress, newAddress], [newAddress, oldAddress]]) {
     const { board } = new Network().add(secondAddress)
-    for (const each of told) mergeEntries(board, [each])
+    for (const each of relayed) mergeEntries(board, [each])
     t.is(board.read('entries').find(each => each.id === 'e1')?.peer, newAddress.peer)
   }
 })
