--- a/packages/entry/src/context.ts
+++ b/packages/entry/src/context.ts
@@ -1,6 +1,6 @@
 /**
- * What all requests of an entry share on their way: the dependencies of its paths and attempts. Made once, when the entry
- * starts.
+ * The dependencies that all requests of an entry share: those of its request paths and of its attempts. An entry
+ * creates one context when it starts.
  */
 import { type Dispatcher } from 'undici'
 import { type Clock } from '@eiderwind/clock'
@@ -8,15 +8,15 @@
 import { type Log, type Metric } from '@eiderwind/log'
 import { type Affinity, type Balanced, type Budget } from '@eiderwind/route'
 import { type Clients } from '@eiderwind/wire'
-import { type Flights } from './flights.js'
+import { type AttemptsInFlight } from './inflight.js'
 import { type Targets } from './targets.js'
 
-/** What the path of a request through an entry stands on. */
+/** Dependencies of the request paths. */
 export interface Context {
   readonly clock: Clock
   readonly current: Current
   readonly targets: Targets
-  readonly flights: Flights
+  readonly inFlight: AttemptsInFlight
   readonly policy: Balanced
   readonly affinity: Affinity
   readonly budget: Budget
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,6 +1,8 @@
 /**
- * The entry process: makes the parts, connects them, starts and stops them. Owns every part and the board that they share; it
- * holds no rule of its own but the steps of a planned stop.
+ * The entry process. An entry takes the requests of callers and the calls of operators. A worker is the process beside
+ * an upstream; entries send requests to workers. This module creates, connects, starts and stops the parts of an entry.
+ * It owns all of them and their shared board. The only rule that it holds itself is the order of the steps of a planned
+ * stop.
  */
 import { type Server } from 'node:http'
 import { Server as TcpServer } from 'node:net'
@@ -23,7 +25,7 @@
 import { type Context } from './context.js'
 import { entryBoard, type EntryBoard } from './facts.js'
 import { Fence } from './fence.js'
-import { Flights } from './flights.js'
+import { AttemptsInFlight } from './inflight.js'
 import { DualListener } from './listener.js'
 import { NodeReader } from './nodereader.js'
 import { OperatorCalls, operatorCheck } from './operators.js'
@@ -36,16 +38,19 @@
 import { Voting } from './voting.js'
 import { Watcher } from './watcher.js'
 
-/** How often a stop looks whether everything is answered, in ms. */
-const stopInterval = 50
+/** Interval between checks during a stop, in ms. */
+const stopCheckInterval = 50
 
-/** How long nothing may have come in before connections are closed, in ms, so that none is closed under a request. */
-const quietTime = 250
+/**
+ * Time without requests after which a stop closes the connections, in ms. The wait keeps it from closing a connection
+ * on which a request is just arriving.
+ */
+const minIdleTime = 250
 
-/** How long that is waited for at the most, in ms. */
-const closeTime = 2000
+/** Upper bound of the wait for `minIdleTime`, in ms. */
+const maxCloseTime = 2000
 
-/** Options of an entry. Spans are in ms. */
+/** Options of an entry. Times are in ms. */
 export interface EntryOptions {
   readonly clock: Clock
   readonly log: Log
@@ -54,30 +59,36 @@
   readonly id: string
   readonly dataCentre: string
   readonly region: string
-  /** Addresses as `host:port`; port 0 takes any. */
+  /** Listen addresses as `host:port`. Port 0 takes any free port. */
   readonly callers: string
   readonly operators: string
   readonly peers: string
+  /** Peer addresses of entries to ask while no other entry is known. */
   readonly seeds: readonly string[]
+  /** An operator who may call before the configuration names any. */
   readonly first: Operator | undefined
+  /** Maximum size of a request body, in bytes. */
   readonly bodyLimit: number
+  /** Deadline of a request that gives none. */
   readonly deadline: number
+  /** Maximum time of a planned stop, without the closing of connections. */
   readonly stop: number
-  /** How long the balancer gets to notice that this entry leaves, before it stops to listen. */
+  /** Time for the balancer to notice that this entry leaves, before the entry stops listening. */
   readonly notice: number
-  /** How long a node that restarts is away, as a rule. */
+  /** Usual time that a restarting node is away. */
   readonly restart: number
+  /** Silence after which a node counts as lost. */
   readonly lostAfter: number
 }
 
-/** The addresses that an entry has taken. */
+/** The addresses on which an entry listens. */
 export interface EntryAddresses {
   readonly callers: string
   readonly operators: string
   readonly peers: string
 }
 
-/** The process that takes callers and operators. */
+/** The process that takes the requests of callers and the calls of operators. */
 export class Entry {
   readonly #options: EntryOptions
   readonly #current = new Current()
@@ -87,7 +98,7 @@
   readonly #reports: Reports
   readonly #servers: Server[] = []
   #operators: DualListener | undefined
-  #flights: Flights | undefined
+  #inFlight: AttemptsInFlight | undefined
   #targets: Targets | undefined
   #callers: Callers | undefined
   #board: EntryBoard | undefined
@@ -116,7 +127,7 @@
       peers,
       dataCentre,
       heads: service => this.#heads(service),
-      fetch: (from, revision, known) => spreader.fetch(from, revision, known)
+      fetchMissing: (from, revision, known) => spreader.fetchMissing(from, revision, known)
     })
     serve(peerServer, { router: entryRouter(calls) })
     const callers = await this.#startCallers(board, self)
@@ -124,25 +135,25 @@
     return { callers, operators, peers: self.peer }
   }
 
-  /** Refuses new requests, answers those it has, and ends. Every answer from now on asks the caller to close its connection. */
+  /** Refuses new requests, answers the open ones, and ends. Each refusal asks the caller to close its connection. */
   async stop (): Promise<void> {
     const { clock, stop, notice } = this.#options
     this.#board?.write('stopping', true)
-    const end = clock.now() + stop
+    const answerBy = clock.now() + stop
     await clock.wait(notice)
-    while (clock.now() < end && (this.#callers?.open ?? 0) > 0) await clock.wait(stopInterval)
+    while (clock.now() < answerBy && (this.#callers?.openRequests ?? 0) > 0) await clock.wait(stopCheckInterval)
     for (const server of this.#servers) stopAccepting(server)
-    const late = clock.now() + closeTime
-    while (clock.now() < late && (this.#callers?.quiet ?? Infinity) < quietTime) await clock.wait(stopInterval)
+    const closeBy = clock.now() + maxCloseTime
+    while (clock.now() < closeBy && (this.#callers?.idleTime ?? Infinity) < minIdleTime) await clock.wait(stopCheckInterval)
     for (const server of this.#servers) server.closeIdleConnections()
-    await clock.wait(stopInterval)
+    await clock.wait(stopCheckInterval)
     await this.kill()
   }
 
-  /** Ends at once. */
+  /** Ends at once: closes all connections, also those with open requests. */
   async kill (): Promise<void> {
     this.#scheduler.stop()
-    this.#flights?.stop()
+    this.#inFlight?.stop()
     this.#operators?.close()
     for (const server of this.#servers) {
       server.close()
@@ -163,12 +174,12 @@
     this.#scheduler.add(spreader)
     this.#scheduler.add(new Planning({ board, clock, current, reports, store, planner: new Repairing({ restart }), self, log, lostAfter }))
     this.#scheduler.add(new Voting({ board, clock, current, reports, store, self }))
-    board.listen('platform', up => log.write(up ? 'store-back' : 'store-lost'))
+    board.listen('platformAnswers', up => log.write(up ? 'store-back' : 'store-lost'))
     board.listen('placements', () => this.#scheduler.wake('spreader'))
     current.listen(configuration => {
       log.write('configuration-new', { revision: configuration.revision })
       metric.gauge('configuration.revision', configuration.revision)
-      spreader.urge()
+      spreader.sendToAllNext()
       this.#scheduler.wake('spreader')
     })
     return spreader
@@ -182,14 +193,14 @@
   async #startCallers (board: EntryBoard, self: EntryAddress): Promise<string> {
     const { clock, log, metric, bodyLimit, deadline, lostAfter, callers: address } = this.#options
     const current = this.#current
-    const targets = new Targets({ board, clock, current, reports: this.#reports, self, nearAge: lostAfter })
+    const targets = new Targets({ board, clock, current, reports: this.#reports, self, maxNearReportAge: lostAfter })
     this.#targets = targets
-    this.#flights = new Flights(clock, targets)
+    this.#inFlight = new AttemptsInFlight(clock, targets)
     const context: Context = {
       clock,
       current,
       targets,
-      flights: this.#flights,
+      inFlight: this.#inFlight,
       policy: new Balanced({ random: seeded(digest(self.id)) }),
       affinity: new Affinity(),
       budget: new Budget(clock),
@@ -209,10 +220,10 @@
   async #startOperators (board: EntryBoard, self: EntryAddress): Promise<string> {
     const { clock, log, store, first, lostAfter, operators } = this.#options
     const current = this.#current
-    const calls = new OperatorCalls({ board, clock, current, reports: this.#reports, store, clients: this.#clients, log, self, first, lostAfter })
+    const calls = new OperatorCalls({ board, clock, current, reports: this.#reports, store, clients: this.#clients, log, self, firstOperator: first, lostAfter })
     const listener = new DualListener(connectNodeAdapter({
       routes: router => calls.register(router),
-      interceptors: [operatorCheck({ current, first })]
+      interceptors: [operatorCheck({ current, firstOperator: first })]
     }))
     this.#operators = listener
     const { host, port } = splitAddress(operators)
@@ -220,7 +231,10 @@
   }
 }
 
-/** Takes no new connection, and leaves those that there are alone; `Server.close` of HTTP would cut idle ones at once. */
+/**
+ * Accepts no new connections and keeps the existing ones open. The `close` of an HTTP server would also close idle
+ * connections at once.
+ */
 function stopAccepting (server: Server): void {
   TcpServer.prototype.close.call(server)
 }
--- a/packages/entry/src/health.ts
+++ b/packages/entry/src/health.ts
@@ -1,38 +1,46 @@
 /**
- * What an entry believes of nodes and replicas, from what it has heard. Pure; the lease of a head, and no belief, decides
- * whether it may serve.
+ * Health of nodes and replicas, derived from the reports that this entry has received. Pure functions. Health is a
+ * belief. Whether a head may serve is decided by its lease alone. A head holds its lease by grants: a grant is the
+ * consent of one member of the replica for one lease period. The generation of a replica is the number of its current
+ * set of members.
  */
 import { type Configuration, type Node, type Replica } from '@eiderwind/schema'
 import { type Health, type NodeFact } from '@eiderwind/plan'
 import { type Reports } from '@eiderwind/spread'
 
-/** What health is judged from. */
+/** Inputs of the health of nodes. */
 export interface HealthFacts {
   readonly nodes: readonly Node[]
   readonly configuration: Configuration
   readonly reports: Reports
   /** Silence after which a node counts as lost, in ms. */
   readonly lostAfter: number
-  /** Data centre of this entry: of others it hears later, and of heads and plain workers only. */
+  /**
+   * Data centre of this entry. From other data centres, only reports of heads and plain workers arrive, and they arrive
+   * later.
+   */
   readonly dataCentre: string
 }
 
-/** How much later than in its own data centre a node is heard of in others, in ms, at the most. */
-const farDelay = 12_000
+/** Upper bound of the extra delay of a report in other data centres, in ms. */
+const maxFarDelay = 12_000
 
-/** What is believed of each node. Nodes of other data centres that nobody tells of are as the platform lists them. */
+/**
+ * The health of each node. A node of another data centre without a report gets its health from the platform's node
+ * list.
+ */
 export function nodeFacts (facts: HealthFacts): NodeFact[] {
   const leaving = new Set(facts.configuration.leaving)
-  const cut = cutOff(facts)
+  const isolated = isolatedNodes(facts)
   return facts.nodes.map(node => {
     const age = facts.reports.age(node.id)
-    const health = cut.has(node.id) ? 'lost' : nodeHealth(node, age, leaving, facts)
+    const health = isolated.has(node.id) ? 'lost' : nodeHealth(node, age, leaving, facts)
     const report = facts.reports.of(node.id)?.report
-    return { node, health, lostFor: lostFor(health, age, facts, cut.has(node.id)), loaded: report?.loaded?.version }
+    return { node, health, lostFor: lostFor(health, age, facts, isolated.has(node.id)), loaded: report?.loaded?.version }
   })
 }
 
-/** Ids of the replicas whose present head, in the present generation, says that it serves and is not lost. */
+/** Ids of the replicas whose current head is not lost and reports that it serves the current generation. */
 export function servingReplicas (replicas: readonly Replica[], nodes: readonly NodeFact[], reports: Reports): Set<string> {
   const lost = new Set(nodes.filter(each => each.health === 'lost').map(each => each.node.id))
   const serving = replicas.filter(({ id, generation, members: [head] }) => {
@@ -43,31 +51,34 @@
 }
 
 /**
- * Nodes that answer the entries but whose replica's head has no grant of them for long: cut from the head alone. Where
- * a head lacks most of its members, it is the head that is cut off.
+ * Nodes that are isolated within their replica: they report to entries, but the head of their replica has had no grant
+ * from them for a long time. If a head lacks the grants of most of its members, the head itself is the isolated node.
  */
-function cutOff ({ reports, lostAfter }: HealthFacts): Set<string> {
-  const cut = new Set<string>()
+function isolatedNodes ({ reports, lostAfter }: HealthFacts): Set<string> {
+  const isolated = new Set<string>()
   for (const { report } of reports.all) {
-    const silent = (reports.age(report.worker) ?? Infinity) > lostAfter
-    if (silent || report.missing.length === 0 || report.members === undefined) continue
-    const most = report.missing.length > report.members / 2
-    for (const id of most ? [report.worker] : report.missing) cut.add(id)
+    const isSilent = (reports.age(report.worker) ?? Infinity) > lostAfter
+    if (isSilent || report.missing.length === 0 || report.members === undefined) continue
+    const lacksMost = report.missing.length > report.members / 2
+    for (const id of lacksMost ? [report.worker] : report.missing) isolated.add(id)
   }
-  return cut
+  return isolated
 }
 
-/** How long a lost node has been lost, in ms; one that is cut off has been so for long. */
-function lostFor (health: Health, age: number | undefined, { lostAfter }: HealthFacts, cut: boolean): number {
+/**
+ * How long a lost node has been lost, in ms. It is infinite for an isolated node, since a head reports a member as
+ * missing only after a long time.
+ */
+function lostFor (health: Health, age: number | undefined, { lostAfter }: HealthFacts, isIsolated: boolean): number {
   if (health !== 'lost') return 0
-  return cut ? Infinity : Math.max(0, (age ?? 0) - lostAfter)
+  return isIsolated ? Infinity : Math.max(0, (age ?? 0) - lostAfter)
 }
 
 function nodeHealth (node: Node, age: number | undefined, leaving: ReadonlySet<string>, { reports, lostAfter, dataCentre }: HealthFacts): Health {
-  const far = node.dataCentre !== dataCentre
-  if (age === undefined && !far) return 'unheard'
+  const isFar = node.dataCentre !== dataCentre
+  if (age === undefined && !isFar) return 'unheard'
   const report = reports.of(node.id)?.report
-  if ((age ?? 0) > lostAfter + (far ? farDelay : 0) || report?.healthy === false) return 'lost'
-  const told = node.state === 'leaving' || leaving.has(node.id) || report?.leaving === true
-  return told ? 'leaving' : 'live'
+  if ((age ?? 0) > lostAfter + (isFar ? maxFarDelay : 0) || report?.healthy === false) return 'lost'
+  const isLeaving = node.state === 'leaving' || leaving.has(node.id) || report?.leaving === true
+  return isLeaving ? 'leaving' : 'live'
 }
--- a/packages/entry/src/planning.ts
+++ b/packages/entry/src/planning.ts
@@ -1,6 +1,6 @@
 /**
- * Plans the replicas of the domains that this entry acts for. Owns nothing that lasts: placements are objects of the store,
- * written under the version that was planned on.
+ * Plans the replicas of the domains that this entry acts for. Owns no lasting state: placements are objects of the
+ * store, and each write names the version that the plan is based on.
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
@@ -10,10 +10,10 @@
 import { Placement, type EntryAddress, type ModelService } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { actor, type Reports } from '@eiderwind/spread'
-import { takePlacement, type EntryBoard } from './facts.js'
+import { mergePlacement, type EntryBoard } from './facts.js'
 import { nodeFacts, servingReplicas } from './health.js'
 
-/** What the planning stands on. */
+/** Dependencies of the planning. */
 export interface PlanningOptions {
   readonly board: EntryBoard
   readonly clock: Clock
@@ -28,8 +28,9 @@
 }
 
 /**
- * Plans the domains that this entry acts for. Two entries that both act do no harm: a placement is one object, and
- * only the update on the version that was planned on takes effect.
+ * Plans the domains that this entry acts for. Two entries may act for the same domain at the same time without harm: a
+ * placement is one object of the store, and of two updates that are based on the same version only the first takes
+ * effect.
  */
 export class Planning extends Controller {
   readonly name = 'planning'
@@ -45,18 +46,21 @@
 
   async update (): Promise<void> {
     const { board, clock, lostAfter, current } = this.#options
-    const settling = clock.now() - this.#startedAt < lostAfter / 2
-    if (settling || current.revision === 0 || board.read('nodes') === undefined) return
+    const isStarting = clock.now() - this.#startedAt < lostAfter / 2
+    if (isStarting || current.revision === 0 || board.read('nodes') === undefined) return
     for (const domain of this.#domains()) await this.#plan(domain)
   }
 
-  /** The domains that this entry acts for: those of its own data centre that fall to it, and those of data centres without entries. */
+  /**
+   * The domains that this entry acts for. One live entry of the domain's data centre acts for it. If that data centre
+   * has no live entry, one of all live entries does.
+   */
   #domains (): string[] {
     const { board, self } = this.#options
     const live = board.read('live')
     const nodes = board.read('nodes')?.nodes ?? []
-    const homes = new Map(nodes.filter(each => each.service === undefined).map(each => [each.domain, each.dataCentre]))
-    return [...homes].filter(([domain, dataCentre]) => {
+    const dataCentreOf = new Map(nodes.filter(each => each.service === undefined).map(each => [each.domain, each.dataCentre]))
+    return [...dataCentreOf].filter(([domain, dataCentre]) => {
       const near = live.filter(each => each.dataCentre === dataCentre)
       return actor(`domain/${domain}`, near.length > 0 ? near : live)?.id === self.id
     }).map(([domain]) => domain)
@@ -72,7 +76,7 @@
     if (orders.length === 0) return
     const written = await store.write(`placement/${domain}`, placement, placement.revision - 1)
     if (written.isOk()) {
-      takePlacement(board, placement)
+      mergePlacement(board, placement)
       for (const { action, replica, members } of orders) log.write('placement-changed', { domain, action, replica, members: members.join(','), revision: placement.revision })
       return
     }
@@ -84,7 +88,7 @@
     const { board, store } = this.#options
     const found = await store.read(`placement/${domain}`)
     if (found.isErr()) return
-    takePlacement(board, found.value.version === 0 ? emptyPlacement(domain) : Placement.parse(found.value.value))
+    mergePlacement(board, found.value.version === 0 ? emptyPlacement(domain) : Placement.parse(found.value.value))
   }
 
   #facts (): Facts {
--- a/packages/entry/src/transcript.ts
+++ b/packages/entry/src/transcript.ts
@@ -1,17 +1,18 @@
 /**
- * What the caller of a stream has received, so that it can be resumed elsewhere without a part twice. Owns whole events only.
+ * The events that the caller of a stream has received, so that the stream can be resumed at another replica without
+ * repeating any. Owns the events that were forwarded and the bytes of an incomplete one.
  */
 import { createParser } from 'eventsource-parser'
 import { z } from 'zod'
 
-/** The end of a server-sent event, and of a whole stream. */
+/** The end of a server-sent event, and the last event of a complete stream. */
 const boundary = Buffer.from('\n\n')
 const endMark = Buffer.from('data: [DONE]')
 
-/** Bytes that are kept as they came before their text is taken out. */
-const foldSize = 16_384
+/** Size of the stored events at which their text is extracted, in bytes. */
+const maxPendingBytes = 16_384
 
-/** What of one event of a completion stream matters here. */
+/** The fields of a completion stream's event that the transcript reads. */
 const Chunk = z.object({
   choices: z.array(z.object({
     delta: z.object({ content: z.string().nullish() }).optional(),
@@ -19,93 +20,93 @@
   }))
 })
 
-/** Where a stream stands: enough to go on with it elsewhere. */
+/** The position in a stream, from which another replica can resume it. */
 export interface Progress {
-  /** Events that the caller has. */
+  /** Id of the last event that the caller has. */
   readonly offset: number
   /** Text that the caller has. */
   readonly text: string
-  /** Whether the caller has the event that says why the answer ended. */
-  readonly finished: boolean
+  /** Whether the caller has the event with the finish reason. */
+  readonly hasFinishReason: boolean
 }
 
 /**
- * What the caller of one stream has received. Only whole events are handed on, so that a stream that breaks inside
- * one can be resumed without a part twice. Events are kept as bytes and read only when there are many or when the
- * stream has to be resumed; the usual chunk costs two searches.
+ * The events that the caller of one stream has received. Only complete events are forwarded, so that a stream that
+ * breaks inside an event can be resumed without repeating a part of it. Events are stored as bytes. They are parsed
+ * only when there are many, or when the stream has to be resumed. A usual chunk therefore costs only two searches.
  */
 export class Transcript {
-  #rest: Buffer | undefined
-  #kept: Buffer[] = []
-  #size = 0
+  #partial: Buffer | undefined
+  #pending: Buffer[] = []
+  #pendingBytes = 0
   #progress: Progress
-  #done = false
+  #isComplete = false
 
-  /** @param start what the caller had before this request */
-  constructor (start: Progress = { offset: 0, text: '', finished: false }) {
+  /** @param start the position that the caller had reached before this request */
+  constructor (start: Progress = { offset: 0, text: '', hasFinishReason: false }) {
     this.#progress = start
   }
 
-  /** Whether the end mark was handed on: only then is the stream whole. */
-  get done (): boolean {
-    return this.#done
+  /** Whether the end mark was forwarded. The stream is complete only then. */
+  get isComplete (): boolean {
+    return this.#isComplete
   }
 
-  /** Takes a chunk and gives the whole events in it, or undefined where there is none. */
+  /** Adds a chunk. Returns the events that it completes, or undefined if it completes none. */
   take (chunk: Buffer): Buffer | undefined {
-    const bytes = this.#rest === undefined ? chunk : Buffer.concat([this.#rest, chunk])
+    const bytes = this.#partial === undefined ? chunk : Buffer.concat([this.#partial, chunk])
     const last = bytes.lastIndexOf(boundary)
     if (last < 0) {
-      this.#rest = bytes
+      this.#partial = bytes
       return undefined
     }
     const end = last + boundary.length
-    this.#rest = end === bytes.length ? undefined : bytes.subarray(end)
+    this.#partial = end === bytes.length ? undefined : bytes.subarray(end)
     const events = end === bytes.length ? bytes : bytes.subarray(0, end)
-    this.#keep(events)
+    this.#append(events)
     return events
   }
 
-  /** Forgets a part of an event that will not be completed, and says where the stream stands. */
+  /** Discards an incomplete event, and returns the position from which the stream can be resumed. */
   resume (): Progress {
-    this.#rest = undefined
-    this.#fold()
+    this.#partial = undefined
+    this.#parsePending()
     return this.#progress
   }
 
-  #keep (events: Buffer): void {
-    if (events.includes(endMark)) this.#done = true
-    this.#kept.push(events)
-    this.#size += events.length
-    if (this.#size >= foldSize) this.#fold()
+  #append (events: Buffer): void {
+    if (events.includes(endMark)) this.#isComplete = true
+    this.#pending.push(events)
+    this.#pendingBytes += events.length
+    if (this.#pendingBytes >= maxPendingBytes) this.#parsePending()
   }
 
-  #fold (): void {
-    let { offset, text, finished } = this.#progress
+  #parsePending (): void {
+    let { offset, text, hasFinishReason } = this.#progress
     const parser = createParser({
       onEvent: ({ id, data }) => {
         if (id === undefined) return
-        const chunk = Chunk.safeParse(parsed(data))
+        const chunk = Chunk.safeParse(parseJson(data))
         if (Number(id) > offset) offset = Number(id)
         if (!chunk.success) return
         for (const { delta, finish_reason: reason } of chunk.data.choices) {
           text += delta?.content ?? ''
-          finished ||= typeof reason === 'string'
+          hasFinishReason ||= typeof reason === 'string'
         }
       }
     })
-    parser.feed(Buffer.concat(this.#kept).toString())
-    this.#kept = []
-    this.#size = 0
-    this.#progress = { offset, text, finished }
+    parser.feed(Buffer.concat(this.#pending).toString())
+    this.#pending = []
+    this.#pendingBytes = 0
+    this.#progress = { offset, text, hasFinishReason }
   }
 }
 
-function parsed (text: string): unknown {
+function parseJson (text: string): unknown {
   try {
     return JSON.parse(text)
   } catch {
-    // Such as the end mark `[DONE]`: an event that is no JSON has no text to resume from.
+    // An event that is not JSON, such as the end mark `[DONE]`, has no text.
     return undefined
   }
 }
--- a/packages/entry/src/watcher.ts
+++ b/packages/entry/src/watcher.ts
@@ -1,6 +1,6 @@
 /**
- * Watches the configuration at the platform for the entries of a data centre. Owns nothing that lasts; relies on `spread` for
- * which entries watch.
+ * Watches the configuration at the platform on behalf of the entries of a data centre. Owns no lasting state. Relies on
+ * `spread` for which entries watch it.
  */
 import { Controller } from '@eiderwind/board'
 import { configurationKey, type Current } from '@eiderwind/config'
@@ -9,10 +9,10 @@
 import { watchers } from '@eiderwind/spread'
 import { type EntryBoard } from './facts.js'
 
-/** How long one watch waits at the platform, in ms. */
-const watchTime = 10_000
+/** Maximum time that one watch waits for a change, in ms. */
+const maxWatchTime = 10_000
 
-/** Keeps a watch on the configuration at the platform, where this entry is one of the few of its data centre that do. */
+/** Watches the configuration at the platform if this entry is one of the few of its data centre that do. */
 export class Watcher extends Controller {
   readonly name = 'watcher'
   readonly interval = 500
@@ -30,16 +30,16 @@
   }
 
   async update (): Promise<void> {
-    if (!this.#chosen()) return
+    if (!this.#isWatcher()) return
     const before = this.#current.revision
-    const found = await this.#store.watch(configurationKey, before, watchTime)
-    this.#board.write('platform', found.isOk())
+    const found = await this.#store.watch(configurationKey, before, maxWatchTime)
+    this.#board.write('platformAnswers', found.isOk())
     if (found.isErr() || found.value.version === 0) return
     this.#current.accept(Configuration.parse(found.value.value))
   }
 
-  #chosen (): boolean {
-    const own = this.#board.read('live').filter(each => each.dataCentre === this.#self.dataCentre)
-    return watchers('configuration', own).some(each => each.id === this.#self.id)
+  #isWatcher (): boolean {
+    const local = this.#board.read('live').filter(each => each.dataCentre === this.#self.dataCentre)
+    return watchers('configuration', local).some(each => each.id === this.#self.id)
   }
 }
