--- a/packages/detect/src/rests.ts
+++ b/packages/detect/src/rests.ts
@@ -3,8 +3,8 @@
  * upstream refused a request and asked for it, or the gateway decided it by itself (`backoff.ts`). Rests are stored in
  * memory only, and each gateway has its own.
  *
- * Relies on `Intake` to check `has` before each send. Relies also on ids that differ between two incarnations of an
- * upstream, so that a rest ends with the incarnation that asked for it.
+ * Relies on `Availability` to check `has` before each send. Relies also on ids that differ between two incarnations of
+ * an upstream, so that a rest ends with the incarnation that asked for it.
  *
  * An upstream that refuses at once always has the fewest requests in flight. Without rests it would be chosen before
  * all others.
--- a/packages/dispatch/src/availability.ts
+++ b/packages/dispatch/src/availability.ts
@@ -1,15 +1,15 @@
 /**
  * Decides whether an upstream takes a request now. Each path checks it before it sends. A resting upstream takes no
- * request. An upstream with a limit takes one request per token. Owns no state; relies on `Rests` and `Tokens`. Any
- * further restriction that upstreams announce belongs here too.
+ * request. An upstream with a limit takes one request per token. Owns no state; relies on `Rests` and `TokenClient`.
+ * Any further restriction that upstreams announce belongs here too.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Rests } from '@eiderwind/detect'
-import { type Claim, type Tokens } from '@eiderwind/limits'
+import { type Claim, type TokenClient } from '@eiderwind/limits'
 import { type Upstream } from '@eiderwind/roster'
 
 /** Why an upstream takes no request now, and until when. */
-export interface Closure {
+export interface Unavailability {
   /** On `Clock.now`, in ms. The present time if the end is unknown. */
   readonly end: number
   /** `rest`: it asked for rest. `pause`: this gateway avoids it on its own decision. `limit`: its limit is used up. */
@@ -21,11 +21,11 @@
   readonly clock: Clock
   readonly rests: Rests
   /** Absent if no upstream has a limit. */
-  readonly tokens?: Tokens
+  readonly tokens?: TokenClient
 }
 
 /** Whether upstreams take requests, and from when on. */
-export class Intake {
+export class Availability {
   readonly #options: AvailabilityOptions
 
   constructor (options: AvailabilityOptions) {
@@ -33,13 +33,13 @@
   }
 
   /** Whether an upstream takes a request now. */
-  has (id: string): boolean {
+  isAvailable (id: string): boolean {
     const { rests, tokens } = this.#options
     return !rests.has(id) && tokens?.has(id) !== false
   }
 
   /** Whether an upstream rests, regardless of its limit. */
-  rests (id: string): boolean {
+  isResting (id: string): boolean {
     return this.#options.rests.has(id)
   }
 
@@ -59,10 +59,10 @@
   }
 
   /** Requests a token for one of the upstreams that do not rest. @param excluded ids of upstreams to ignore */
-  pursue (claim: Claim | undefined, upstreams: ReadonlyArray<Pick<Upstream, 'id'>>, excluded: ReadonlySet<string>): void {
+  requestToken (claim: Claim | undefined, upstreams: ReadonlyArray<Pick<Upstream, 'id'>>, excluded: ReadonlySet<string>): void {
     const { rests, tokens } = this.#options
     if (claim === undefined || tokens === undefined) return
-    tokens.pursue(claim, upstreams.map(({ id }) => id).filter(id => !excluded.has(id) && !rests.has(id)))
+    tokens.requestToken(claim, upstreams.map(({ id }) => id).filter(id => !excluded.has(id) && !rests.has(id)))
   }
 
   /** Ends the wait of a request for a token. */
@@ -76,8 +76,8 @@
    * @param excluded ids of upstreams to ignore
    * @param priority of the request; more urgent requests get their tokens sooner
    */
-  first (upstreams: ReadonlyArray<Pick<Upstream, 'id'>>, excluded: ReadonlySet<string>, priority: number): Closure | undefined {
-    let first: Closure | undefined
+  shortestUnavailability (upstreams: ReadonlyArray<Pick<Upstream, 'id'>>, excluded: ReadonlySet<string>, priority: number): Unavailability | undefined {
+    let first: Unavailability | undefined
     for (const { id } of upstreams) {
       if (excluded.has(id)) continue
       const unavailability = this.#unavailability(id, priority)
@@ -87,11 +87,11 @@
     return first
   }
 
-  #unavailability (id: string, priority: number): Closure | undefined {
+  #unavailability (id: string, priority: number): Unavailability | undefined {
     const { clock, rests, tokens } = this.#options
     const rest = rests.of(id)
     if (rest !== undefined) return { end: rest.end, cause: rest.asked ? 'rest' : 'pause' }
     if (tokens === undefined || tokens.has(id)) return undefined
-    return { end: clock.now() + tokens.due(id, priority), cause: 'limit' }
+    return { end: clock.now() + tokens.expectedWait(id, priority), cause: 'limit' }
   }
 }
--- a/packages/dispatch/src/budget.ts
+++ b/packages/dispatch/src/budget.ts
@@ -58,7 +58,7 @@
   }
 
   /** Counts a request of a caller. */
-  request (): void {
+  countRequest (): void {
     this.#current().requests++
   }
 
--- a/packages/dispatch/src/choice.ts
+++ b/packages/dispatch/src/choice.ts
@@ -9,7 +9,7 @@
 import { type Heartbeat, type Peers } from '@eiderwind/peers'
 import { type Roster, type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
-import { type Intake } from './availability.js'
+import { type Availability } from './availability.js'
 import { Observations } from './observations.js'
 
 /** Dependencies of `Choice`. */
@@ -18,7 +18,7 @@
   readonly inFlight: InFlight
   readonly peers: Peers
   readonly suspects: Suspects
-  readonly intake: Intake
+  readonly availability: Availability
   /** The data centre of this gateway. Its upstreams are preferred among equally loaded ones. */
   readonly dataCentre: string
   /** Breaks ties between equally good upstreams, with one draw for each candidate. */
@@ -67,8 +67,8 @@
 
   /** The heads of a model that take requests now, including full ones. */
   heads (service: string, model: string): Upstream[] {
-    const { roster, suspects, intake } = this.#options
-    return roster.heads(service, model).filter(({ id }) => intake.has(id) && suspects.mayTry(id))
+    const { roster, suspects, availability } = this.#options
+    return roster.heads(service, model).filter(({ id }) => availability.isAvailable(id) && suspects.mayTry(id))
   }
 
   /**
@@ -87,8 +87,8 @@
    * used here, since failures already raise the cost of an upstream (`Observations`).
    */
   plain (service: string, avoided: ReadonlySet<string>): Upstream | undefined {
-    const { roster, inFlight, intake } = this.#options
-    const upstreams = roster.available(service).filter(({ id }) => !avoided.has(id) && intake.has(id))
+    const { roster, inFlight, availability } = this.#options
+    const upstreams = roster.available(service).filter(({ id }) => !avoided.has(id) && availability.isAvailable(id))
     return this.#byCost(upstreams, ({ id }) => this.#observations.cost(id, inFlight.count(id)))[0]
   }
 
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -3,8 +3,8 @@
  * it is refused.
  */
 export { Choice, capacity, type ChoiceOptions } from './choice.js'
-export { Intake, type Closure, type AvailabilityOptions } from './availability.js'
-export { Queue, type Seeker, type Shortage, type WaitHandlers } from './queue.js'
+export { Availability, type Unavailability, type AvailabilityOptions } from './availability.js'
+export { Queue, type QueuedRequest, type Shortage, type WaitHandlers } from './queue.js'
 export { FairQueue } from './fairqueue.js'
 export { RetryBudget, type RetryBudgetOptions } from './budget.js'
 export { OfferedLoad, type ModelCounts } from './offered.js'
--- a/packages/dispatch/src/offered.ts
+++ b/packages/dispatch/src/offered.ts
@@ -43,7 +43,7 @@
    * Counts a request of a model that is refused for lack of room. To be called for first attempts only, since a retry
    * comes from the same caller.
    */
-  refused (model: string): void {
+  countRefused (model: string): void {
     this.#refused.add(model)
   }
 
--- a/packages/dispatch/src/queue.ts
+++ b/packages/dispatch/src/queue.ts
@@ -4,10 +4,10 @@
  * long a request may wait.
  */
 import { type Clock } from '@eiderwind/clock'
-import { type Rule, type Waiting } from '@eiderwind/fairness'
+import { type Rule, type WaitingRequest } from '@eiderwind/fairness'
 
 /** A request that needs room at an upstream. */
-export interface Seeker extends Waiting {
+export interface QueuedRequest extends WaitingRequest {
   /** The key of the room that it competes for. Requests of different rooms do not compete. */
   readonly room: string
   /** Whether it was sent to an upstream before. */
@@ -32,7 +32,7 @@
 
 /** An entry of the queue. */
 interface Waiter {
-  readonly seeker: Seeker
+  readonly request: QueuedRequest
   /** Searches for room again and ends the wait if there is some. Returns whether the wait has ended. */
   readonly retry: () => boolean
 }
@@ -51,15 +51,15 @@
   }
 
   /** Number of teams that are above their share of a room. */
-  get teamsAbove (): number {
+  get teamsAboveShare (): number {
     return 0
   }
 
   /** Resolves with the result of `find` as soon as it is defined, or with undefined when the wait ends. */
-  wait<Value> (seeker: Seeker, find: () => Value | undefined, handlers: WaitHandlers = {}): Promise<Value | undefined> {
+  wait<Value> (request: QueuedRequest, find: () => Value | undefined, handlers: WaitHandlers = {}): Promise<Value | undefined> {
     const found = find()
-    if (found !== undefined || seeker.until <= this.clock.now()) return Promise.resolve(found)
-    return this.enqueue(seeker, find, handlers)
+    if (found !== undefined || request.until <= this.clock.now()) return Promise.resolve(found)
+    return this.enqueue(request, find, handlers)
   }
 
   /** Searches for room again for each waiting request, in the order of the queue. */
@@ -67,7 +67,7 @@
     for (const waiter of [...this.waiters]) waiter.retry()
   }
 
-  protected enqueue<Value> (seeker: Seeker, find: () => Value | undefined, { onWait }: WaitHandlers, onTimeout?: () => void): Promise<Value | undefined> {
+  protected enqueue<Value> (request: QueuedRequest, find: () => Value | undefined, { onWait }: WaitHandlers, onTimeout?: () => void): Promise<Value | undefined> {
     return new Promise(resolve => {
       const end = (value: Value | undefined): void => {
         timer.cancel()
@@ -79,8 +79,8 @@
         if (value !== undefined) end(value)
         return value !== undefined
       }
-      const waiter: Waiter = { seeker, retry }
-      const timer = this.clock.after(seeker.until - this.clock.now(), () => {
+      const waiter: Waiter = { request, retry }
+      const timer = this.clock.after(request.until - this.clock.now(), () => {
         onTimeout?.()
         end(undefined)
       })
@@ -90,7 +90,7 @@
   }
 
   #insert (waiter: Waiter): void {
-    const index = this.waiters.findIndex(each => each.seeker.priority > waiter.seeker.priority)
+    const index = this.waiters.findIndex(each => each.request.priority > waiter.request.priority)
     this.waiters.splice(index < 0 ? this.waiters.length : index, 0, waiter)
   }
 
--- a/packages/dispatch/src/waiting.ts
+++ b/packages/dispatch/src/waiting.ts
@@ -31,7 +31,7 @@
   /**
    * Time until the first of the eligible upstreams takes requests again. 0 if one takes requests now, or if unknown.
    */
-  readonly closed: number
+  readonly timeUntilAvailable: number
   /** The route's latency objective. */
   readonly objective: number
   /** Time until the request's deadline. */
@@ -50,7 +50,7 @@
  */
 export function waitForRoom (inputs: WaitInputs): number {
   const wait = maxWait(inputs)
-  return inputs.closed > wait ? 0 : wait
+  return inputs.timeUntilAvailable > wait ? 0 : wait
 }
 
 function maxWait ({ path, offered, upstreams, objective, timeLeft, shared = false }: WaitInputs): number {
--- a/packages/dispatch/test/dispatch.test.ts
+++ b/packages/dispatch/test/dispatch.test.ts
@@ -4,7 +4,7 @@
 import { InFlight, Rests, Suspects } from '@eiderwind/detect'
 import { Peers } from '@eiderwind/peers'
 import { Roster } from '@eiderwind/roster'
-import { Choice, Intake, Queue, RetryBudget } from '../src/index.js'
+import { Choice, Availability, Queue, RetryBudget } from '../src/index.js'
 
 function budget (clock: ManualClock): RetryBudget {
   return new RetryBudget(clock, { ratio: 0.2, window: 10_000, slack: 40, gateways: () => 4 })
@@ -16,7 +16,7 @@
   let taken = 0
   while (retryBudget.take()) taken++
   t.is(taken, 7)
-  for (let index = 0; index < 100; index++) retryBudget.request()
+  for (let index = 0; index < 100; index++) retryBudget.countRequest()
   while (retryBudget.take()) taken++
   t.is(taken, 22)
   clock.advance(5000)
@@ -35,7 +35,7 @@
     const rate = step % 200 < 100 ? 6 : 0
     for (const each of budgets) {
       for (let index = 0; index < rate; index++) {
-        each.request()
+        each.countRequest()
         requests.push(clock.now())
       }
       while (each.take()) taken.push(clock.now())
@@ -75,7 +75,7 @@
   const flights = new InFlight(clock, () => {})
   const heartbeat = { id: 'e', revision: 0, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: false, loads: {} }
   const peers = new Peers({ clock, id: 'e', address: '127.0.0.1:1', heartbeat: () => heartbeat, interval: 250, timeout: 1000 })
-  const choice = new Choice({ roster, inFlight: flights, peers, suspects: new Suspects(clock, roster), intake: new Intake({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc', random: Math.random })
+  const choice = new Choice({ roster, inFlight: flights, peers, suspects: new Suspects(clock, roster), availability: new Availability({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc', random: Math.random })
   const engine = { slots: 20, models: [], step: 8, stepPerRequest: 0.1, readRate: 45_000, prompt: 900, answer: 130, loadRate: 3, loadsAtOnce: 6, formTime: 300 }
   for (let count = 0; count < 22; count++) {
     t.is(choice.head('s', 'm', engine, new Set())?.id, 'a', String(count))
--- a/packages/dispatch/test/fairqueue.test.ts
+++ b/packages/dispatch/test/fairqueue.test.ts
@@ -1,7 +1,7 @@
 /** The fair queue: which requests are served, and which are refused at once. */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
-import { FairQueue, type Seeker, type Shortage } from '../src/index.js'
+import { FairQueue, type QueuedRequest, type Shortage } from '../src/index.js'
 
 class Fixture {
   readonly clock = new ManualClock()
@@ -16,10 +16,10 @@
     this.queue.wake()
   }
 
-  wait (name: string, change: Partial<Seeker> = {}): Promise<void> {
+  wait (name: string, change: Partial<QueuedRequest> = {}): Promise<void> {
     const now = this.clock.now()
-    const seeker = { room: 's', offered: false, priority: 1, team: 'a', work: 1, arrivedAt: now, inTimeUntil: now + 500, until: now + 110, ...change }
-    return this.queue.wait(seeker, () => this.free.shift(), { onShortage: shortage => this.shortages.push(shortage) }).then(found => {
+    const request = { room: 's', offered: false, priority: 1, team: 'a', work: 1, arrivedAt: now, inTimeUntil: now + 500, until: now + 110, ...change }
+    return this.queue.wait(request, () => this.free.shift(), { onShortage: shortage => this.shortages.push(shortage) }).then(found => {
       this.ended.push(`${name} ${found === undefined ? 'nothing' : 'place'}`)
     })
   }
@@ -96,8 +96,8 @@
 test('a request whose caller leaves is removed from the queue and takes no place', async t => {
   const fixture = new Fixture()
   let cancel = (): void => {}
-  const seeker = { room: 's', offered: false, priority: 1, team: 'a', work: 1, arrivedAt: 0, inTimeUntil: 500, until: 110 }
-  const cancelled = fixture.queue.wait(seeker, () => fixture.free.shift(), { onWait: stop => { cancel = stop } })
+  const request = { room: 's', offered: false, priority: 1, team: 'a', work: 1, arrivedAt: 0, inTimeUntil: 500, until: 110 }
+  const cancelled = fixture.queue.wait(request, () => fixture.free.shift(), { onWait: stop => { cancel = stop } })
   cancel()
   t.is(await cancelled, undefined)
   t.is(fixture.queue.count, 0)
--- a/packages/dispatch/test/offered.test.ts
+++ b/packages/dispatch/test/offered.test.ts
@@ -23,20 +23,20 @@
 
 test('of two models with equal requests in flight, the one with more refusals has the higher offered load', t => {
   const { load } = offered({ large: { inFlight: 12, rate: 4 }, small: { inFlight: 12, rate: 4 } })
-  for (let index = 0; index < 8; index++) load.refused('large')
-  load.refused('small')
+  for (let index = 0; index < 8; index++) load.countRefused('large')
+  load.countRefused('small')
   t.deepEqual(load.models, { large: 36, small: 15 })
 })
 
 test('a model without replicas has an offered load from its refusals', t => {
   const { load } = offered({ small: { inFlight: 5, rate: 5 } })
-  for (let index = 0; index < 40; index++) load.refused('large')
+  for (let index = 0; index < 40; index++) load.countRefused('large')
   t.deepEqual(load.models, { small: 5, large: 40 })
 })
 
 test('a refusal counts for one second', t => {
   const { load, clock } = offered({ small: { inFlight: 10, rate: 5 } })
-  load.refused('small')
+  load.countRefused('small')
   clock.advance(999)
   t.deepEqual(load.models, { small: 12 })
   clock.advance(1)
--- a/packages/fairness/src/maxwaits.ts
+++ b/packages/fairness/src/maxwaits.ts
@@ -23,7 +23,7 @@
 const maxValues = 64
 
 /** The usual maximum wait of the callers of each route. Times are in ms. */
-export class UsualPatience {
+export class UsualMaxWaits {
   readonly #reported = new Map<string, DecayingSums<number>>()
 
   /**
--- a/packages/fairness/src/order.ts
+++ b/packages/fairness/src/order.ts
@@ -8,7 +8,7 @@
 import { type TeamUsage } from './usage.js'
 
 /** A request that waits for room. Times are on `Clock.now`, in ms. */
-export interface Waiting {
+export interface WaitingRequest {
   /** 0 is the most urgent. */
   readonly priority: number
   /** Empty if callers need no key. */
@@ -46,7 +46,7 @@
 export type Rule = 'came back early' | 'team above its share' | 'late' | 'less urgent' | 'came back' | 'team was served more' | 'more time left' | 'came later'
 
 /** The rules by precedence: the first rule by which two requests differ decides. Negative: `a` is served first. */
-const rules: ReadonlyArray<readonly [Rule, (a: SortKey<Waiting>, b: SortKey<Waiting>) => number]> = [
+const rules: ReadonlyArray<readonly [Rule, (a: SortKey<WaitingRequest>, b: SortKey<WaitingRequest>) => number]> = [
   ['came back early', (a, b) => Number(a.early) - Number(b.early)],
   ['team above its share', (a, b) => Number(a.aboveShare) - Number(b.aboveShare)],
   ['late', (a, b) => Number(a.late) - Number(b.late)],
@@ -58,26 +58,26 @@
 ]
 
 /** The request that gets the next place: the first of a starved kind, otherwise the first in order. */
-export function nextServed<Each extends Waiting> (waiting: readonly Each[], usage: TeamUsage, now: number): Each | undefined {
+export function nextServed<Each extends WaitingRequest> (waiting: readonly Each[], usage: TeamUsage, now: number): Each | undefined {
   const keys = sortKeys(waiting, usage, now)
   const candidates = starved(keys, usage, now) ?? keys
   return candidates.length === 0 ? undefined : candidates.reduce((first, each) => compare(each, first) < 0 ? each : first).request
 }
 
 /** All waiting requests in the order in which they get places. The order holds until one of them is served. */
-export function servingOrder<Each extends Waiting> (waiting: readonly Each[], usage: TeamUsage, now: number): Each[] {
+export function servingOrder<Each extends WaitingRequest> (waiting: readonly Each[], usage: TeamUsage, now: number): Each[] {
   const keys = sortKeys(waiting, usage, now).sort(compare)
   const first = starved(keys, usage, now) ?? []
   return [...new Set([...first, ...keys])].map(({ request }) => request)
 }
 
 /** Compares two waiting requests: negative if `a` is served first, 0 if no rule distinguishes them. */
-export function compareWaiting (a: Waiting, b: Waiting, usage: TeamUsage, now: number): number {
+export function compareWaiting (a: WaitingRequest, b: WaitingRequest, usage: TeamUsage, now: number): number {
   return compare(sortKey(a, usage, now), sortKey(b, usage, now))
 }
 
 /** The rule by which a request is served after `ahead`. Undefined if it is not. */
-export function decidingRule (request: Waiting, ahead: Waiting, usage: TeamUsage, now: number): Rule | undefined {
+export function decidingRule (request: WaitingRequest, ahead: WaitingRequest, usage: TeamUsage, now: number): Rule | undefined {
   const a = sortKey(request, usage, now)
   const b = sortKey(ahead, usage, now)
   const deciding = rules.find(([, order]) => order(a, b) !== 0)
@@ -85,7 +85,7 @@
 }
 
 /** Whether the first event of a request can no longer be in time. */
-export function isLate ({ inTimeUntil }: Waiting, now: number): boolean {
+export function isLate ({ inTimeUntil }: WaitingRequest, now: number): boolean {
   return inTimeUntil < now
 }
 
@@ -93,12 +93,12 @@
  * The kind of a request, for its minimum share of the room: its priority, and whether it is late, a retry or a first
  * attempt.
  */
-export function kindOf (request: Waiting, now: number): string {
+export function kindOf (request: WaitingRequest, now: number): string {
   return `${request.priority} ${isLate(request, now) ? 'late' : request.again === true ? 'again' : 'first'}`
 }
 
 /** Compares two requests: negative if `a` is served first. */
-export function compare (a: SortKey<Waiting>, b: SortKey<Waiting>): number {
+export function compare (a: SortKey<WaitingRequest>, b: SortKey<WaitingRequest>): number {
   for (const [, order] of rules) {
     const difference = order(a, b)
     if (difference !== 0) return difference
@@ -107,7 +107,7 @@
 }
 
 /** The sort keys of the requests whose wait has not ended. The keys of a team are computed once. */
-function sortKeys<Each extends Waiting> (waiting: readonly Each[], usage: TeamUsage, now: number): Array<SortKey<Each>> {
+function sortKeys<Each extends WaitingRequest> (waiting: readonly Each[], usage: TeamUsage, now: number): Array<SortKey<Each>> {
   const teams = new Map<string, SortKey<Each>>()
   return waiting.filter(each => each.until >= now).map(request => {
     const known = teams.get(request.team)
@@ -118,13 +118,13 @@
   })
 }
 
-export function sortKey<Each extends Waiting> (request: Each, usage: TeamUsage, now: number): SortKey<Each> {
+export function sortKey<Each extends WaitingRequest> (request: Each, usage: TeamUsage, now: number): SortKey<Each> {
   const { team, early } = request
   return { request, early: early === true, aboveShare: usage.isAboveShare(team, now), late: isLate(request, now), weightedUsage: usage.weightedUsage(team, now) }
 }
 
 /** The requests of a kind that got less than its minimum share of the room. Undefined if there is no such kind. */
-function starved<Each extends Waiting> (waiting: ReadonlyArray<SortKey<Each>>, usage: TeamUsage, now: number): Array<SortKey<Each>> | undefined {
+function starved<Each extends WaitingRequest> (waiting: ReadonlyArray<SortKey<Each>>, usage: TeamUsage, now: number): Array<SortKey<Each>> | undefined {
   const kinds = new Map<string, Array<SortKey<Each>>>()
   for (const each of waiting) {
     const kind = kindOf(each.request, now)
--- a/packages/fairness/src/usage.ts
+++ b/packages/fairness/src/usage.ts
@@ -37,7 +37,7 @@
   /**
    * Counts an arriving request, whether it is served or not. Without counted requests all teams have the same weight.
    */
-  asked (team: string, work: number, now: number): void {
+  recordRequest (team: string, work: number, now: number): void {
     this.#demand.add(team, work, now)
   }
 
@@ -45,7 +45,7 @@
    * Counts a served request.
    * @param kind the kind of the request (`kindOf`); each kind has a minimum share of the room
    */
-  served (team: string, work: number, now: number, kind?: string): void {
+  recordServed (team: string, work: number, now: number, kind?: string): void {
     this.#since ??= now
     this.#served.add(team, work, now)
     if (kind !== undefined) this.#kinds.add(kind, work, now)
--- a/packages/fairness/src/waitingqueue.ts
+++ b/packages/fairness/src/waitingqueue.ts
@@ -3,7 +3,7 @@
  * reads one request of each kind and team instead of all. Several hundred requests wait where one gateway holds the
  * queue of a whole fleet under overload. Owns the waiting requests; `order.ts` decides their order.
  */
-import { compare, isLate, kindOf, minShare, nextServed, sortKey, type SortKey, type Waiting } from './order.js'
+import { compare, isLate, kindOf, minShare, nextServed, sortKey, type SortKey, type WaitingRequest } from './order.js'
 import { type TeamUsage } from './usage.js'
 
 /** A request and its arrival number. Equal requests stay in the order of arrival. */
@@ -26,7 +26,7 @@
 const noneExcluded: ReadonlySet<never> = new Set<never>()
 
 /** The waiting requests of one room. */
-export class WaitingLine<Each extends Waiting> implements Iterable<Each> {
+export class WaitingQueue<Each extends WaitingRequest> implements Iterable<Each> {
   readonly #groups = new Map<string, Group<Each>>()
   /** The arrival numbers of all waiting requests, in the order of arrival. */
   readonly #sequences = new Map<Each, number>()
@@ -57,7 +57,7 @@
   }
 
   /** The number of requests before a request within its group. */
-  before (request: Each): number {
+  countBefore (request: Each): number {
     return this.#groups.get(groupOf(request))?.findIndex(each => each.request === request) ?? 0
   }
 
@@ -80,12 +80,12 @@
   }
 
   /** The earliest time at which a wait can end, on `Clock.now`, in ms. Infinity if no request waits. */
-  get firstEnd (): number {
+  get minUntil (): number {
     return this.size === 0 ? Infinity : this.#minUntil
   }
 
   /** Removes the requests whose wait has ended, and returns them. */
-  takeEnded (now: number): Each[] {
+  takeExpired (now: number): Each[] {
     if (this.#minUntil >= now) return []
     const ended = [...this].filter(({ until }) => until < now)
     for (const each of ended) this.remove(each)
@@ -132,15 +132,15 @@
 }
 
 /** The name of a request's group. Requests of one group differ only in their times. */
-export function groupOf ({ priority, team, again, early }: Waiting): string {
+export function groupOf ({ priority, team, again, early }: WaitingRequest): string {
   return `${priority} ${String(again === true)} ${String(early === true)} ${team}`
 }
 
-function compareTimes (a: Waiting, b: Waiting): number {
+function compareTimes (a: WaitingRequest, b: WaitingRequest): number {
   return a.inTimeUntil - b.inTimeUntil || a.arrivedAt - b.arrivedAt
 }
 
-function compareCandidates<Each extends Waiting> (a: Candidate<Each>, b: Candidate<Each>): number {
+function compareCandidates<Each extends WaitingRequest> (a: Candidate<Each>, b: Candidate<Each>): number {
   return compare(a.first, b.first) || a.sequence - b.sequence
 }
 
--- a/packages/fairness/test/expectation.test.ts
+++ b/packages/fairness/test/expectation.test.ts
@@ -1,16 +1,16 @@
 /** The expected wait of a request, and the rate of free places that it depends on. */
 import test from 'ava'
 import fc from 'fast-check'
-import { PlaceRate, TeamUsage, expectedWait, maxRate, nextServed, type Waiting } from '../src/index.js'
+import { PlaceRate, TeamUsage, expectedWait, maxRate, nextServed, type WaitingRequest } from '../src/index.js'
 import { drawn } from './requests.js'
 
 const now = 50_000
 
-function waiting (change: Partial<Waiting> = {}): Waiting {
+function waiting (change: Partial<WaitingRequest> = {}): WaitingRequest {
   return { priority: 1, team: 'a', work: 1, arrivedAt: now, inTimeUntil: now + 500, until: now + 110, ...change }
 }
 
-const table: ReadonlyArray<readonly [string, Waiting[], number, number]> = [
+const table: ReadonlyArray<readonly [string, WaitingRequest[], number, number]> = [
   ['the next place if no other request waits', [], 100, 10],
   ['its place behind earlier requests', [waiting({ arrivedAt: now - 2 }), waiting({ arrivedAt: now - 1 })], 100, 30],
   ['its place before less urgent requests', [waiting({ priority: 2, arrivedAt: now - 50 })], 100, 10],
@@ -29,7 +29,7 @@
  * Simulates a free place every `1 / rate` s without new requests. Returns the time at which `request` is served, or
  * Infinity.
  */
-function served (request: Waiting, others: readonly Waiting[], rate: number): number {
+function served (request: WaitingRequest, others: readonly WaitingRequest[], rate: number): number {
   let left = [...others, request]
   for (let time = now + 1000 / rate; time <= now + 1000; time += 1000 / rate) {
     const next = nextServed(left, new TeamUsage(), time)
@@ -51,7 +51,7 @@
 test('the expected wait never exceeds the wait of the request, and computing it does not change the usage', t => {
   t.notThrows(() => fc.assert(fc.property(any, fc.array(any, { maxLength: 30 }), fc.integer({ min: 1, max: 300 }), (request, others, rate) => {
     const usage = new TeamUsage()
-    usage.served('a', 3, now, '1 first')
+    usage.recordServed('a', 3, now, '1 first')
     const wait = expectedWait(request, others, usage, rate, now)
     return (wait === Infinity || now + wait <= request.until) && usage.servedTo('a', now) === 3 && usage.servedTo('b', now) === 0
   }), { seed: 17, numRuns: 300 }))
--- a/packages/fairness/test/order.test.ts
+++ b/packages/fairness/test/order.test.ts
@@ -1,24 +1,24 @@
 /** The order of waiting requests: a table of the rules, and properties of random requests. */
 import test from 'ava'
 import fc from 'fast-check'
-import { TeamUsage, compareWaiting, decidingRule, kindOf as kind, nextServed, servingOrder, type Rule, type Waiting } from '../src/index.js'
+import { TeamUsage, compareWaiting, decidingRule, kindOf as kind, nextServed, servingOrder, type Rule, type WaitingRequest } from '../src/index.js'
 import { drawn, teams } from './requests.js'
 
 const now = 100_000
 
-function waiting (change: Partial<Waiting> = {}): Waiting {
+function waiting (change: Partial<WaitingRequest> = {}): WaitingRequest {
   return { priority: 1, team: 'a', work: 1, arrivedAt: now - 50, inTimeUntil: now + 400, until: now + 60, ...change }
 }
 
 /** The usage of two teams, of which `b` was served ten times as much as `a`. */
 function unequal (): TeamUsage {
   const usage = new TeamUsage()
-  for (let count = 0; count < 20; count++) usage.served('a', 1, now)
-  for (let count = 0; count < 200; count++) usage.served('b', 1, now)
+  for (let count = 0; count < 20; count++) usage.recordServed('a', 1, now)
+  for (let count = 0; count < 200; count++) usage.recordServed('b', 1, now)
   return usage
 }
 
-const pairs: ReadonlyArray<readonly [Rule, Partial<Waiting>, Partial<Waiting>]> = [
+const pairs: ReadonlyArray<readonly [Rule, Partial<WaitingRequest>, Partial<WaitingRequest>]> = [
   ['came back early', { team: 'b' }, { early: true, again: true }],
   ['team above its share', { inTimeUntil: now - 1, priority: 3 }, { team: 'b' }],
   ['late', { priority: 3 }, { inTimeUntil: now - 1 }],
@@ -41,11 +41,11 @@
 test('of two teams within their shares, the one with less usage relative to its usual demand is served first', t => {
   const usage = new TeamUsage()
   for (let time = now - 60_000; time < now; time += 1000) {
-    usage.asked('b', 3, time)
-    usage.asked('a', 1, time)
+    usage.recordRequest('b', 3, time)
+    usage.recordRequest('a', 1, time)
   }
-  for (let count = 0; count < 12; count++) usage.served('a', 1, now)
-  for (let count = 0; count < 24; count++) usage.served('b', 1, now)
+  for (let count = 0; count < 12; count++) usage.recordServed('a', 1, now)
+  for (let count = 0; count < 24; count++) usage.recordServed('b', 1, now)
   t.is(decidingRule(waiting(), waiting({ team: 'b' }), usage, now), 'team was served more')
 })
 
@@ -61,14 +61,14 @@
 
 function usageOf (counts: readonly number[]): TeamUsage {
   const usage = new TeamUsage()
-  for (const [index, team] of teams.entries()) usage.served(team, counts[index], now, '1 first')
+  for (const [index, team] of teams.entries()) usage.recordServed(team, counts[index], now, '1 first')
   return usage
 }
 
 test('the order of requests is antisymmetric and transitive', t => {
   t.notThrows(() => fc.assert(fc.property(any, any, any, amounts, (a, b, c, counts) => {
     const usage = usageOf(counts)
-    const order = (x: Waiting, y: Waiting): number => Math.sign(compareWaiting(x, y, usage, now))
+    const order = (x: WaitingRequest, y: WaitingRequest): number => Math.sign(compareWaiting(x, y, usage, now))
     if (order(a, b) + order(b, a) !== 0) return false
     return !(order(a, b) <= 0 && order(b, c) <= 0) || order(a, c) <= 0
   }), { seed: 3, numRuns: 3000 }))
@@ -84,7 +84,7 @@
 })
 
 /** Serves requests that return to the queue as soon as they are served. Returns how often each was served. */
-function serveAlways (requests: readonly Waiting[], places: number, usage = new TeamUsage()): number[] {
+function serveAlways (requests: readonly WaitingRequest[], places: number, usage = new TeamUsage()): number[] {
   const counts = requests.map(() => 0)
   for (let place = 0; place < places; place++) {
     const time = now + place * 10
@@ -92,7 +92,7 @@
     const next = nextServed(present, usage, time)
     if (next === undefined) break
     counts[present.indexOf(next)]++
-    usage.served(next.team, next.work, time, kind(next, time))
+    usage.recordServed(next.team, next.work, time, kind(next, time))
   }
   return counts
 }
--- a/packages/fairness/test/waitingqueue.test.ts
+++ b/packages/fairness/test/waitingqueue.test.ts
@@ -1,7 +1,7 @@
 /** The next request of the sorted queue, compared with `nextServed` over all waiting requests. */
 import test from 'ava'
 import fc from 'fast-check'
-import { TeamUsage, WaitingLine, kindOf, nextServed, type Waiting } from '../src/index.js'
+import { TeamUsage, WaitingQueue, kindOf, nextServed, type WaitingRequest } from '../src/index.js'
 import { drawn } from './requests.js'
 
 const start = 100_000
@@ -16,11 +16,11 @@
 
 test('the next request is that of `nextServed` after any sequence of arrivals, departures, served requests and ended waits', t => {
   t.notThrows(() => fc.assert(fc.property(steps, all => {
-    const queue = new WaitingLine<Waiting>()
+    const queue = new WaitingQueue<WaitingRequest>()
     const usage = new TeamUsage()
-    let plain: Waiting[] = []
+    let plain: WaitingRequest[] = []
     let now = start
-    const leave = (request: Waiting | undefined): void => {
+    const leave = (request: WaitingRequest | undefined): void => {
       if (request === undefined) return
       queue.remove(request)
       plain = plain.filter(each => each !== request)
@@ -34,13 +34,13 @@
       }
       const ended = plain.filter(({ until }) => until < now)
       plain = plain.filter(({ until }) => until >= now)
-      if (queue.takeEnded(now).some((each, index) => each !== ended[index])) return false
+      if (queue.takeExpired(now).some((each, index) => each !== ended[index])) return false
       if ([...queue].length !== plain.length || queue.size !== plain.length) return false
       const excluded = new Set(step.kind === 'serve' ? plain.slice(0, step.excluded) : [])
       const next = nextServed(plain.filter(each => !excluded.has(each)), usage, now)
       if (queue.next(usage, now, excluded) !== next) return false
       if (step.kind !== 'serve' || next === undefined) continue
-      usage.served(next.team, next.work, now, kindOf(next, now))
+      usage.recordServed(next.team, next.work, now, kindOf(next, now))
       leave(next)
     }
     return true
@@ -49,9 +49,9 @@
 
 test('finding the next of 2000 waiting requests reads fewer than 1000 fields', t => {
   const usage = new TeamUsage()
-  const waiting = Array.from({ length: 2000 }, (_each, index): Waiting => ({ priority: index % 2, team: `t${index % 5}`, work: 1, arrivedAt: start + index, inTimeUntil: start + 1000 + index, until: start + 5000, again: index % 3 === 0 }))
+  const waiting = Array.from({ length: 2000 }, (_each, index): WaitingRequest => ({ priority: index % 2, team: `t${index % 5}`, work: 1, arrivedAt: start + index, inTimeUntil: start + 1000 + index, until: start + 5000, again: index % 3 === 0 }))
   let reads = 0
-  const queue = new WaitingLine(waiting.map(each => new Proxy(each, { get: (target, name) => { reads++; return Reflect.get(target, name) as unknown } })))
+  const queue = new WaitingQueue(waiting.map(each => new Proxy(each, { get: (target, name) => { reads++; return Reflect.get(target, name) as unknown } })))
   reads = 0
   for (let place = 0; place < 20; place++) queue.next(usage, start + 3000)
   t.true(reads / 20 < 1000, `${reads / 20} reads per place with ${waiting.length} waiting requests`)
--- a/packages/forward/src/context.ts
+++ b/packages/forward/src/context.ts
@@ -5,9 +5,9 @@
 import { type Clock, type Random } from '@eiderwind/clock'
 import { type Crashes } from '@eiderwind/crashes'
 import { type InFlight, type Suspects } from '@eiderwind/detect'
-import { type Choice, type Intake, type OfferedLoad, type Queue, type RetryBudget } from '@eiderwind/dispatch'
+import { type Choice, type Availability, type OfferedLoad, type Queue, type RetryBudget } from '@eiderwind/dispatch'
 import { type Log } from '@eiderwind/log'
-import { type Asker } from '@eiderwind/places'
+import { type PlaceClient } from '@eiderwind/places'
 import { type Roster, type Upstream } from '@eiderwind/roster'
 import { type AnswerHeaders, type Connections } from '@eiderwind/wire'
 import { type Forecast } from '@eiderwind/work'
@@ -35,7 +35,7 @@
   readonly inFlight: InFlight
   readonly choice: Choice
   readonly suspects: Suspects
-  readonly intake: Intake
+  readonly availability: Availability
   readonly crashes: Crashes
   readonly queue: Queue
   /** Counts callers of a model that are refused for lack of room. Absent if the counts are not used. */
@@ -44,7 +44,7 @@
   readonly forecast?: Forecast
   readonly random: Random
   /** Requests places where room is contended. Absent if each gateway looks for room by itself. */
-  readonly places?: Asker
+  readonly places?: PlaceClient
   /** The retry budget of a service. */
   readonly retryBudget: (service: string) => RetryBudget
   /** Called with the status and headers of each answer, which may describe the state of the upstream. */
--- a/packages/forward/src/path.ts
+++ b/packages/forward/src/path.ts
@@ -5,8 +5,8 @@
  * that.
  */
 import { type Trial } from '@eiderwind/crashes'
-import { decideRetry, refusals, waitForRoom, type AttemptResult, type Closure, type Seeker, type WaitHandlers } from '@eiderwind/dispatch'
-import { type Waiting } from '@eiderwind/fairness'
+import { decideRetry, refusals, waitForRoom, type AttemptResult, type Unavailability, type QueuedRequest, type WaitHandlers } from '@eiderwind/dispatch'
+import { type WaitingRequest } from '@eiderwind/fairness'
 import { type Fault } from '@eiderwind/fault'
 import { type Claim } from '@eiderwind/limits'
 import { type Room } from '@eiderwind/places'
@@ -35,7 +35,7 @@
   /** The trial that the next attempt belongs to, if the request is suspected of crashing its upstreams. */
   protected trial: Trial | undefined
   /** Why the eligible upstreams took no request at the last search for one. */
-  #closure: Closure | undefined
+  #unavailability: Unavailability | undefined
   /** The current or last search for a place, where places may be issued. */
   #placeSearch: PlaceSearch | undefined
   /** Releases the reservation at the upstream of the next attempt. */
@@ -121,27 +121,27 @@
    * may have to wait until the trial of another suspect has ended.
    */
   async #findUpstream (): Promise<Upstream | 'blocked' | 'closed' | undefined> {
-    const { request, context: { clock, intake, queue } } = this
+    const { request, context: { clock, availability, queue } } = this
     this.trial = undefined
-    this.#closure = undefined
+    this.#unavailability = undefined
     const time = this.#maxWait
     const until = clock.now() + time
-    const claim = intake.claim(request.priority, until)
+    const claim = availability.claim(request.priority, until)
     this.#placeSearch = time > 0 ? this.#beginPlaceSearch(until) : undefined
-    const found = await queue.wait(this.#seeker(until), () => this.#find(claim) ?? this.#closedPast(until), this.#waitHandlers)
-    intake.release(claim)
+    const found = await queue.wait(this.#queuedRequest(until), () => this.#find(claim) ?? this.#closedPast(until), this.#waitHandlers)
+    availability.release(claim)
     this.#placeSearch?.end()
     return found
   }
 
   /** The request as an entry of the local queue. @param until the end of its wait on `Clock.now`, in ms */
-  #seeker (until: number): Seeker {
+  #queuedRequest (until: number): QueuedRequest {
     const { room, request: { service, offered } } = this
     return { ...this.#orderingInputs(until), room: room?.key ?? service, offered, orderedElsewhere: this.#placeSearch !== undefined }
   }
 
   /** The inputs that determine the order of waiting requests. @param until the end of the wait on `Clock.now`, in ms */
-  #orderingInputs (until: number): Waiting {
+  #orderingInputs (until: number): WaitingRequest {
     const { work, request: { priority, team, arrivedAt, spent, offered } } = this
     const early = spent > 0 && spent < minRetryDelayMs
     return { priority, team: team?.name ?? '', work, arrivedAt, inTimeUntil: offered ? until : this.latestStart, until, again: spent > 0, early }
@@ -163,7 +163,7 @@
     const { request, kind, upstreams, context: { crashes } } = this
     const { timeLeft, route: { objective } } = request
     const offered = request.offered || crashes.standing(request) !== 'trusted'
-    return waitForRoom({ path: kind, offered, upstreams: upstreams.length, closed: this.#timeUntilOpen, objective, timeLeft, shared })
+    return waitForRoom({ path: kind, offered, upstreams: upstreams.length, timeUntilAvailable: this.#timeUntilAvailable, objective, timeLeft, shared })
   }
 
   /**
@@ -171,15 +171,15 @@
    * trials.
    */
   #beginPlaceSearch (until: number): PlaceSearch | undefined {
-    const { request, room, context: { clock, places, intake, suspects, crashes } } = this
+    const { request, room, context: { clock, places, availability, suspects, crashes } } = this
     if (room === undefined || places === undefined || crashes.standing(request) !== 'trusted') return undefined
     const { route: { objective }, tried } = request
     return new PlaceSearch({
-      asker: places,
-      intake,
+      placeClient: places,
+      availability,
       upstreams: () => this.upstreams,
       choose: excluded => excluded.size === 0 ? this.#chooseLocally('trusted') : this.choose(new Set([...tried, ...excluded])),
-      mayUse: ({ id }) => !tried.has(id) && !crashes.underTrial.has(id) && intake.has(id) && suspects.mayTry(id)
+      mayUse: ({ id }) => !tried.has(id) && !crashes.underTrial.has(id) && availability.isAvailable(id) && suspects.mayTry(id)
     }, { ...this.#orderingInputs(until), room, aloneUntil: clock.now() + this.#computeMaxWait(false), objective })
   }
 
@@ -196,8 +196,8 @@
    * then.
    */
   #closedPast (until: number): 'closed' | undefined {
-    this.#closure = this.#firstClosure
-    const end = this.#closure?.end ?? -Infinity
+    this.#unavailability = this.#firstClosure
+    const end = this.#unavailability?.end ?? -Infinity
     return end > until && end > this.context.clock.now() ? 'closed' : undefined
   }
 
@@ -205,15 +205,15 @@
    * Time until an upstream that was not tried yet takes requests again, in ms. 0 if one takes requests now, or if the
    * time is not known.
    */
-  get #timeUntilOpen (): number {
+  get #timeUntilAvailable (): number {
     const first = this.#firstClosure
     return first === undefined ? 0 : first.end - this.context.clock.now()
   }
 
   /** Why none of the untried upstreams takes a request now, and until when. Undefined if one does. */
-  get #firstClosure (): Closure | undefined {
+  get #firstClosure (): Unavailability | undefined {
     const { tried, priority } = this.request
-    return this.context.intake.first(this.upstreams, tried, priority)
+    return this.context.availability.shortestUnavailability(this.upstreams, tried, priority)
   }
 
   /**
@@ -222,8 +222,8 @@
    * them again.
    */
   #closedRefusal (): Fault | undefined {
-    const { clock, intake, random } = this.context
-    const first = intake.first(this.upstreams, noUpstreams, this.request.priority) ?? this.#closure
+    const { clock, availability, random } = this.context
+    const first = availability.shortestUnavailability(this.upstreams, noUpstreams, this.request.priority) ?? this.#unavailability
     if (first === undefined || first.cause === 'pause') return undefined
     const time = first.end - clock.now()
     return first.cause === 'rest' ? refusals.resting(Math.max(0, time), random()) : refusals.limited(time > 0 ? time : undefined, random())
@@ -234,21 +234,21 @@
    * the request has to wait. Requests a token if only a token is missing.
    */
   #find (claim: Claim | undefined): Upstream | 'blocked' | 'closed' | undefined {
-    const { request, context: { crashes, intake } } = this
+    const { request, context: { crashes, availability } } = this
     const standing = crashes.standing(request)
     if (standing === 'blocked') return standing
     const mayBeSent = standing === 'trusted' || crashes.mayTry(request)
     const upstream = mayBeSent ? this.#selectUpstream(standing) : undefined
     if (upstream === 'closed') return upstream
     if (upstream !== undefined) this.#reserve(upstream, claim)
-    else if (mayBeSent) intake.pursue(claim, this.upstreams, request.tried)
+    else if (mayBeSent) availability.requestToken(claim, this.upstreams, request.tried)
     return standing === 'suspected' ? this.#beginTrial(upstream) : upstream
   }
 
   /** Reserves capacity and a token at an upstream. */
   #reserve ({ id }: Upstream, claim: Claim | undefined): void {
-    const { inFlight, intake } = this.context
-    intake.take(id, claim)
+    const { inFlight, availability } = this.context
+    availability.take(id, claim)
     this.#releaseReservation = inFlight.keep(id)
     this.#placeSearch?.recordUse()
   }
@@ -290,7 +290,7 @@
     const decision = decideRetry({ result, repeatable, hasAttemptsLeft })
     if (decision === 'no') return false
     // A retry that no upstream takes would use up the retry budget for nothing.
-    if (this.#timeUntilOpen > 0 && this.#maxWait === 0) return false
+    if (this.#timeUntilAvailable > 0 && this.#maxWait === 0) return false
     return decision === 'free' || this.context.retryBudget(service).take()
   }
 }
--- a/packages/forward/src/placesearch.ts
+++ b/packages/forward/src/placesearch.ts
@@ -1,16 +1,16 @@
 /**
  * The search of one request for an upstream where room may be contended. The request gets a place from the issuer of
  * the room. It chooses by itself while room is not contended, or if no issuer answers. This module owns the request's
- * claim during one wait, and relies on `Asker` for places and on the path for the local choice.
+ * claim during one wait, and relies on `PlaceClient` for places and on the path for the local choice.
  */
-import { type Asker, type Claim, type Wish } from '@eiderwind/places'
-import { type Intake } from '@eiderwind/dispatch'
+import { type PlaceClient, type Claim, type PlaceRequirements } from '@eiderwind/places'
+import { type Availability } from '@eiderwind/dispatch'
 import { type Upstream } from '@eiderwind/roster'
 
 /** Dependencies of `PlaceSearch`. */
 export interface PlaceSearchOptions {
-  readonly asker: Asker
-  readonly intake: Intake
+  readonly placeClient: PlaceClient
+  readonly availability: Availability
   /** The heads that serve the request's target. */
   readonly upstreams: () => readonly Upstream[]
   /** Chooses one of them by the data of this gateway. Never chooses one of `excluded`. */
@@ -37,14 +37,14 @@
    */
   refusal: { readonly due: number, readonly by: string } | undefined
 
-  constructor (options: PlaceSearchOptions, wish: Omit<Wish, 'besides'>) {
+  constructor (options: PlaceSearchOptions, requirements: Omit<PlaceRequirements, 'besides'>) {
     this.#options = options
-    this.#claim = options.asker.claim({ ...wish, besides: () => this.#unusable })
+    this.#claim = options.placeClient.claim({ ...requirements, besides: () => this.#unusable })
   }
 
   /** Finds an upstream. Returns undefined if the request has to wait, and 'closed' if waiting is pointless. */
   find (): Upstream | 'closed' | undefined {
-    const finding = this.#options.asker.find(this.#claim)
+    const finding = this.#options.placeClient.find(this.#claim)
     switch (finding.kind) {
       case 'place': return this.#resolvePlace(finding.upstream)
       case 'wait': return this.#chooseLimited()
@@ -57,19 +57,19 @@
 
   /** Records that the request is sent to the upstream that was found, and counts in flight there. */
   recordUse (): void {
-    this.#options.asker.use(this.#claim)
+    this.#options.placeClient.use(this.#claim)
   }
 
   /** Ends the search. */
   end (): void {
-    this.#options.asker.release(this.#claim)
+    this.#options.placeClient.release(this.#claim)
   }
 
   #resolvePlace (id: string): Upstream | 'closed' | undefined {
-    const { asker, upstreams, mayUse } = this.#options
+    const { placeClient, upstreams, mayUse } = this.#options
     const upstream = upstreams().find(each => each.id === id)
     if (upstream !== undefined && mayUse(upstream)) return upstream
-    asker.reject(this.#claim)
+    placeClient.reject(this.#claim)
     return this.find()
   }
 
@@ -78,21 +78,21 @@
    * token can go there.
    */
   #chooseLimited (): Upstream | undefined {
-    const { intake, upstreams, choose } = this.#options
-    const withoutLimit = upstreams().filter(({ id }) => !intake.isLimited(id)).map(({ id }) => id)
+    const { availability, upstreams, choose } = this.#options
+    const withoutLimit = upstreams().filter(({ id }) => !availability.isLimited(id)).map(({ id }) => id)
     return withoutLimit.length === upstreams().length ? undefined : choose(new Set(withoutLimit))
   }
 
   #chooseAlone (): Upstream | 'closed' | undefined {
-    const { asker, choose } = this.#options
+    const { placeClient, choose } = this.#options
     const upstream = choose(noUpstreams)
     if (upstream !== undefined) return upstream
-    if (asker.lacked(this.#claim)) return this.find()
-    return asker.isOver(this.#claim) ? 'closed' : undefined
+    if (placeClient.recordNoRoom(this.#claim)) return this.find()
+    return placeClient.isTimedOut(this.#claim) ? 'closed' : undefined
   }
 
   get #unusable (): string[] {
-    const { upstreams, mayUse, intake } = this.#options
-    return upstreams().filter(each => !mayUse(each) && !intake.isLimited(each.id)).map(({ id }) => id).slice(0, maxUnusableListed)
+    const { upstreams, mayUse, availability } = this.#options
+    return upstreams().filter(each => !mayUse(each) && !availability.isLimited(each.id)).map(({ id }) => id).slice(0, maxUnusableListed)
   }
 }
--- a/packages/forward/src/plainpath.ts
+++ b/packages/forward/src/plainpath.ts
@@ -23,13 +23,13 @@
 
   protected attempt (upstream: Upstream): Promise<AttemptResult> {
     const { context, request, trial } = this
-    const { clock, choice, intake } = context
+    const { clock, choice, availability } = context
     const startedAt = clock.now()
     return new Promise(resolve => {
       const onEnd = (result: AttemptResult): void => {
         // An upstream that asked for rest has named the end of the rest. Counted as a failure, it would be avoided for
         // long after that.
-        if (!intake.rests(upstream.id)) choice.observe(upstream.id, clock.now() - startedAt, !isSuccess(result))
+        if (!availability.isResting(upstream.id)) choice.observe(upstream.id, clock.now() - startedAt, !isSuccess(result))
         resolve(result)
       }
       // An idle connection may break just when a request is sent on it. It would then be unknown whether the request
--- a/packages/forward/src/streampath.ts
+++ b/packages/forward/src/streampath.ts
@@ -113,12 +113,12 @@
    * is called. The request is already counted as in flight there.
    */
   #recordExpectation ({ id, dataCentre }: Upstream): (() => void) | undefined {
-    const { request, context: { choice, forecast, intake, dataCentre: own } } = this
+    const { request, context: { choice, forecast, availability, dataCentre: own } } = this
     const { model, engine } = this.#target
     if (forecast === undefined || engine === undefined) return undefined
     const subject = { service: request.service, model, prompt: this.#tokens(engine).prompt }
     const head = { inFlight: Math.max(0, choice.load(id) - 1), unread: forecast.unread.of(id) }
-    if (!request.offered) request.timing.expect({ ...subject, ...head, ...forecast.expect(subject, head, engine), limited: intake.isLimited(id), remote: dataCentre !== own })
+    if (!request.offered) request.timing.expect({ ...subject, ...head, ...forecast.expect(subject, head, engine), limited: availability.isLimited(id), remote: dataCentre !== own })
     return forecast.unread.add(id, subject.prompt)
   }
 
@@ -160,7 +160,7 @@
    */
   #countRefused (): void {
     const { model, engine } = this.#target
-    if (engine?.models.some(({ name }) => name === model) === true) this.context.offered?.refused(model)
+    if (engine?.models.some(({ name }) => name === model) === true) this.context.offered?.countRefused(model)
   }
 
   protected refusal (): Fault {
--- a/packages/forward/test/limited.test.ts
+++ b/packages/forward/test/limited.test.ts
@@ -6,14 +6,14 @@
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight, Rests } from '@eiderwind/detect'
-import { Intake, Queue } from '@eiderwind/dispatch'
-import { Issuer, Limits, Tokens, type TokenMessage } from '@eiderwind/limits'
+import { Availability, Queue } from '@eiderwind/dispatch'
+import { Issuer, Limits, TokenClient, type TokenMessage } from '@eiderwind/limits'
 import { PlainPath, type Context } from '../src/index.js'
 import { callerRequest } from './requests.js'
 
 interface LimitedOptions {
   /** Plays the gateway that issues the tokens and receives each token request. Absent: this gateway issues them. */
-  readonly answer?: (tokens: Tokens, request: TokenMessage) => void
+  readonly answer?: (tokens: TokenClient, request: TokenMessage) => void
   /** Limit of the upstream, in requests per second. */
   readonly limit?: number
   /** Time for which the process is frozen while the request waits, in ms. */
@@ -25,15 +25,15 @@
   const clock = new ManualClock()
   const limits = new Limits(clock)
   const sent: TokenMessage[] = []
-  const issuer = new Issuer({ clock, rate: id => limits.rate(id), begin: () => 0, deliver: (_to, reply) => { tokens.answered(reply) } })
+  const issuer = new Issuer({ clock, rate: id => limits.rate(id), begin: () => 0, deliver: (_to, reply) => { tokens.handleReply(reply) } })
   const queue = new Queue(clock)
-  const tokens: Tokens = new Tokens({ clock, limits, issuer, owner: () => answer === undefined ? undefined : 'g2', post: (_gateway, message) => { sent.push(message) }, unanswered: () => queue.wake(), random: () => 0 })
-  const intake = new Intake({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }), tokens })
-  limits.named('u', limit)
+  const tokens: TokenClient = new TokenClient({ clock, limits, issuer, owner: () => answer === undefined ? undefined : 'g2', post: (_gateway, message) => { sent.push(message) }, unanswered: () => queue.wake(), random: () => 0 })
+  const availability = new Availability({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }), tokens })
+  limits.recordAnswer('u', limit)
   const request = callerRequest(clock, { kind: 'once', resumable: false })
   const context = {
     clock,
-    intake,
+    availability,
     queue,
     inFlight: new InFlight(clock, () => {}),
     crashes: { standing: () => 'trusted', underTrial: new Set<string>() },
@@ -57,12 +57,12 @@
 })
 
 test('a request is refused with 429 and a Retry-After if an announced token does not arrive', async t => {
-  const promise = (tokens: Tokens, request: TokenMessage): void => { if ('number' in request) tokens.answered({ token: 'later', number: request.number, due: 20 }) }
+  const promise = (tokens: TokenClient, request: TokenMessage): void => { if ('number' in request) tokens.handleReply({ token: 'later', number: request.number, due: 20 }) }
   t.deepEqual(await refusalOf({ answer: promise }), { status: 429, retryAfter: 0.9, tokenRequests: 1 })
 })
 
 test('a request is refused at once, with the time of the next token as Retry-After, if that token comes after the maximum wait', async t => {
-  const refuse = (tokens: Tokens, request: TokenMessage): void => { if ('number' in request) tokens.answered({ token: 'later', number: request.number, due: 700 }) }
+  const refuse = (tokens: TokenClient, request: TokenMessage): void => { if ('number' in request) tokens.handleReply({ token: 'later', number: request.number, due: 700 }) }
   const { status, retryAfter, tokenRequests } = await refusalOf({ answer: refuse })
   t.is(status, 429)
   t.is(tokenRequests, 1)
--- a/packages/forward/test/offered.test.ts
+++ b/packages/forward/test/offered.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight, Rests } from '@eiderwind/detect'
-import { Intake, OfferedLoad, Queue } from '@eiderwind/dispatch'
+import { Availability, OfferedLoad, Queue } from '@eiderwind/dispatch'
 import { type Engine } from '@eiderwind/traffic'
 import { StreamPath, type Context } from '../src/index.js'
 import { callerRequest } from './requests.js'
@@ -19,7 +19,7 @@
   const context = {
     clock,
     offered,
-    intake: new Intake({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }),
+    availability: new Availability({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }),
     queue: new Queue(clock),
     inFlight: new InFlight(clock, () => {}),
     crashes: { standing: () => 'trusted', underTrial: new Set<string>() },
--- a/packages/forward/test/retry.test.ts
+++ b/packages/forward/test/retry.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight, Rests } from '@eiderwind/detect'
-import { Intake, Queue, refusals, type AttemptResult, type RetryBudget } from '@eiderwind/dispatch'
+import { Availability, Queue, refusals, type AttemptResult, type RetryBudget } from '@eiderwind/dispatch'
 import { type Fault } from '@eiderwind/fault'
 import { type Upstream } from '@eiderwind/roster'
 import { type Route } from '@eiderwind/traffic'
@@ -73,8 +73,8 @@
   const crashes = { standing: () => 'trusted', underTrial: new Set<string>() }
   const clock = new ManualClock()
   const rests = new Rests({ clock, begun: () => {}, ended: () => {} })
-  const intake = new Intake({ clock, rests })
-  const context = { clock, crashes, inFlight: new InFlight(clock, () => {}), intake, queue: new Queue(clock), retryBudget: () => budget as unknown as RetryBudget } as unknown as Context
+  const availability = new Availability({ clock, rests })
+  const context = { clock, crashes, inFlight: new InFlight(clock, () => {}), availability, queue: new Queue(clock), retryBudget: () => budget as unknown as RetryBudget } as unknown as Context
   return { context, takes: () => count }
 }
 
--- a/packages/gateway/src/callers.ts
+++ b/packages/gateway/src/callers.ts
@@ -6,7 +6,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { type Random } from '@eiderwind/clock'
 import { refusals } from '@eiderwind/dispatch'
-import { type UsualPatience } from '@eiderwind/fairness'
+import { type UsualMaxWaits } from '@eiderwind/fairness'
 import { Fault } from '@eiderwind/fault'
 import { CallerRequest, PlainPath, StreamPath, type Context, type Deliveries } from '@eiderwind/forward'
 import { pickShare } from '@eiderwind/traffic'
@@ -29,7 +29,7 @@
   /**
    * How long callers of each route usually say they wait. Absent if it does not matter whether a caller has come back.
    */
-  readonly patience: UsualPatience | undefined
+  readonly usualMaxWaits: UsualMaxWaits | undefined
   /** Writes answers to callers as fast as they read. */
   readonly deliveries: Deliveries
   /** Called with the code of each request that is refused before a service is chosen for it. */
@@ -143,7 +143,7 @@
     const request = this.#request(incoming, response, body.value, admission, arrivedAt)
     if (request instanceof Fault) return this.#refuse(incoming, response, request)
     this.#open.add(request)
-    context.retryBudget(request.service).request()
+    context.retryBudget(request.service).countRequest()
     await this.#serve(request, inForce)
   }
 
@@ -168,7 +168,7 @@
 
   /** Makes the request of an admitted caller, or returns a fault if its headers are invalid. */
   #request (incoming: IncomingMessage, response: ServerResponse, body: Buffer, { route, team }: Admission, arrivedAt: number): CallerRequest | Fault {
-    const { context, random, ended, patience, deliveries } = this.#options
+    const { context, random, ended, usualMaxWaits, deliveries } = this.#options
     const { names, clock } = context
     const id = header(incoming, names.request)
     if (id === undefined) return refusals.badRequest(`The header ${names.request} is missing.`)
@@ -186,7 +186,7 @@
       team,
       arrivedAt,
       endsAt: arrivedAt + Math.min(allowedTime, route.timeout),
-      spent: patience?.spent(route.name, allowedTime, arrivedAt),
+      spent: usualMaxWaits?.spent(route.name, allowedTime, arrivedAt),
       idHeader: names.request,
       deliveries,
       onEnd: (request, outcome) => {
--- a/packages/gateway/src/coldstarts.ts
+++ b/packages/gateway/src/coldstarts.ts
@@ -32,7 +32,7 @@
   /** Takes the remaining cold time from an upstream's answer, in ms. */
   answered (id: string, remaining: number): void {
     const { cold, began } = this.#options
-    if (cold.read(id, remaining)) began([id])
+    if (cold.recordAnswer(id, remaining)) began([id])
   }
 
   /** Removes the upstreams that the roster no longer remembers. */
@@ -49,7 +49,7 @@
     const isFirst = !this.#hasList
     this.#hasList = true
     const upstreams = changes.flatMap(each => 'upstream' in each ? [each.upstream] : [])
-    const begun = upstreams.filter(each => cold.read(each.id, this.#remaining(each, isFirst)))
+    const begun = upstreams.filter(each => cold.recordAnswer(each.id, this.#remaining(each, isFirst)))
     if (begun.length > 0) began(begun.map(each => each.id))
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -5,8 +5,8 @@
  */
 import { randomUUID } from 'node:crypto'
 import { InFlight, Pauses, Stalls, Suspects } from '@eiderwind/detect'
-import { Choice, FairQueue, Intake, OfferedLoad, Queue } from '@eiderwind/dispatch'
-import { UsualPatience } from '@eiderwind/fairness'
+import { Choice, FairQueue, Availability, OfferedLoad, Queue } from '@eiderwind/dispatch'
+import { UsualMaxWaits } from '@eiderwind/fairness'
 import { type Reconciler } from '@eiderwind/forming'
 import { Deliveries, type Context } from '@eiderwind/forward'
 import { Peers, type Heartbeat, type PeerAddress } from '@eiderwind/peers'
@@ -68,7 +68,7 @@
   readonly #conditions: Conditions
   readonly #limiting: Limiting
   readonly #evacuating: Evacuating
-  readonly #intake: Intake
+  readonly #availability: Availability
   readonly #choice: Choice
   /** Undefined if each gateway searches for room alone. */
   readonly #rooms: Rooms | undefined
@@ -161,12 +161,12 @@
       cold: (id, remaining) => this.#limiting.coldAnswer(id, remaining),
       rested: () => this.#metrics.rested()
     })
-    this.#intake = new Intake({ clock, rests: this.#conditions.rests, tokens: this.#limiting.tokens })
+    this.#availability = new Availability({ clock, rests: this.#conditions.rests, tokens: this.#limiting.tokens })
     this.#choice = new Choice({
       roster: this.#roster,
       inFlight: this.#inFlight,
       suspects: this.#suspects,
-      intake: this.#intake,
+      availability: this.#availability,
       random: Math.random,
       peers,
       dataCentre: settings.dataCentre
@@ -322,7 +322,7 @@
       roster: this.#roster,
       inFlight: this.#inFlight,
       suspects: this.#suspects,
-      intake: this.#intake,
+      availability: this.#availability,
       crashes: this.#crashWatch.crashes,
       random: Math.random,
       names: platform.names,
@@ -331,7 +331,7 @@
       queue: this.#queue,
       offered: this.#offered,
       forecast: new Forecast(),
-      places: rooms?.asker,
+      places: rooms?.placeClient,
       retryBudget: service => this.#budgets.of(service),
       answered: (upstream, head) => {
         conditions.answered(upstream, head, platform.conditionOf(head.status, head.headers))
@@ -346,7 +346,7 @@
       freshness,
       strictKeys,
       random: Math.random,
-      patience: fair ? new UsualPatience() : undefined,
+      usualMaxWaits: fair ? new UsualMaxWaits() : undefined,
       deliveries: this.#deliveries,
       refused: code => this.#metrics.refused(code),
       ended: (request, outcome) => requests.ended(request, outcome)
@@ -366,7 +366,7 @@
       rests: this.#conditions.rests,
       queue: this.#queue,
       choice: this.#choice,
-      intake: this.#intake,
+      availability: this.#availability,
       engine: service => this.#board.read('inForce')?.traffic.services.find(each => each.name === service)?.engine,
       random: Math.random
     })
--- a/packages/gateway/src/limiting.ts
+++ b/packages/gateway/src/limiting.ts
@@ -7,7 +7,7 @@
 import { type Clock, type Random } from '@eiderwind/clock'
 import { type InFlight } from '@eiderwind/detect'
 import { type Queue } from '@eiderwind/dispatch'
-import { ColdUpstreams, Issuer, Limits, Owners, Tokens, coldRate, decodeMessage, encodeMessage, ownAsk, type ColdReport, type LimitReport, type Reply, type TokenMessage } from '@eiderwind/limits'
+import { ColdUpstreams, Issuer, Limits, Owners, TokenClient, coldRate, decodeMessage, encodeMessage, localSender, type ColdReport, type LimitReport, type Reply, type TokenMessage } from '@eiderwind/limits'
 import { type Log } from '@eiderwind/log'
 import { type Heartbeat, type Peers } from '@eiderwind/peers'
 import { type Roster } from '@eiderwind/roster'
@@ -59,7 +59,7 @@
 /** Limits of upstreams, shared by all gateways. */
 export class Limiting {
   readonly limits: Limits
-  readonly tokens: Tokens
+  readonly tokens: TokenClient
   readonly cold: ColdUpstreams
   readonly #options: LimitingOptions
   readonly #issuer: Issuer
@@ -90,11 +90,11 @@
     })
     this.#issuer = new Issuer({
       clock,
-      rate: upstream => this.limits.rate(upstream) * this.#owners.part,
+      rate: upstream => this.limits.rate(upstream) * this.#owners.share,
       begin: upstream => this.#begin(upstream),
       deliver: (to, reply) => this.#deliver(to, reply)
     })
-    this.tokens = new Tokens({
+    this.tokens = new TokenClient({
       clock,
       limits: this.limits,
       cold: this.cold,
@@ -109,7 +109,7 @@
   /** Takes the limit named in an upstream's answer to this gateway; Infinity if it names none. */
   named (id: string, rate: number): void {
     const isNew = !this.limits.isLimited(id)
-    if (this.limits.named(id, rate)) this.#limitChanged(id, isNew)
+    if (this.limits.recordAnswer(id, rate)) this.#limitChanged(id, isNew)
     if (isNew && this.limits.isLimited(id)) this.#options.peers.send()
   }
 
@@ -120,7 +120,7 @@
 
   /** This module's fields of the heartbeats to other gateways. */
   get news (): Pick<Heartbeat, 'limits' | 'cold'> {
-    this.#owners.look()
+    this.#owners.refresh()
     this.#forget()
     const isIssuedHere = (id: string): boolean => this.#otherOwner(id) === undefined
     return { limits: this.limits.reports(isIssuedHere), cold: this.cold.reports(isIssuedHere) }
@@ -156,7 +156,7 @@
     switch (message.token) {
       case 'ask': return this.#answerRequest(message, from)
       case 'drop': return this.#issuer.drop(message.upstream, from, message.number)
-      default: if (this.tokens.answered(message)) this.#options.queue.wake()
+      default: if (this.tokens.handleReply(message)) this.#options.queue.wake()
     }
   }
 
@@ -167,23 +167,23 @@
   #answerRequest ({ upstream, limit, cold, ...ask }: Extract<TokenMessage, { token: 'ask' }>, from: string): void {
     this.#receiveLimit(upstream, limit, from)
     if (cold !== undefined) this.#receiveCold({ [upstream]: cold })
-    if (this.#otherOwner(upstream) === undefined) this.#issuer.ask(upstream, { ...ask, from })
+    if (this.#otherOwner(upstream) === undefined) this.#issuer.request(upstream, { ...ask, from })
   }
 
   #deliver (to: string, reply: Reply): void {
-    if (to !== ownAsk) return this.#options.peers.post(to, encodeMessage(reply))
+    if (to !== localSender) return this.#options.peers.post(to, encodeMessage(reply))
     // A token for a local request arrives by a timer, so the queue must be woken. A refusal arrives while the request
     // is still searching for an upstream.
-    if (this.tokens.answered(reply) && reply.token === 'grant') this.#options.queue.wake()
+    if (this.tokens.handleReply(reply) && reply.token === 'grant') this.#options.queue.wake()
   }
 
   #receiveLimit (id: string, report: LimitReport, from: string): void {
     const isNew = !this.limits.isLimited(id)
-    if (this.limits.heard(id, report)) this.#limitChanged(id, isNew, from)
+    if (this.limits.receive(id, report)) this.#limitChanged(id, isNew, from)
   }
 
   #receiveCold (reports: Readonly<Record<string, ColdReport>>): void {
-    const begun = Object.entries(reports).filter(([id, report]) => this.cold.heard(id, report)).map(([id]) => id)
+    const begun = Object.entries(reports).filter(([id, report]) => this.cold.receive(id, report)).map(([id]) => id)
     if (begun.length > 0) this.#coldBegan(begun)
   }
 
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -201,7 +201,7 @@
     single('eiderwind_confirmation_age_seconds', 'Age of the newest confirmation of the configuration.', () => (clock.bootNow() - board.read('confirmedAt')) / 1000)
     single('eiderwind_flights', 'Requests in flight at upstreams.', () => inFlight.total)
     single('eiderwind_waiting', 'Requests queued for an upstream.', () => queue.count)
-    single('eiderwind_teams_above_share', 'Teams that were served more than their share lately.', () => queue.teamsAbove)
+    single('eiderwind_teams_above_share', 'Teams that were served more than their share lately.', () => queue.teamsAboveShare)
     single('eiderwind_away', 'Whether this gateway runs short and has the balancer send new callers to others: 1 or 0.', () => Number(away()))
     single('eiderwind_slow_callers', 'Callers for whom a part of an answer is kept, since they have not read it.', () => deliveries.waiting)
     single('eiderwind_unread_bytes', 'Bytes of answers that are kept for them.', () => deliveries.bytes)
@@ -224,13 +224,13 @@
   #registerRoomGauges (single: (name: string, help: string, read: () => number) => void): void {
     const { rooms } = this.#options
     if (rooms === undefined) return
-    const { asker, issuer, contention } = rooms
+    const { placeClient, issuer, contention } = rooms
     single('eiderwind_rooms_contended', 'Models whose places are issued, since room at their heads is scarce.', () => contention.count)
-    single('eiderwind_places_asked_total', 'Places that requests of this gateway asked for.', () => asker.asked)
-    single('eiderwind_places_received_total', 'Of those, places that they got.', () => asker.received)
-    single('eiderwind_places_refused_total', 'Of those, asks that were refused: no place in time.', () => asker.refused)
-    single('eiderwind_places_alone_total', 'Requests that looked for room alone although it was contended: the issuer did not answer, or its places could not be used.', () => asker.alone)
-    single('eiderwind_places_issued_total', 'Places that this gateway gave to requests of any gateway.', () => issuer.given)
+    single('eiderwind_places_asked_total', 'Places that requests of this gateway asked for.', () => placeClient.requested)
+    single('eiderwind_places_received_total', 'Of those, places that they got.', () => placeClient.received)
+    single('eiderwind_places_refused_total', 'Of those, asks that were refused: no place in time.', () => placeClient.refused)
+    single('eiderwind_places_alone_total', 'Requests that looked for room alone although it was contended: the issuer did not answer, or its places could not be used.', () => placeClient.alone)
+    single('eiderwind_places_issued_total', 'Places that this gateway gave to requests of any gateway.', () => issuer.granted)
     single('eiderwind_places_waiting', 'Requests of any gateway that wait here for a place.', () => issuer.waiting)
   }
 
--- a/packages/gateway/src/rooms.ts
+++ b/packages/gateway/src/rooms.ts
@@ -2,17 +2,17 @@
  * Shares one queue for the room of each model between all gateways. "Room" is the free capacity at the heads of one
  * model, and a "place" is the right to send one request to a head. While room is contended, one gateway issues the
  * places at the model's heads, and the others request them by datagram.
- * Owns this gateway's part in that (`Member`), and the addresses of the other gateways. Relies on `Peers` for which
- * gateways are live and what each has in flight, and on `Choice` for the heads that take requests.
+ * Owns this gateway's part in that (`PlaceCoordinator`), and the addresses of the other gateways. Relies on `Peers` for
+ * which gateways are live and what each has in flight, and on `Choice` for the heads that take requests.
  */
 import { type Clock, type Random, type Subscription } from '@eiderwind/clock'
 import { type InFlight, type InFlightRequest, type Rests } from '@eiderwind/detect'
-import { type Choice, type Intake, type Queue } from '@eiderwind/dispatch'
+import { type Choice, type Availability, type Queue } from '@eiderwind/dispatch'
 import { type AnswerHead } from '@eiderwind/forward'
 import { Owners } from '@eiderwind/limits'
 import { type Log } from '@eiderwind/log'
 import { type Heartbeat, type PeerAddress, type Peers } from '@eiderwind/peers'
-import { Member, decodeMessage, encodeMessage, roomOf, type Asker, type Contention, type Head, type Issuer, type MemberNews, type Room } from '@eiderwind/places'
+import { PlaceCoordinator, decodeMessage, encodeMessage, roomOf, type PlaceClient, type Contention, type Head, type Issuer, type PlaceHeartbeatFields, type Room } from '@eiderwind/places'
 import { type Roster, type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
 
@@ -29,7 +29,7 @@
   readonly rests: Rests
   readonly queue: Queue
   readonly choice: Choice
-  readonly intake: Intake
+  readonly availability: Availability
   /** The properties of a service's engines, by the configuration in force; undefined if the service has none. */
   readonly engine: (service: string) => Engine | undefined
   readonly random: Random
@@ -47,7 +47,7 @@
 /** Room at models' heads, shared by all gateways. */
 export class Rooms {
   readonly #options: RoomsOptions
-  readonly #member: Member
+  readonly #coordinator: PlaceCoordinator
   readonly #owners: Owners
   /** Ids of gateways by the `host:port` from which their messages come. */
   readonly #senders = new Map<string, string>()
@@ -62,7 +62,7 @@
       fleet: () => peers.live.length + 1,
       settleTime: 0
     })
-    this.#member = new Member({
+    this.#coordinator = new PlaceCoordinator({
       clock,
       id,
       dataCentre,
@@ -77,16 +77,16 @@
     })
   }
 
-  get asker (): Asker {
-    return this.#member.asker
+  get placeClient (): PlaceClient {
+    return this.#coordinator.placeClient
   }
 
   get issuer (): Issuer {
-    return this.#member.issuer
+    return this.#coordinator.issuer
   }
 
   get contention (): Contention {
-    return this.#member.contention
+    return this.#coordinator.contention
   }
 
   start (): void {
@@ -98,14 +98,14 @@
   }
 
   /** This module's fields of the heartbeats to other gateways. */
-  get news (): MemberNews {
-    return this.#member.news
+  get news (): PlaceHeartbeatFields {
+    return this.#coordinator.heartbeatFields
   }
 
   /** Takes another gateway's heartbeat. */
   hear ({ id, inFlight, contended, grants }: Heartbeat, { address }: PeerAddress): void {
     this.#senders.set(address, id)
-    this.#member.hear(id, inFlight, { contended, grants })
+    this.#coordinator.receiveHeartbeat(id, inFlight, { contended, grants })
   }
 
   /** Takes a datagram that is not a heartbeat. Returns whether it is about places. */
@@ -113,7 +113,7 @@
     const message = decodeMessage(datagram)
     const sender = this.#senders.get(from)
     if (message === undefined) return false
-    if (sender !== undefined) this.#member.take(message, sender)
+    if (sender !== undefined) this.#coordinator.receive(message, sender)
     return true
   }
 
@@ -121,7 +121,7 @@
   ended ({ upstream }: InFlightRequest): void {
     const head = this.#options.roster.find(upstream)
     if (head?.membership === undefined) return
-    this.#member.ended(roomOfHead(head), upstream)
+    this.#coordinator.recordEnd(roomOfHead(head), upstream)
   }
 
   /** Takes the head of an upstream's answer to a request of this gateway. */
@@ -129,7 +129,7 @@
     if (!refused || upstream.membership === undefined) return
     // A head that is merely full refuses one request and accepts the next.
     const left = this.#options.rests.left(upstream.id)
-    this.#member.refused(roomOfHead(upstream), upstream.id, left > 0 ? left : undefined)
+    this.#coordinator.recordRefusal(roomOfHead(upstream), upstream.id, left > 0 ? left : undefined)
   }
 
   /** The gateway that issues the places of a room; undefined if it is this one. */
@@ -140,12 +140,12 @@
 
   /** The heads whose places are issued. Heads that take requests only by tokens have another rule. */
   #heads ({ service, model }: Room): Head[] {
-    const { roster, rests, choice, intake, engine: engineOf } = this.#options
+    const { roster, rests, choice, availability, engine: engineOf } = this.#options
     const engine = engineOf(service)
     if (engine === undefined) return []
     const openHeads = new Set(choice.heads(service, model).map(({ id }) => id))
     return roster.heads(service, model)
-      .filter(({ id }) => !intake.isLimited(id) && (openHeads.has(id) || rests.has(id)))
+      .filter(({ id }) => !availability.isLimited(id) && (openHeads.has(id) || rests.has(id)))
       .map(({ id, dataCentre }) => ({ id, dataCentre, capacity: engine.slots + queuedPerHead, closedFor: rests.left(id) }))
   }
 
@@ -159,7 +159,7 @@
 
   #removeStale (): void {
     const live = new Set(this.#options.peers.live.map(each => each.id))
-    this.#member.forget(id => live.has(id))
+    this.#coordinator.forget(id => live.has(id))
     for (const [address, id] of this.#senders) if (!live.has(id)) this.#senders.delete(address)
   }
 
--- a/packages/gateway/test/choice.test.ts
+++ b/packages/gateway/test/choice.test.ts
@@ -6,7 +6,7 @@
 import test from 'ava'
 import { ManualClock, seeded } from '@eiderwind/clock'
 import { InFlight, Rests, Suspects } from '@eiderwind/detect'
-import { Choice, Intake } from '@eiderwind/dispatch'
+import { Choice, Availability } from '@eiderwind/dispatch'
 import { Peers, type Heartbeat } from '@eiderwind/peers'
 import { Roster, type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
@@ -39,7 +39,7 @@
     const inFlight = new InFlight(clock, () => {})
     const heartbeat = (): Heartbeat => ({ id, revision: 1, canPlan: false, inFlight: inFlight.counts, suspects: [], offeredByModel: {}, served: true, loads: {} })
     const peers = new Peers({ clock, id, address, datagrams: new ModelDatagrams(network, address), heartbeat, interval: 250, timeout: 1000 })
-    const choice = new Choice({ roster, inFlight, peers, suspects: new Suspects(clock, roster), intake: new Intake({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc', random })
+    const choice = new Choice({ roster, inFlight, peers, suspects: new Suspects(clock, roster), availability: new Availability({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc', random })
     return { inFlight, peers, choice }
   })
   for (const { peers } of all) {
--- a/packages/gateway/test/conditions.test.ts
+++ b/packages/gateway/test/conditions.test.ts
@@ -8,7 +8,7 @@
 import { type Heartbeat } from '@eiderwind/peers'
 import { Roster, type Condition, type Upstream } from '@eiderwind/roster'
 import { Conditions } from '../src/conditions.js'
-import { seeker } from './seeker.js'
+import { queuedRequest } from './queuedrequest.js'
 
 const noCondition: Condition = { leaving: false, rest: 0 }
 
@@ -65,7 +65,7 @@
   t.is(withdrawn, 1)
   t.deepEqual(lines, ['upstream-resting a 1000'])
   t.is(fixture.restCount, 1)
-  const found = queue.wait(seeker(clock.now(), clock.now() + 5000), () => conditions.rests.has('a') ? undefined : clock.now())
+  const found = queue.wait(queuedRequest(clock.now(), clock.now() + 5000), () => conditions.rests.has('a') ? undefined : clock.now())
   clock.advance(1000)
   t.is(await found, 1000)
 })
--- a/packages/gateway/test/digest.test.ts
+++ b/packages/gateway/test/digest.test.ts
@@ -7,7 +7,7 @@
 import test from 'ava'
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
 import { InFlight, Pauses, Stalls, Rests, Suspects, type InFlightRequest } from '@eiderwind/detect'
-import { Choice, Intake, Queue, RetryBudget } from '@eiderwind/dispatch'
+import { Choice, Availability, Queue, RetryBudget } from '@eiderwind/dispatch'
 import { Log } from '@eiderwind/log'
 import { Peers } from '@eiderwind/peers'
 import { Roster, type Upstream } from '@eiderwind/roster'
@@ -46,7 +46,7 @@
   const roster = new Roster(clock)
   const flights = new InFlight(clock, () => {})
   const suspects = new Suspects(clock, roster)
-  const choice = new Choice({ roster, inFlight: flights, peers: peersWithoutOthers(clock), suspects, intake: new Intake({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc1', random: seeded(42) })
+  const choice = new Choice({ roster, inFlight: flights, peers: peersWithoutOthers(clock), suspects, availability: new Availability({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc1', random: seeded(42) })
   const running: InFlightRequest[] = []
   const lines: string[] = []
   for (let step = 0; step < 2000; step++) {
@@ -87,7 +87,7 @@
   const peers = new Peers({ clock, id: 'e', address: `127.0.0.1:${port}`, heartbeat: () => heartbeat, interval: 250, timeout: 1000 })
   await peers.start()
   const other = createSocket('udp4')
-  const choice = new Choice({ roster, inFlight: flights, peers, suspects: new Suspects(clock, roster), intake: new Intake({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc1', random: seeded(43) })
+  const choice = new Choice({ roster, inFlight: flights, peers, suspects: new Suspects(clock, roster), availability: new Availability({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }) }), dataCentre: 'dc1', random: seeded(43) })
   const loads = { u0: 1, u1: 6, u2: 3, u3: 0, u4: 6, u5: 2 }
   other.send(JSON.stringify({ ...wireHeartbeat, id: 'f', loads }), port, '127.0.0.1')
   for (let turn = 0; turn < 200 && peers.live.length === 0; turn++) await new Promise(resolve => setTimeout(resolve, 5))
@@ -112,7 +112,7 @@
   for (let step = 0; step < 4000; step++) {
     clock.advance(Math.floor(random() * 120))
     if (random() < 0.01) gateways = 1 + Math.floor(random() * 8)
-    if (random() < 0.6) budget.request()
+    if (random() < 0.6) budget.countRequest()
     lines.push(random() < 0.4 ? String(budget.take()) : `${budget.left} ${budget.used}`)
   }
   t.is(digest(lines), '2eaa955264e39982')
--- a/packages/gateway/test/limitfleet.ts
+++ b/packages/gateway/test/limitfleet.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates many gateways that share one upstream with a limit, and compares strategies of sharing it. Each strategy
  * gets the same callers, kills and partitions. Time and network are modelled. The strategy in use, `tokens`, runs with
- * the real `Peers`, `Limiting`, `Intake` and `Queue`; the others run with the real `Issuer`.
+ * the real `Peers`, `Limiting`, `Availability` and `Queue`; the others run with the real `Issuer`.
  */
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
 import { ranked } from '@eiderwind/hash'
@@ -122,7 +122,7 @@
     this.#requests.set(gateway, (this.#requests.get(gateway) ?? 0) + 1)
     const number = ++this.#number
     this.#waiting.set(number, sent)
-    issuer?.ask(upstream, { from: gateway, number, priority: 1, patience: maxWait })
+    issuer?.request(upstream, { from: gateway, number, priority: 1, patience: maxWait })
   }
 
   async start (gateway: string): Promise<void> {
--- a/packages/gateway/test/limiting.test.ts
+++ b/packages/gateway/test/limiting.test.ts
@@ -9,7 +9,7 @@
 import { type Heartbeat, type Peers } from '@eiderwind/peers'
 import { Roster, type Upstream } from '@eiderwind/roster'
 import { Limiting } from '../src/limiting.js'
-import { seeker } from './seeker.js'
+import { queuedRequest } from './queuedrequest.js'
 
 function upstream (id: string): Upstream {
   return { id, service: 's', address: `${id}:1`, dataCentre: 'dc', leaving: false, loaded: [], staged: [] }
@@ -100,7 +100,7 @@
   const withdrawn: string[] = []
   inFlight.begin('a', '', { withdrawn: why => { withdrawn.push(why) } })
   inFlight.begin('b', '', { withdrawn: () => t.fail() })
-  const foundAt = queue.wait(seeker(clock.now(), clock.now() + 5000), () => limiting.limits.isLimited('a') ? clock.now() : undefined)
+  const foundAt = queue.wait(queuedRequest(clock.now(), clock.now() + 5000), () => limiting.limits.isLimited('a') ? clock.now() : undefined)
   limiting.named('a', 3)
   limiting.named('a', 2)
   t.deepEqual(withdrawn, ['the upstream named a limit'])
--- a/packages/gateway/test/limitmember.ts
+++ b/packages/gateway/test/limitmember.ts
@@ -1,17 +1,17 @@
 /**
  * A gateway of a simulated fleet, reduced to the parts that enforce limits. It runs the real `Peers`, `Limiting`,
- * `Intake` and `Queue` over a simulated network.
+ * `Availability` and `Queue` over a simulated network.
  */
 import { type Clock, type Random } from '@eiderwind/clock'
 import { InFlight, Rests } from '@eiderwind/detect'
-import { Intake, Queue } from '@eiderwind/dispatch'
+import { Availability, Queue } from '@eiderwind/dispatch'
 import { type Log } from '@eiderwind/log'
 import { Peers, type Heartbeat, type PeerAddress } from '@eiderwind/peers'
 import { Roster, type Upstream } from '@eiderwind/roster'
 import { type Service } from '@eiderwind/traffic'
 import { Limiting, type ColdBound } from '../src/limiting.js'
 import { ModelDatagrams, type Network } from './network.js'
-import { seeker } from './seeker.js'
+import { queuedRequest } from './queuedrequest.js'
 
 /** In ms. */
 export const heartbeatInterval = 250
@@ -37,7 +37,7 @@
   readonly peers: Peers
   readonly limiting: Limiting
   readonly #clock: Clock
-  readonly #intake: Intake
+  readonly #availability: Availability
   readonly #queue: Queue
 
   constructor ({ clock, random, network, id, onTokenDatagram = () => {}, service, coldBound }: MemberOptions) {
@@ -61,7 +61,7 @@
     })
     const log = { write: () => {} } as unknown as Log
     this.limiting = new Limiting({ clock, log, id, roster: this.roster, peers: this.peers, inFlight: new InFlight(clock, () => {}), queue: this.#queue, random, coldBound, service: () => service })
-    this.#intake = new Intake({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }), tokens: this.limiting.tokens })
+    this.#availability = new Availability({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }), tokens: this.limiting.tokens })
   }
 
   /**
@@ -70,15 +70,15 @@
    * @param sent called with the upstream when the request is sent, but not if it is refused
    */
   request (upstreams: readonly string[], maxWait: number, sent: (upstream: string) => void): void {
-    const claim = this.#intake.claim(1, this.#clock.now() + maxWait)
+    const claim = this.#availability.claim(1, this.#clock.now() + maxWait)
     const find = (): string | undefined => {
-      const found = upstreams.find(each => this.#intake.has(each))
-      if (found === undefined) this.#intake.pursue(claim, upstreams.map(id => ({ id })), new Set())
-      else this.#intake.take(found, claim)
+      const found = upstreams.find(each => this.#availability.isAvailable(each))
+      if (found === undefined) this.#availability.requestToken(claim, upstreams.map(id => ({ id })), new Set())
+      else this.#availability.take(found, claim)
       return found
     }
-    this.#queue.wait(seeker(this.#clock.now(), this.#clock.now() + maxWait), find).then(found => {
-      this.#intake.release(claim)
+    this.#queue.wait(queuedRequest(this.#clock.now(), this.#clock.now() + maxWait), find).then(found => {
+      this.#availability.release(claim)
       if (found !== undefined) sent(found)
     }, error => { throw error })
   }
--- a/packages/gateway/test/overload.ts
+++ b/packages/gateway/test/overload.ts
@@ -7,8 +7,8 @@
 import { Socket } from 'node:net'
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
 import { InFlight, Suspects } from '@eiderwind/detect'
-import { Choice, FairQueue, Intake, Queue, RetryBudget, capacity } from '@eiderwind/dispatch'
-import { UsualPatience } from '@eiderwind/fairness'
+import { Choice, FairQueue, Availability, Queue, RetryBudget, capacity } from '@eiderwind/dispatch'
+import { UsualMaxWaits } from '@eiderwind/fairness'
 import { CallerRequest, StreamPath, type AnswerHead, type Context, type Deliveries } from '@eiderwind/forward'
 import { type Log } from '@eiderwind/log'
 import { Peers, type Heartbeat } from '@eiderwind/peers'
@@ -148,7 +148,7 @@
   readonly #clock = new ManualClock()
   readonly #random: Random
   readonly #heads: ModelHead[]
-  readonly #gateways: Array<{ readonly context: Context, readonly patience: UsualPatience }> = []
+  readonly #gateways: Array<{ readonly context: Context, readonly usualMaxWaits: UsualMaxWaits }> = []
   /** Sizes by the id of the request. */
   readonly #sizes = new Map<string, number>()
   readonly #callers: Caller[] = []
@@ -190,7 +190,7 @@
     const list = Array.from({ length: this.#scenario.gateways }, (_each, index) => ({ id: `g${index}`, address: `g${index}:1` }))
     for (const { id, address } of list) {
       const { context, peers } = this.#gateway(id, address, network, list.length)
-      this.#gateways.push({ context, patience: new UsualPatience() })
+      this.#gateways.push({ context, usualMaxWaits: new UsualMaxWaits() })
       peers.setAddresses(list)
       await peers.start()
       this.#clock.advance(250 / list.length)
@@ -225,9 +225,9 @@
     })
     const log = { write: () => {} } as unknown as Log
     const conditions = new Conditions({ clock, log, roster, inFlight, queue, tell: () => {}, limited: () => {}, cold: () => {}, rested: () => {} })
-    const intake = new Intake({ clock, rests: conditions.rests })
-    const choice = new (this.#scenario.roomSearch === 'two choices' ? this.#twoChoices : Choice)({ roster, inFlight, peers, suspects, intake, dataCentre: 'dc', random })
-    const rooms: Rooms | undefined = this.#scenario.roomSearch === 'issued' ? new Rooms({ clock, log, id, dataCentre: 'dc', roster, peers, inFlight, rests: conditions.rests, queue, choice, intake, engine: () => engine, random }) : undefined
+    const availability = new Availability({ clock, rests: conditions.rests })
+    const choice = new (this.#scenario.roomSearch === 'two choices' ? this.#twoChoices : Choice)({ roster, inFlight, peers, suspects, availability, dataCentre: 'dc', random })
+    const rooms: Rooms | undefined = this.#scenario.roomSearch === 'issued' ? new Rooms({ clock, log, id, dataCentre: 'dc', roster, peers, inFlight, rests: conditions.rests, queue, choice, availability, engine: () => engine, random }) : undefined
     rooms?.start()
     const budget = new RetryBudget(clock, { ratio: 0.2, window: 10_000, slack: 200, gateways: () => gateways })
     const context = {
@@ -237,11 +237,11 @@
       roster,
       inFlight,
       suspects,
-      intake,
+      availability,
       queue,
       random,
       choice,
-      places: rooms?.asker,
+      places: rooms?.placeClient,
       crashes: { standing: () => 'trusted', underTrial: new Set<string>(), broke: () => {}, served: () => {} },
       retryBudget: () => budget,
       connections: { send: (call: Call, receiver: Receiver) => this.#send(id, call, receiver) },
@@ -296,7 +296,7 @@
     caller.tries++
     const id = `r${++this.#id}`
     this.#sizes.set(id, caller.size)
-    const { context, patience } = this.#gateways[Math.floor(this.#random() * this.#gateways.length)]
+    const { context, usualMaxWaits } = this.#gateways[Math.floor(this.#random() * this.#gateways.length)]
     const incoming = new IncomingMessage(new Socket())
     incoming.headers = { id, model: 'm' }
     const response = new ServerResponse(incoming)
@@ -312,7 +312,7 @@
       team: { name: `t${caller.team}`, keys: [] },
       arrivedAt,
       endsAt: arrivedAt + timeLeft,
-      spent: patience.spent('r', timeLeft, arrivedAt),
+      spent: usualMaxWaits.spent('r', timeLeft, arrivedAt),
       idHeader: 'id',
       deliveries: immediateDeliveries,
       onEnd: ({ timing }, outcome) => {
@@ -321,7 +321,7 @@
         else this.#refused(caller, clock.now() - arrivedAt, Number(response.getHeader('retry-after') ?? 0) * 1000)
       }
     })
-    context.retryBudget('s').request()
+    context.retryBudget('s').countRequest()
     new StreamPath(context, request, { model: 'm', engine }).serve().catch(error => { throw error })
   }
 
--- a/packages/gateway/test/rooms.test.ts
+++ b/packages/gateway/test/rooms.test.ts
@@ -2,11 +2,11 @@
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { InFlight, Rests, Suspects, type InFlightRequest } from '@eiderwind/detect'
-import { Choice, Intake, Queue } from '@eiderwind/dispatch'
+import { Choice, Availability, Queue } from '@eiderwind/dispatch'
 import { ranked } from '@eiderwind/hash'
 import { type Log } from '@eiderwind/log'
 import { type Heartbeat, type Peers } from '@eiderwind/peers'
-import { encodeMessage, roomOf, type Wish } from '@eiderwind/places'
+import { encodeMessage, roomOf, type PlaceRequirements } from '@eiderwind/places'
 import { Roster, type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
 import { Rooms } from '../src/rooms.js'
@@ -39,10 +39,10 @@
     const roster = new Roster(clock)
     roster.replace([head('a')])
     const peers = { live, post: (to: string, message: string) => { this.posted.push(`${to} ${message}`) } } as unknown as Peers
-    const intake = new Intake({ clock, rests })
-    const choice = new Choice({ roster, inFlight, peers, suspects: new Suspects(clock, roster), intake, dataCentre: 'dc', random: () => 0 })
+    const availability = new Availability({ clock, rests })
+    const choice = new Choice({ roster, inFlight, peers, suspects: new Suspects(clock, roster), availability, dataCentre: 'dc', random: () => 0 })
     const log = { write: (name: string, { contended, issuer }: Record<string, unknown>) => this.lines.push(`${name} ${String(contended)} ${String(issuer)}`) } as unknown as Log
-    this.rooms = new Rooms({ clock, log, id, dataCentre: 'dc', roster, peers, inFlight, rests, queue: new Queue(clock), choice, intake, engine: service => service === 's' ? engine : undefined, random: () => 0 })
+    this.rooms = new Rooms({ clock, log, id, dataCentre: 'dc', roster, peers, inFlight, rests, queue: new Queue(clock), choice, availability, engine: service => service === 's' ? engine : undefined, random: () => 0 })
   }
 
   /** Simulates a heartbeat of the other gateway. */
@@ -54,7 +54,7 @@
     return this.inFlight.begin('a', 'm')
   }
 
-  wish (): Wish {
+  requirements (): PlaceRequirements {
     const now = this.clock.now()
     return { room, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, aloneUntil: now + 110, objective: 500, besides: () => [] }
   }
@@ -69,7 +69,7 @@
   const { rooms, newMessages, ...fixture } = new Fixture(other)
   const second = new Fixture(other)
   second.inFlight.end(second.begin())
-  t.is(rooms.asker.find(rooms.asker.claim(second.wish())).kind, 'alone')
+  t.is(rooms.placeClient.find(rooms.placeClient.claim(second.requirements())).kind, 'alone')
   t.deepEqual([...newMessages, ...fixture.posted, ...second.newMessages], [])
   t.deepEqual(rooms.news, { contended: [], grants: {} })
 })
@@ -78,8 +78,8 @@
   const fixture = new Fixture(other)
   fixture.receiveHeartbeat({ inFlight: { a: 1 } })
   const request = fixture.begin()
-  const claim = fixture.rooms.asker.claim(fixture.wish())
-  t.is(fixture.rooms.asker.find(claim).kind, 'wait')
+  const claim = fixture.rooms.placeClient.claim(fixture.requirements())
+  t.is(fixture.rooms.placeClient.find(claim).kind, 'wait')
   const [message] = fixture.newMessages
   t.true(message.startsWith(`${issuer} {"place":"ask","service":"s","model":"m"`), message)
   fixture.inFlight.end(request)
@@ -102,7 +102,7 @@
   t.true(fixture.newMessages[0].endsWith('"shut":700}'))
   const second = new Fixture(issuer)
   second.receiveHeartbeat({ contended: [room.key] })
-  t.true(second.rooms.asker.isContended(room))
+  t.true(second.rooms.placeClient.isContended(room))
 })
 
 test('the issuer answers a gateway whose heartbeat it has received, and no other sender', t => {
@@ -120,15 +120,15 @@
 test('a gateway reports the last grant that it received in its heartbeat', async t => {
   const fixture = new Fixture(other)
   fixture.receiveHeartbeat({ inFlight: { a: 2 } })
-  const claim = fixture.rooms.asker.claim(fixture.wish())
-  fixture.rooms.asker.find(claim)
+  const claim = fixture.rooms.placeClient.claim(fixture.requirements())
+  fixture.rooms.placeClient.find(claim)
   fixture.rooms.receive(Buffer.from(encodeMessage({ place: 'grant', number: 1, upstream: 'a', order: 77 })), `${issuer}:1`)
-  t.deepEqual(fixture.rooms.asker.find(claim), { kind: 'place', upstream: 'a' })
+  t.deepEqual(fixture.rooms.placeClient.find(claim), { kind: 'place', upstream: 'a' })
   t.deepEqual(fixture.rooms.news.grants, { [issuer]: 77 })
 })
 
 test('room of a service without engines or a model without heads is never contended', t => {
   const { rooms } = new Fixture(other)
-  t.false(rooms.asker.isContended(roomOf('plain', '')))
-  t.false(rooms.asker.isContended(roomOf('s', 'unknown')))
+  t.false(rooms.placeClient.isContended(roomOf('plain', '')))
+  t.false(rooms.placeClient.isContended(roomOf('s', 'unknown')))
 })
--- a/packages/limits/src/cold.ts
+++ b/packages/limits/src/cold.ts
@@ -105,12 +105,12 @@
    * Records that this gateway itself has read that an upstream is cold for `remaining` ms. Returns whether it was not
    * cold before.
    */
-  read (id: string, remaining: number): boolean {
+  recordAnswer (id: string, remaining: number): boolean {
     return this.#extend(id, remaining, Infinity, this.#options.clock.now())
   }
 
   /** Handles the report of another gateway. Returns whether the upstream was not cold before. */
-  heard (id: string, [rate, remaining]: ColdReport): boolean {
+  receive (id: string, [rate, remaining]: ColdReport): boolean {
     const isExtension = remaining > Math.max(0, this.remaining(id)) + minExtension || this.#find(id) === undefined
     return isExtension && this.#extend(id, remaining, rate, -Infinity)
   }
--- a/packages/limits/src/index.ts
+++ b/packages/limits/src/index.ts
@@ -5,4 +5,4 @@
 export { Limits, type LimitReport } from './limits.js'
 export { decodeMessage, encodeMessage, type TokenMessage } from './messages.js'
 export { Owners, type OwnersOptions } from './owners.js'
-export { Tokens, ownAsk, type Claim, type TokensOptions } from './tokens.js'
+export { TokenClient, localSender, type Claim, type TokenClientOptions } from './tokenclient.js'
--- a/packages/limits/src/issuer.ts
+++ b/packages/limits/src/issuer.ts
@@ -75,7 +75,7 @@
   }
 
   /** Replies at once. If the token comes later but within the request's wait, a second reply delivers it. */
-  ask (upstream: string, request: TokenRequest): void {
+  request (upstream: string, request: TokenRequest): void {
     const { clock, deliver } = this.#options
     const now = clock.now()
     const { from, number, priority, patience } = request
--- a/packages/limits/src/limits.ts
+++ b/packages/limits/src/limits.ts
@@ -84,14 +84,14 @@
    * Records the limit in an answer to this gateway; Infinity if the answer names none. Returns whether the limit
    * changed.
    */
-  named (id: string, rate: number): boolean {
+  recordAnswer (id: string, rate: number): boolean {
     const before = this.namedRate(id)
     if (Number.isFinite(rate) || this.#known.has(id)) this.#set(id, rate, true)
     return this.namedRate(id) !== before
   }
 
   /** Handles the report of another gateway, unless the report is older. Returns whether the limit changed. */
-  heard (id: string, [rate, age]: LimitReport): boolean {
+  receive (id: string, [rate, age]: LimitReport): boolean {
     const readAt = this.#clock.now() - age
     const known = this.#known.get(id)
     const before = this.namedRate(id)
--- a/packages/limits/src/owners.ts
+++ b/packages/limits/src/owners.ts
@@ -41,7 +41,7 @@
 
   /** The id of the gateway that issues the tokens of an upstream. */
   of (upstream: string): string {
-    this.look()
+    this.refresh()
     const owner = this.#cached.get(upstream) ?? firstOwner(upstream, [...this.#liveSince.keys()])
     this.#cached.set(upstream, owner)
     return owner
@@ -51,8 +51,8 @@
    * The share of each limit that its owner issues: the number of live gateways divided by the number seen recently.
    * If the fleet is partitioned, all partitions together issue no more than the whole fleet did.
    */
-  get part (): number {
-    this.look()
+  get share (): number {
+    this.refresh()
     return this.#share
   }
 
@@ -60,7 +60,7 @@
    * Updates the live gateways if the cache has expired. Must be called often, even if no upstream is limited: once
    * one is, the time for which each gateway has been live matters.
    */
-  look (): void {
+  refresh (): void {
     const { clock, live, fleet, settleTime } = this.#options
     const now = clock.now()
     if (now < this.#validUntil) return
--- a/packages/limits/src/tokens.ts
+++ b/packages/limits/src/tokenclient.ts
@@ -23,8 +23,8 @@
   requestNumber: number | undefined
 }
 
-/** Dependencies of `Tokens`. */
-export interface TokensOptions {
+/** Dependencies of `TokenClient`. */
+export interface TokenClientOptions {
   readonly clock: Clock
   readonly limits: Limits
   /** Absent if no upstream is ever cold. */
@@ -44,7 +44,7 @@
 }
 
 /** The value of `TokenRequest.from` for requests of this gateway. */
-export const ownAsk = ''
+export const localSender = ''
 
 /** How long another gateway may take to reply, in ms. This is many times a network round trip. */
 const replyTimeout = 50
@@ -83,8 +83,8 @@
 }
 
 /** The tokens of one gateway. */
-export class Tokens {
-  readonly #options: TokensOptions
+export class TokenClient {
+  readonly #options: TokenClientOptions
   readonly #pending = new Map<number, PendingRequest>()
   /** The held tokens, by upstream. */
   readonly #held = new Map<string, HeldToken[]>()
@@ -94,7 +94,7 @@
   received = 0
   used = 0
 
-  constructor (options: TokensOptions) {
+  constructor (options: TokenClientOptions) {
     this.#options = options
     this.#lastNumber = Math.floor(options.random() * maxFirstNumber)
   }
@@ -135,7 +135,7 @@
   }
 
   /** Time until an upstream has a token for a request, in ms; 0 if that time is not known. */
-  due (upstream: string, priority: number): number {
+  expectedWait (upstream: string, priority: number): number {
     const due = this.#nextTokens.get(upstream)
     if (due === undefined || due.priority > priority) return 0
     return Math.max(0, due.at - this.#options.clock.now())
@@ -156,7 +156,7 @@
    * Asks for a token of one of the upstreams, unless a token request is pending. Must be called again after each
    * change.
    */
-  pursue (claim: Claim, upstreams: readonly string[]): void {
+  requestToken (claim: Claim, upstreams: readonly string[]): void {
     if (claim.until <= this.#options.clock.now()) return
     while (claim.requestNumber === undefined) {
       const open = upstreams.filter(each => !claim.refused.has(each) && !this.has(each))
@@ -175,7 +175,7 @@
     pending.timer.cancel()
     const { issuer, post } = this.#options
     if (pending.owner === undefined) {
-      issuer.drop(pending.upstream, ownAsk, number)
+      issuer.drop(pending.upstream, localSender, number)
       this.#pending.delete(number)
     } else {
       post(pending.owner, { token: 'drop', upstream: pending.upstream, number })
@@ -187,7 +187,7 @@
    * Handles the reply to a token request. Returns whether waiting requests should search again, because a token has
    * come or none will come for the request that asked.
    */
-  answered (reply: Reply): boolean {
+  handleReply (reply: Reply): boolean {
     const pending = this.#pending.get(reply.number)
     if (pending === undefined) return false
     return reply.token === 'grant' ? this.#handleGrant(reply.number, pending) : this.#handleLater(reply.number, pending, reply.due)
@@ -195,7 +195,7 @@
 
   #soonest (upstreams: readonly string[], priority: number): string {
     const { random } = this.#options
-    const drawn = upstreams.map(upstream => ({ upstream, due: this.due(upstream, priority), draw: random() }))
+    const drawn = upstreams.map(upstream => ({ upstream, due: this.expectedWait(upstream, priority), draw: random() }))
     return drawn.sort((a, b) => a.due - b.due || a.draw - b.draw)[0].upstream
   }
 
@@ -206,7 +206,7 @@
     const patience = Math.max(0, claim.until - clock.now() - (owner === undefined ? 0 : transitTime))
     claim.requestNumber = number
     this.#pending.set(number, { claim, upstream, owner, maxWait: patience, timer: this.#startTimeout(number, replyTimeout) })
-    if (owner === undefined) issuer.ask(upstream, { from: ownAsk, number, priority: claim.priority, patience })
+    if (owner === undefined) issuer.request(upstream, { from: localSender, number, priority: claim.priority, patience })
     else post(owner, { token: 'ask', upstream, number, priority: claim.priority, patience, limit: [...limits.report(upstream)], ...coldField(cold?.report(upstream)) })
   }
 
--- a/packages/limits/test/cold.test.ts
+++ b/packages/limits/test/cold.test.ts
@@ -15,8 +15,8 @@
 
 test('an upstream is cold for the time that was read, and its end is announced once', t => {
   const { clock, cold, ended } = coldUpstreams()
-  t.true(cold.read('a', 3000))
-  t.false(cold.read('a', 2000))
+  t.true(cold.recordAnswer('a', 3000))
+  t.false(cold.recordAnswer('a', 2000))
   t.is(cold.rate('a'), 32)
   t.is(cold.rate('b'), Infinity)
   t.is(cold.since('a'), 0)
@@ -26,13 +26,13 @@
   t.is(cold.rate('a'), Infinity)
   t.is(cold.since('a'), undefined)
   t.deepEqual(ended, ['a 3000'])
-  t.true(cold.read('a', 10))
+  t.true(cold.recordAnswer('a', 10))
 })
 
 test('of two readings the longer time applies, in either order', t => {
   for (const times of [[1000, 5000], [5000, 1000]]) {
     const { clock, cold, ended } = coldUpstreams()
-    for (const each of times) cold.read('a', each)
+    for (const each of times) cold.recordAnswer('a', each)
     clock.advance(10_000)
     t.deepEqual(ended, ['a 5000'])
   }
@@ -40,15 +40,15 @@
 
 test('a zero, negative or NaN time is ignored, and an enormous one ends after an hour', t => {
   const { clock, cold, ended } = coldUpstreams()
-  for (const each of [0, -1, NaN]) t.false(cold.read('a', each))
-  cold.read('a', 1e15)
+  for (const each of [0, -1, NaN]) t.false(cold.recordAnswer('a', each))
+  cold.recordAnswer('a', 1e15)
   clock.advance(3_600_000)
   t.deepEqual(ended, ['a 3600000'])
 })
 
 test('an explicit end applies at once and is announced only for a cold upstream', t => {
   const { cold, ended } = coldUpstreams()
-  cold.read('a', 3000)
+  cold.recordAnswer('a', 3000)
   cold.end('a')
   cold.end('b')
   t.is(cold.rate('a'), Infinity)
@@ -57,30 +57,30 @@
 
 test('a gateway without a configured rate uses the rate in a report', t => {
   const { cold } = coldUpstreams(Infinity)
-  cold.read('b', 3000)
+  cold.recordAnswer('b', 3000)
   t.is(cold.rate('b'), Infinity, 'no rate is configured, so it is not limited')
   t.deepEqual(cold.reports(() => true), {})
-  t.true(cold.heard('a', [32, 3000]))
+  t.true(cold.receive('a', [32, 3000]))
   t.is(cold.rate('a'), 32)
 })
 
 test('reports that take less than 50 ms to arrive do not prolong the cold state', t => {
   const { clock, cold } = coldUpstreams()
-  cold.read('a', 3000)
+  cold.recordAnswer('a', 3000)
   for (let round = 0; round < 40; round++) {
     const { a } = cold.reports(() => true)
     clock.advance(50)
-    if (a !== undefined) cold.heard('a', a)
+    if (a !== undefined) cold.receive('a', a)
   }
   t.is(Math.round(cold.remaining('a')), 1000)
-  t.false(cold.heard('a', [32, 2000]))
+  t.false(cold.receive('a', [32, 2000]))
   t.is(Math.round(cold.remaining('a')), 2000, 'a later coldness holds')
 })
 
 test('a gateway reports what it read within 600 ms, and the upstreams whose tokens it issues until they are warm', t => {
   const { clock, cold } = coldUpstreams()
-  cold.read('a', 3000)
-  cold.heard('b', [20, 3000])
+  cold.recordAnswer('a', 3000)
+  cold.receive('b', [20, 3000])
   t.deepEqual(cold.reports(none), { a: [32, 3000] })
   clock.advance(600)
   t.deepEqual(cold.reports(none), {})
@@ -91,7 +91,7 @@
 
 test('the reports stay short when 3000 upstreams start at once', t => {
   const { cold } = coldUpstreams()
-  for (let index = 0; index < 3000; index++) cold.read(`u${index}`, 3000)
+  for (let index = 0; index < 3000; index++) cold.recordAnswer(`u${index}`, 3000)
   t.is(Object.keys(cold.reports(none)).length, 64)
 })
 
@@ -99,8 +99,8 @@
   for (const [named, rate, both] of [[3, 32, 3], [50, 32, 32], [Infinity, 32, 32], [3, Infinity, 3]]) {
     const { clock, cold } = coldUpstreams(rate)
     const limits = new Limits(clock, cold)
-    limits.named('a', named)
-    cold.read('a', 3000)
+    limits.recordAnswer('a', named)
+    cold.recordAnswer('a', 3000)
     t.is(limits.rate('a'), both)
     clock.advance(3000)
     t.is(limits.rate('a'), named)
@@ -111,13 +111,13 @@
   const { clock, cold } = coldUpstreams()
   const limits = new Limits(clock, cold)
   clock.advance(100)
-  cold.read('a', 3000)
+  cold.recordAnswer('a', 3000)
   clock.advance(100)
-  limits.named('a', 3)
+  limits.recordAnswer('a', 3)
   t.is(limits.since('a'), 100)
   clock.advance(3000)
   t.is(limits.since('a'), 200)
-  t.true(limits.named('a', Infinity))
+  t.true(limits.recordAnswer('a', Infinity))
   t.is(limits.since('a'), undefined)
 })
 
--- a/packages/limits/test/issuer.test.ts
+++ b/packages/limits/test/issuer.test.ts
@@ -16,7 +16,7 @@
   })
 
   request (from: string, number: number, fields: Partial<TokenRequest> = {}): void {
-    this.issuer.ask('u', { from, number, priority: 1, patience: 1000, ...fields })
+    this.issuer.request('u', { from, number, priority: 1, patience: 1000, ...fields })
   }
 
   /** The replies since the last call. */
--- a/packages/limits/test/owners.test.ts
+++ b/packages/limits/test/owners.test.ts
@@ -13,7 +13,7 @@
   settle (): void {
     for (let count = 0; count < 4; count++) {
       this.clock.advance(250)
-      this.owners.look()
+      this.owners.refresh()
     }
   }
 }
@@ -39,33 +39,33 @@
 test('the whole limit is issued if all gateways are live, and the share of the live ones if some were lost recently', t => {
   const fixture = new Fixture()
   const { owners } = fixture
-  owners.look()
+  owners.refresh()
   fixture.settle()
-  t.is(owners.part, 1)
+  t.is(owners.share, 1)
   fixture.live = ['g1', 'g2']
   fixture.settle()
-  t.is(owners.part, 2 / 3)
+  t.is(owners.share, 2 / 3)
   fixture.fleet = 2
   fixture.settle()
-  t.is(owners.part, 1)
+  t.is(owners.share, 1)
 })
 
 test('a gateway that returns counts after it has been live for a second, because another one may issue its share until then', t => {
   const fixture = new Fixture()
   const { clock, owners } = fixture
   fixture.live = ['g1', 'g2']
-  owners.look()
+  owners.refresh()
   fixture.settle()
   fixture.live = ['g1', 'g2', 'g3']
   clock.advance(999)
-  t.is(owners.part, 2 / 3)
+  t.is(owners.share, 2 / 3)
   fixture.settle()
-  t.is(owners.part, 1)
+  t.is(owners.share, 1)
 })
 
 test('a single gateway issues the whole limit from its start', t => {
   const fixture = new Fixture()
   fixture.live = ['g1']
   fixture.fleet = 1
-  t.is(fixture.owners.part, 1)
+  t.is(fixture.owners.share, 1)
 })
--- a/packages/places/src/claim.ts
+++ b/packages/places/src/claim.ts
@@ -2,11 +2,11 @@
  * A request of this gateway that may need a place: its requirements, the state of its search, and what it should do
  * next.
  */
-import { type Waiting } from '@eiderwind/fairness'
+import { type WaitingRequest } from '@eiderwind/fairness'
 import { type Room } from './room.js'
 
 /** What a request needs. Times are on `Clock.now`, in ms. */
-export interface Wish extends Waiting {
+export interface PlaceRequirements extends WaitingRequest {
   readonly room: Room
   /** When the request stops waiting if it searches for room alone. */
   readonly aloneUntil: number
@@ -20,7 +20,7 @@
 
 /** A request that may need a place. */
 export class Claim {
-  readonly requirements: Wish
+  readonly requirements: PlaceRequirements
   state: State = 'none'
   /** The number of the pending place request. */
   number = 0
@@ -37,7 +37,7 @@
   /** Places that could not be used. */
   unusedPlaces = 0
 
-  constructor (requirements: Wish) {
+  constructor (requirements: PlaceRequirements) {
     this.requirements = requirements
   }
 }
--- a/packages/places/src/issuer.ts
+++ b/packages/places/src/issuer.ts
@@ -37,7 +37,7 @@
   readonly #freePlaces: FreePlaces
   /** Place requests received, places granted and place requests refused. */
   received = 0
-  given = 0
+  granted = 0
   refused = 0
 
   constructor (options: IssuerOptions) {
@@ -133,7 +133,7 @@
   /** Refuses the requests whose time is over, and then grants the free places. */
   #grantFree (queue: RoomQueue): void {
     const now = this.#options.clock.now()
-    for (const request of queue.takeEnded(now)) this.#refuse(queue, request, now)
+    for (const request of queue.takeExpired(now)) this.#refuse(queue, request, now)
     const open = this.#freePlaces.open(queue.room)
     const unfit = new Set<PlaceRequest>()
     for (let free = this.#freePlaces.free(open); free.length > 0; free = this.#freePlaces.free(free)) {
@@ -155,7 +155,7 @@
   #grant (queue: RoomQueue, request: PlaceRequest, { id: upstream }: Head, now: number): void {
     const { from, number } = request
     queue.recordGrant(request, now)
-    this.given++
+    this.granted++
     this.#options.deliver(from, { place: 'grant', number, upstream, order: this.#grants.add(from, upstream) })
   }
 
--- a/packages/places/src/asker.ts
+++ b/packages/places/src/placeclient.ts
@@ -6,15 +6,15 @@
  */
 import { type Clock, type Random, type Subscription } from '@eiderwind/clock'
 import { localSender, placeLifetime, type PlaceRequest, type Reply, type CountUpdate } from './request.js'
-import { Claim, type PlaceDecision, type Wish } from './claim.js'
+import { Claim, type PlaceDecision, type PlaceRequirements } from './claim.js'
 import { type Contention } from './contention.js'
 import { type Issuer } from './issuer.js'
 import { RemoteIssuers } from './remoteissuers.js'
 import { requestMessage, type PlaceMessage } from './messages.js'
 import { type Room } from './room.js'
 
-/** Dependencies of `Asker`. */
-export interface AskerOptions {
+/** Dependencies of `PlaceClient`. */
+export interface PlaceClientOptions {
   readonly clock: Clock
   /** The id of this gateway. */
   readonly id: string
@@ -59,8 +59,8 @@
 }
 
 /** Requests places for the requests of this gateway. */
-export class Asker {
-  readonly #options: AskerOptions
+export class PlaceClient {
+  readonly #options: PlaceClientOptions
   readonly #pending = new Map<number, PendingRequest>()
   readonly #issuers: RemoteIssuers
   #lastNumber: number
@@ -69,12 +69,12 @@
    * Place requests made, places received, refusals received, and requests that searched alone because no issuer
    * replied.
    */
-  asked = 0
+  requested = 0
   received = 0
   refused = 0
   alone = 0
 
-  constructor (options: AskerOptions) {
+  constructor (options: PlaceClientOptions) {
     this.#options = options
     this.#issuers = new RemoteIssuers(options.clock)
     this.#lastNumber = Math.floor(options.random() * maxFirstNumber)
@@ -85,7 +85,7 @@
     return this.#options.contention.has(room)
   }
 
-  claim (requirements: Wish): Claim {
+  claim (requirements: PlaceRequirements): Claim {
     return new Claim(requirements)
   }
 
@@ -105,14 +105,14 @@
    * Records that a request searched alone and found no room. Returns whether it should search again, because it may
    * request a place now.
    */
-  lacked ({ state, requirements: { room } }: Claim): boolean {
+  recordNoRoom ({ state, requirements: { room } }: Claim): boolean {
     const wasContended = this.isContended(room)
     this.#options.contention.recordShortage(room)
     return state === 'none' && !wasContended
   }
 
   /** Whether a request that searches alone has waited as long as it would without the shared queue. */
-  isOver ({ state, requirements: { aloneUntil } }: Claim): boolean {
+  isTimedOut ({ state, requirements: { aloneUntil } }: Claim): boolean {
     return state === 'alone' && this.#options.clock.now() >= aloneUntil
   }
 
@@ -186,7 +186,7 @@
     const { room } = claim.requirements
     const owner = ownerOf(room.key)
     if (owner !== undefined && this.#issuers.isBackedOff(owner)) return this.#continueAlone(claim)
-    this.asked++
+    this.requested++
     claim.state = 'asking'
     claim.number = ++this.#lastNumber
     const pending: PendingRequest = { claim, owner, timer: undefined }
--- a/packages/places/src/member.ts
+++ b/packages/places/src/placecoordinator.ts
@@ -1,11 +1,11 @@
 /**
  * The participation of one gateway in the shared queues. Owns the counts of the other gateways, the issuer of places,
- * the asker for places, and the messages between them. Relies on its owner for the heads, for this gateway's requests
+ * the place client, and the messages between them. Relies on its owner for the heads, for this gateway's requests
  * in flight, for the issuer of each room, and for sending messages.
  */
 import { type Clock, type Random } from '@eiderwind/clock'
 import { localSender } from './request.js'
-import { Asker } from './asker.js'
+import { PlaceClient } from './placeclient.js'
 import { Contention } from './contention.js'
 import { InFlightCounts } from './inflightcounts.js'
 import { Issuer } from './issuer.js'
@@ -13,8 +13,8 @@
 import { type Head } from './freeplaces.js'
 import { roomOf, type Room } from './room.js'
 
-/** Dependencies of `Member`. */
-export interface MemberOptions {
+/** Dependencies of `PlaceCoordinator`. */
+export interface PlaceCoordinatorOptions {
   readonly clock: Clock
   /** The id and the data centre of this gateway. */
   readonly id: string
@@ -44,7 +44,7 @@
 }
 
 /** The heartbeat fields about places. */
-export interface MemberNews {
+export interface PlaceHeartbeatFields {
   /** Rooms in which the sender has met a shortage. */
   readonly contended?: readonly string[] | undefined
   /** The last grant that the sender received from each gateway. */
@@ -52,14 +52,14 @@
 }
 
 /** One gateway that takes part in the shared queues. */
-export class Member {
-  readonly asker: Asker
+export class PlaceCoordinator {
+  readonly placeClient: PlaceClient
   readonly issuer: Issuer
   readonly contention: Contention
-  readonly #options: MemberOptions
+  readonly #options: PlaceCoordinatorOptions
   readonly #counts = new InFlightCounts()
 
-  constructor (options: MemberOptions) {
+  constructor (options: PlaceCoordinatorOptions) {
     const { clock, id, dataCentre, heads, fullness, inFlight, owner, post, wake, changed, random } = options
     this.#options = options
     const counts = this.#counts
@@ -69,19 +69,19 @@
       heads,
       inFlight,
       counts,
-      deliver: (to, reply) => to === localSender ? this.asker.handleReply(undefined, reply) : post(to, reply),
+      deliver: (to, reply) => to === localSender ? this.placeClient.handleReply(undefined, reply) : post(to, reply),
       random
     })
-    this.asker = new Asker({ clock, id, contention: this.contention, issuer: this.issuer, owner, post, inFlight, dataCentre, wake, random })
+    this.placeClient = new PlaceClient({ clock, id, contention: this.contention, issuer: this.issuer, owner, post, inFlight, dataCentre, wake, random })
   }
 
   /** The fields for the heartbeats to other gateways. */
-  get news (): MemberNews {
-    return { contended: this.contention.ownShortages, grants: this.asker.lastGrants }
+  get heartbeatFields (): PlaceHeartbeatFields {
+    return { contended: this.contention.ownShortages, grants: this.placeClient.lastGrants }
   }
 
   /** Handles the heartbeat of another gateway. */
-  hear (from: string, inFlight: Readonly<Record<string, number>>, { contended = [], grants = {} }: MemberNews): void {
+  receiveHeartbeat (from: string, inFlight: Readonly<Record<string, number>>, { contended = [], grants = {} }: PlaceHeartbeatFields): void {
     this.#counts.replace(from, inFlight)
     this.issuer.acknowledgeGrants(from, grants[this.#options.id])
     this.contention.receive(contended)
@@ -89,27 +89,27 @@
   }
 
   /** Handles a message of another gateway. */
-  take (message: PlaceMessage, from: string): void {
+  receive (message: PlaceMessage, from: string): void {
     switch (message.place) {
       case 'ask': return this.#handleRequest(message, from)
       case 'drop': return this.issuer.drop(roomOf(message.service, message.model), from, message.number)
       case 'count': return this.issuer.receiveCount(roomOf(message.service, message.model), from, message)
-      default: this.asker.handleReply(from, message)
+      default: this.placeClient.handleReply(from, message)
     }
   }
 
   /** Records that a request of this gateway has ended and its place is free. */
-  ended (room: Room, upstream: string): void {
-    if (this.contention.has(room)) this.asker.sendCount(room, upstream)
+  recordEnd (room: Room, upstream: string): void {
+    if (this.contention.has(room)) this.placeClient.sendCount(room, upstream)
   }
 
   /**
    * Records that a head refused a request of this gateway.
    * @param shut how long this gateway excludes the head, in ms; undefined if it does not
    */
-  refused (room: Room, upstream: string, shut: number | undefined): void {
+  recordRefusal (room: Room, upstream: string, shut: number | undefined): void {
     this.contention.recordShortage(room)
-    this.asker.sendCount(room, upstream, shut)
+    this.placeClient.sendCount(room, upstream, shut)
   }
 
   /** Removes expired state and the gateways that are no longer live. */
--- a/packages/places/src/request.ts
+++ b/packages/places/src/request.ts
@@ -1,8 +1,8 @@
 /** The requests that gateways send to the issuer of a room's places, and its replies. */
-import { type Waiting } from '@eiderwind/fairness'
+import { type WaitingRequest } from '@eiderwind/fairness'
 
 /** A request that waits for a place, as its gateway describes it. Times are on `Clock.now`, in ms. */
-export interface PlaceRequest extends Waiting {
+export interface PlaceRequest extends WaitingRequest {
   /** Where the reply goes: the id of a gateway, or `localSender`. */
   readonly from: string
   /** Identifies the request to its sender. */
--- a/packages/places/src/roomqueue.ts
+++ b/packages/places/src/roomqueue.ts
@@ -3,7 +3,7 @@
  * Owns these requests. `issuer.ts` decides when they are served.
  */
 import { type Subscription } from '@eiderwind/clock'
-import { TeamUsage, WaitingLine, kindOf } from '@eiderwind/fairness'
+import { TeamUsage, WaitingQueue, kindOf } from '@eiderwind/fairness'
 import { type PlaceRequest } from './request.js'
 import { WaitEstimator } from './waitestimator.js'
 import { type Room } from './room.js'
@@ -14,7 +14,7 @@
 /** The queue of a room. Times are on `Clock.now`, in ms. */
 export class RoomQueue {
   readonly room: Room
-  readonly line = new WaitingLine<PlaceRequest>()
+  readonly line = new WaitingQueue<PlaceRequest>()
   /** The next check of the queue, if nothing else happens in it. */
   timer: Subscription | undefined
   readonly #requests = new Map<string, PlaceRequest>()
@@ -31,7 +31,7 @@
   /** Adds a request to the queue. A repeated datagram replaces the earlier one. */
   add (request: PlaceRequest, now: number): void {
     this.#usedAt = now
-    if (!this.drop(request.from, request.number)) this.#usage.asked(request.team, request.work, now)
+    if (!this.drop(request.from, request.number)) this.#usage.recordRequest(request.team, request.work, now)
     this.#requests.set(keyOf(request.from, request.number), request)
     this.line.add(request)
     if (request.reviewAt !== undefined) this.#awaitingReview.add(request)
@@ -48,8 +48,8 @@
   }
 
   /** Removes and returns the requests that have waited as long as they can. */
-  takeEnded (now: number): PlaceRequest[] {
-    const ended = this.line.takeEnded(now)
+  takeExpired (now: number): PlaceRequest[] {
+    const ended = this.line.takeExpired(now)
     for (const each of ended) this.#remove(each)
     return ended
   }
@@ -65,7 +65,7 @@
 
   /** When the next review is due or the wait of a request ends; Infinity if none waits. */
   get nextCheckAt (): number {
-    return [...this.#awaitingReview].reduce((first, { reviewAt = Infinity }) => Math.min(first, reviewAt), this.line.firstEnd)
+    return [...this.#awaitingReview].reduce((first, { reviewAt = Infinity }) => Math.min(first, reviewAt), this.line.minUntil)
   }
 
   /**
@@ -79,7 +79,7 @@
   /** Records that a place is granted to a request, and removes the request. */
   recordGrant (request: PlaceRequest, now: number): void {
     this.drop(request.from, request.number)
-    this.#usage.served(request.team, request.work, now, kindOf(request, now))
+    this.#usage.recordServed(request.team, request.work, now, kindOf(request, now))
     this.#waitEstimator.recordGrant(request, now)
   }
 
--- a/packages/places/src/waitestimator.ts
+++ b/packages/places/src/waitestimator.ts
@@ -3,7 +3,7 @@
  * requests that wait before it. Owns these rates. Caches each estimate briefly, because many similar requests arrive
  * at once.
  */
-import { expectedWait, groupOf, kindOf, servedInTime, type TeamUsage, type WaitingLine } from '@eiderwind/fairness'
+import { expectedWait, groupOf, kindOf, servedInTime, type TeamUsage, type WaitingQueue } from '@eiderwind/fairness'
 import { type PlaceRequest } from './request.js'
 import { Backlogs } from './backlogs.js'
 import { Rate } from './rate.js'
@@ -53,7 +53,7 @@
   }
 
   /** Records which requests wait now. */
-  recordWaiting (waiting: WaitingLine<PlaceRequest>, now: number): void {
+  recordWaiting (waiting: WaitingQueue<PlaceRequest>, now: number): void {
     this.#busySince = waiting.size > 0 ? this.#busySince ?? now : undefined
     this.#backlogs.recordWaiting(waiting.groups, now)
   }
@@ -63,7 +63,7 @@
    * not known. Places that more urgent requests got recently are left out, because such requests will continue to
    * arrive.
    */
-  expectedWait (request: PlaceRequest, waiting: WaitingLine<PlaceRequest>, usage: TeamUsage, now: number): number {
+  expectedWait (request: PlaceRequest, waiting: WaitingQueue<PlaceRequest>, usage: TeamUsage, now: number): number {
     const rate = this.#rate(request.priority, now)
     if (rate === undefined || this.#busySince === undefined || now - this.#busySince < minBusyTime) return 0
     const kind = `${kindOf(request, now)} ${Math.round((request.until - now) / waitStep)} ${request.team}`
@@ -82,7 +82,7 @@
    * estimate uses the requests that wait now. It also uses the recent rate of similar requests, because requests that
    * arrive later may go first.
    */
-  notServedInTime (candidates: readonly PlaceRequest[], waiting: WaitingLine<PlaceRequest>, usage: TeamUsage, now: number): PlaceRequest[] {
+  notServedInTime (candidates: readonly PlaceRequest[], waiting: WaitingQueue<PlaceRequest>, usage: TeamUsage, now: number): PlaceRequest[] {
     const inTime = new Map<number, ReadonlySet<PlaceRequest>>()
     for (const priority of new Set(candidates.map(each => each.priority))) {
       const rivals = [...waiting].filter(each => each.priority >= priority)
@@ -90,7 +90,7 @@
     }
     return candidates.filter(each => {
       const rate = this.#backlogs.rate(groupOf(each), now)
-      const isOvertaken = rate !== undefined && now + (waiting.before(each) + 1) / rate * 1000 > each.until
+      const isOvertaken = rate !== undefined && now + (waiting.countBefore(each) + 1) / rate * 1000 > each.until
       return isOvertaken || inTime.get(each.priority)?.has(each) !== true
     })
   }
--- a/packages/places/test/fleet.test.ts
+++ b/packages/places/test/fleet.test.ts
@@ -1,4 +1,4 @@
-/** Askers and issuers of several gateways together, with one failure in each test. */
+/** Place clients and issuers of several gateways together, with one failure in each test. */
 import test from 'ava'
 import { Simulation } from './simulation.js'
 
@@ -96,7 +96,7 @@
   const simulation = new Simulation({ gateways: 2, heads: 1, capacity: 1 })
   const [issuer, other] = simulation.gateways
   const leaving = await simulation.request(other)
-  other.asker.release(leaving.claim)
+  other.placeClient.release(leaving.claim)
   leaving.outcome = 'refused'
   await simulation.advance(300)
   const next = await simulation.request(issuer)
--- a/packages/places/test/issuer.test.ts
+++ b/packages/places/test/issuer.test.ts
@@ -129,10 +129,10 @@
   const request = { from: '', number: 1, priority: 1, team: '', work: 1, arrivedAt: 0, inTimeUntil: 400, until: 400, besides: [], near: 'dc' }
   issuer.request(room, request)
   issuer.request(room, { ...request, number: 2 })
-  t.is(issuer.given, 1)
+  t.is(issuer.granted, 1)
   issuer.settle(order)
   issuer.serve(room)
-  t.is(issuer.given, 2)
+  t.is(issuer.granted, 2)
 })
 
 test('a head that refused is excluded for the time that its gateway reports', t => {
--- a/packages/places/test/schedules.test.ts
+++ b/packages/places/test/schedules.test.ts
@@ -44,7 +44,7 @@
 function leave (requests: readonly Request[]): void {
   const waiting = requests.find(each => each.outcome === undefined)
   if (waiting === undefined || waiting.gateway.isDead) return
-  waiting.gateway.asker.release(waiting.claim)
+  waiting.gateway.placeClient.release(waiting.claim)
   waiting.outcome = 'refused'
 }
 
--- a/packages/places/test/simulation.ts
+++ b/packages/places/test/simulation.ts
@@ -1,9 +1,9 @@
 /**
- * Simulates a fleet of gateways before a few heads, on a manual clock. It uses the real issuers and askers. Datagrams
- * are delayed, lost and duplicated, and processes die or are paused.
+ * Simulates a fleet of gateways before a few heads, on a manual clock. It uses the real issuers and place clients.
+ * Datagrams are delayed, lost and duplicated, and processes die or are paused.
  */
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
-import { Member, roomOf, type Asker, type Claim, type PlaceMessage, type Room, type Wish } from '../src/index.js'
+import { PlaceCoordinator, roomOf, type PlaceClient, type Claim, type PlaceMessage, type Room, type PlaceRequirements } from '../src/index.js'
 
 /** The room of all tests. */
 export const room: Room = roomOf('s', 'm')
@@ -36,7 +36,7 @@
 export class Gateway {
   readonly id: string
   readonly inFlight = new Map<string, number>()
-  readonly #member: Member
+  readonly #member: PlaceCoordinator
   /** The gateway that this one considers the issuer. */
   owner: string
   isDead = false
@@ -52,7 +52,7 @@
     this.id = id
     this.owner = owner
     this.#simulation = simulation
-    this.#member = new Member({
+    this.#member = new PlaceCoordinator({
       clock,
       id,
       dataCentre: 'dc',
@@ -66,8 +66,8 @@
     })
   }
 
-  get asker (): Asker {
-    return this.#member.asker
+  get placeClient (): PlaceClient {
+    return this.#member.placeClient
   }
 
   /** Requests that wait here for places. */
@@ -92,7 +92,7 @@
   }
 
   receive (from: string, message: PlaceMessage): void {
-    this.#member.take(message, from)
+    this.#member.receive(message, from)
   }
 
   /** Removes the gateways whose heartbeats have stopped. */
@@ -103,7 +103,7 @@
 
   receiveHeartbeat (from: string, inFlight: Readonly<Record<string, number>>, grants: Readonly<Record<string, number>>): void {
     this.#lastHeartbeatAt.set(from, this.#simulation.now)
-    this.#member.hear(from, inFlight, { grants })
+    this.#member.receiveHeartbeat(from, inFlight, { grants })
   }
 }
 
@@ -146,9 +146,9 @@
   }
 
   /** Starts a request at a gateway. */
-  async request (gateway: Gateway, requirements: Partial<Wish> = {}): Promise<Request> {
+  async request (gateway: Gateway, requirements: Partial<PlaceRequirements> = {}): Promise<Request> {
     const now = this.now
-    const claim = gateway.asker.claim({ room, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, aloneUntil: now + 110, objective: 500, besides: () => [], ...requirements })
+    const claim = gateway.placeClient.claim({ room, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, aloneUntil: now + 110, objective: 500, besides: () => [], ...requirements })
     const request: Request = { gateway, claim, outcome: undefined, endedAt: 0, upstream: undefined }
     this.requests.push(request)
     this.#search(request)
@@ -162,7 +162,7 @@
     if (upstream === undefined) return
     request.upstream = undefined
     gateway.inFlight.set(upstream, gateway.count(upstream) - 1)
-    gateway.run(() => gateway.asker.sendCount(room, upstream))
+    gateway.run(() => gateway.placeClient.sendCount(room, upstream))
   }
 
   /** Advances the clock, one ms at a time. */
@@ -197,14 +197,14 @@
   #search (request: Request): void {
     const { gateway, claim } = request
     if (gateway.isDead || request.outcome !== undefined) return
-    const finding = gateway.asker.find(claim)
+    const finding = gateway.placeClient.find(claim)
     if (finding.kind === 'wait') return
     request.outcome = finding.kind === 'place' ? 'served' : finding.kind
     request.endedAt = this.now
     if (finding.kind !== 'place') return
     request.upstream = finding.upstream
     gateway.inFlight.set(finding.upstream, gateway.count(finding.upstream) + 1)
-    gateway.asker.use(claim)
+    gateway.placeClient.use(claim)
     this.maxExcess = Math.max(this.maxExcess, this.load(finding.upstream) - this.options.capacity)
   }
 
@@ -212,7 +212,7 @@
   #expire (): void {
     for (const each of this.requests) {
       if (each.outcome !== undefined || each.gateway.isDead || this.now < each.claim.requirements.until) continue
-      each.gateway.asker.release(each.claim)
+      each.gateway.placeClient.release(each.claim)
       each.outcome = 'refused'
       each.endedAt = this.now
     }
@@ -224,7 +224,7 @@
     gateway.run(() => {
       gateway.forget()
       const inFlight = Object.fromEntries(gateway.inFlight)
-      const grants = gateway.asker.lastGrants
+      const grants = gateway.placeClient.lastGrants
       for (const other of this.gateways) {
         if (other === gateway || this.random() < this.network.loss) continue
         this.clock.after(this.random() * this.network.delay, () => other.run(() => other.receiveHeartbeat(gateway.id, inFlight, grants)))
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -669,7 +669,7 @@
     name: 'limit-not-kept',
     point: 3,
     rule: 'an upstream that names a limit gets no more requests a second than that (LIMIT)',
-    file: 'packages/limits/dist/src/tokens.js',
+    file: 'packages/limits/dist/src/tokenclient.js',
     find: 'if (!limits.isLimited(upstream) || this.#holds(upstream))',
     replace: 'if (true)',
     test: 'platform/dist/test/limit.test.js',
