--- a/packages/crashes/src/crashes.ts
+++ b/packages/crashes/src/crashes.ts
@@ -39,7 +39,7 @@
   /** The trials of the other gateways: fingerprint of the request by upstream, an object per gateway. */
   readonly otherTrials: () => ReadonlyArray<Readonly<Record<string, string>>>
   /** Called when the other gateways should be notified at once. */
-  readonly tell: () => void
+  readonly announce: () => void
   /** Called when waiting requests should search for an upstream again. */
   readonly changed: () => void
   /** Called when this gateway has found that an upstream crashed. */
@@ -66,10 +66,10 @@
   readonly #unreported = new Map<string, Set<string>>()
 
   constructor (options: CrashesOptions) {
-    const { clock, changed, blocked, tell, otherTrials } = options
+    const { clock, changed, blocked, announce, otherTrials } = options
     this.#options = options
     this.#history = new CrashHistory({ clock, changed, blocked })
-    this.#trials = new Trials({ clock, others: otherTrials, begun: tell, ended: changed })
+    this.#trials = new Trials({ clock, others: otherTrials, begun: announce, ended: changed })
     this.#reports = new Reports(clock)
   }
 
@@ -121,12 +121,12 @@
   }
 
   /** The heartbeat fields for the other gateways. */
-  get news (): CrashHeartbeatFields & { readonly trials: Readonly<Record<string, string>> } {
+  get heartbeatFields (): CrashHeartbeatFields & { readonly trials: Readonly<Record<string, string>> } {
     return { crashes: this.#reports.crashes, cleared: this.#reports.clearances, trials: this.#trials.own }
   }
 
   /** Applies the heartbeat fields of another gateway. */
-  hear ({ crashes, cleared }: CrashHeartbeatFields): void {
+  receive ({ crashes, cleared }: CrashHeartbeatFields): void {
     const now = this.#options.clock.now()
     for (const { upstream, age, requests } of crashes) this.#history.confirm({ upstream, at: now - age, requests })
     for (const request of cleared) this.#history.clear(request)
@@ -159,6 +159,6 @@
     this.#history.confirm(crash)
     this.#reports.crashed(crash)
     this.#options.crashed(crash)
-    this.#options.tell()
+    this.#options.announce()
   }
 }
--- a/packages/crashes/test/fleet.ts
+++ b/packages/crashes/test/fleet.ts
@@ -169,8 +169,8 @@
       clock: this.#clock,
       hasEnded: () => false,
       listensAt: async address => !this.#down.has(address),
-      otherTrials: () => this.#crashes.filter((_each, other) => other !== index).map(each => each.news.trials),
-      tell: () => this.#sendReports(index),
+      otherTrials: () => this.#crashes.filter((_each, other) => other !== index).map(each => each.heartbeatFields.trials),
+      announce: () => this.#sendReports(index),
       changed: () => {},
       crashed: () => {},
       blocked: request => { this.#blockedAt.set(request, [...this.#blockedAt.get(request) ?? [], this.#clock.now()]) }
@@ -180,10 +180,10 @@
   }
 
   #sendReports (from: number): void {
-    const { news } = this.#crashes[from]
-    if (news.crashes.length === 0 && news.cleared.length === 0) return
+    const { heartbeatFields } = this.#crashes[from]
+    if (heartbeatFields.crashes.length === 0 && heartbeatFields.cleared.length === 0) return
     for (const [to, crashes] of this.#crashes.entries()) {
-      if (to !== from && this.#random() >= lossRatio) this.#clock.after(networkDelayMs, () => crashes.hear(news))
+      if (to !== from && this.#random() >= lossRatio) this.#clock.after(networkDelayMs, () => crashes.receive(heartbeatFields))
     }
   }
 
--- a/packages/detect/src/agreement.ts
+++ b/packages/detect/src/agreement.ts
@@ -27,7 +27,7 @@
 }
 
 /** Ids of the upstreams that a majority of the concerned gateways suspects. */
-export function agreedSuspects (views: readonly GatewayView[]): Set<string> {
+export function majoritySuspects (views: readonly GatewayView[]): Set<string> {
   const suspected = new Set(views.flatMap(each => each.suspects))
   return new Set([...suspected].filter(id => isMajoritySuspect(id, views)))
 }
--- a/packages/detect/src/index.ts
+++ b/packages/detect/src/index.ts
@@ -1,11 +1,11 @@
 /** Failure detection: silent upstreams, suspects, unreachable engines, dead heads, and pauses of this process. */
-export { agreedSuspects, isMajoritySuspect, type GatewayView } from './agreement.js'
+export { majoritySuspects, isMajoritySuspect, type GatewayView } from './agreement.js'
 export { InFlight, InFlightRequest, type InFlightHandlers } from './inflight.js'
 export { RecentEvents } from './recent.js'
 export { Suspects } from './suspects.js'
 export { Backoff } from './backoff.js'
 export { Rests, type Rest, type RestsOptions } from './rests.js'
-export { Strain, type Scarce, type StrainBounds, type Usage } from './strain.js'
+export { Strain, type Resource, type StrainBounds, type Usage } from './strain.js'
 export { Pauses } from './pauses.js'
 export { Stalls, type StallsOptions } from './stalls.js'
 export { Probes, type EngineReport, type NodeAddress } from './probes.js'
--- a/packages/detect/src/inflight.ts
+++ b/packages/detect/src/inflight.ts
@@ -79,7 +79,7 @@
    * Reserves capacity at an upstream for a request until the request begins. If several requests wait for room, the
    * next one then sees that this room is taken. Returns a function that ends the reservation.
    */
-  keep (upstream: string): () => void {
+  reserve (upstream: string): () => void {
     this.#reserved.set(upstream, (this.#reserved.get(upstream) ?? 0) + 1)
     let isReserved = true
     return () => {
@@ -164,11 +164,11 @@
 
   /** Withdraws the requests for an upstream that have not been sent yet. */
   withdraw (upstream: string, why: string): void {
-    for (const each of this.at(upstream)) each.handlers.withdrawn?.(why)
+    for (const each of this.requestsAt(upstream)) each.handlers.withdrawn?.(why)
   }
 
   /** The requests in flight at an upstream. */
-  at (upstream: string): InFlightRequest[] {
+  requestsAt (upstream: string): InFlightRequest[] {
     return [...this.#upstreams.get(upstream)?.requests ?? []]
   }
 
--- a/packages/detect/src/liveness.ts
+++ b/packages/detect/src/liveness.ts
@@ -129,7 +129,7 @@
     if (missed >= missedProbesLimit) this.#unreachable.add(id)
   }
 
-  /** Forgets engines that are in none of the given replicas and that the roster no longer remembers. */
+  /** Forgets engines that are in none of the given replicas and that the roster no longer knows. */
   forget (replicas: readonly ReplicaNodes[]): void {
     const { roster } = this.#options
     const placed = new Set(replicas.flatMap(({ members }) => members.map(({ id }) => id)))
--- a/packages/detect/src/rests.ts
+++ b/packages/detect/src/rests.ts
@@ -22,7 +22,7 @@
   /** When it ends, on `Clock.now`. */
   readonly end: number
   /** Whether the upstream asked for it. */
-  readonly asked: boolean
+  readonly requested: boolean
 }
 
 /** Dependencies of `Rests`. */
@@ -52,8 +52,8 @@
    * whatever order they arrive. Returns whether a requested rest begins: another request within a requested rest, as
    * from requests that were on their way, gives little new information.
    */
-  ask (id: string, time: number): boolean {
-    const isNew = time > 0 && this.of(id)?.asked !== true
+  recordRequest (id: string, time: number): boolean {
+    const isNew = time > 0 && this.of(id)?.requested !== true
     this.#extend(id, time, true)
     return isNew
   }
@@ -85,13 +85,13 @@
     return rest !== undefined && rest.end > this.#options.clock.now() ? rest : undefined
   }
 
-  #extend (id: string, time: number, asked: boolean): void {
+  #extend (id: string, time: number, requested: boolean): void {
     if (time <= 0) return
     const { clock, begun } = this.#options
     const now = clock.now()
     const before = this.of(id)
     const end = Math.max(before?.end ?? 0, now + Math.min(time, maxRest))
-    this.#rests.set(id, { end, asked: asked || before?.asked === true })
+    this.#rests.set(id, { end, requested: requested || before?.requested === true })
     if (before !== undefined) return
     clock.after(end - now, () => this.#expire(id))
     begun(id)
--- a/packages/detect/src/stalls.ts
+++ b/packages/detect/src/stalls.ts
@@ -27,7 +27,7 @@
   /** How long all streams of a head may be silent before it is suspected, in ms. */
   readonly silence: number
   /** The views of the other gateways that are live. */
-  readonly witnesses: () => readonly GatewayView[]
+  readonly peerViews: () => readonly GatewayView[]
   /** Called after a head has become suspected. */
   readonly suspected: () => void
 }
@@ -67,11 +67,11 @@
   }
 
   check (): void {
-    const { clock, inFlight, silence, pauses, witnesses } = this.#options
+    const { clock, inFlight, silence, pauses, peerViews } = this.#options
     // Data that arrived while this process was paused is still unread in its sockets.
     if (clock.now() - pauses.resumedAt < silence) return
     const silent = inFlight.silentUpstreams(upstream => this.#isHead(upstream) ? silence : Infinity)
-    if (silent.length > 0) this.#checkHeads(silent, witnesses())
+    if (silent.length > 0) this.#checkHeads(silent, peerViews())
     for (const { upstream, handlers } of inFlight.silentRequests(streamSilence)) if (this.#isHead(upstream)) handlers.stalled?.()
   }
 
@@ -87,7 +87,7 @@
       this.#suspect(id)
       if (!isConfirmed) continue
       // Also if it was suspected before: a stream that could not move then may find room now.
-      for (const request of inFlight.at(id)) request.handlers.stalled?.()
+      for (const request of inFlight.requestsAt(id)) request.handlers.stalled?.()
     }
   }
 
--- a/packages/detect/src/strain.ts
+++ b/packages/detect/src/strain.ts
@@ -17,7 +17,7 @@
 }
 
 /** A resource that can run short. */
-export type Scarce = keyof Usage
+export type Resource = keyof Usage
 
 /**
  * Usage from which on a resource is short, and up to which there is enough again. The bounds are so far apart that only
@@ -45,17 +45,17 @@
 
 /** Decides when a gateway sends new callers to others. */
 export class Strain {
-  readonly #bounds: Readonly<Record<Scarce, StrainBounds>>
-  readonly #shortSamples: Record<Scarce, number> = { processor: 0, memory: 0, descriptors: 0 }
-  #away: { readonly cause: Scarce, readonly since: number } | undefined
+  readonly #bounds: Readonly<Record<Resource, StrainBounds>>
+  readonly #shortSamples: Record<Resource, number> = { processor: 0, memory: 0, descriptors: 0 }
+  #away: { readonly cause: Resource, readonly since: number } | undefined
   #presentUntil = -Infinity
 
-  constructor (bounds: Readonly<Record<Scarce, StrainBounds>>) {
+  constructor (bounds: Readonly<Record<Resource, StrainBounds>>) {
     this.#bounds = bounds
   }
 
   /** The resource for which new callers are sent to others; undefined while the gateway takes callers. */
-  get cause (): Scarce | undefined {
+  get cause (): Resource | undefined {
     return this.#away?.cause
   }
 
@@ -72,7 +72,7 @@
     if (cause !== undefined && mayBeAway && now >= this.#presentUntil) this.#away = { cause, since: now }
   }
 
-  #checkReturn ({ cause, since }: { readonly cause: Scarce, readonly since: number }, usage: Usage, now: number): void {
+  #checkReturn ({ cause, since }: { readonly cause: Resource, readonly since: number }, usage: Usage, now: number): void {
     const time = now - since
     if (time < maxAway && usage[cause] > this.#bounds[cause].enough) return
     this.#away = undefined
@@ -80,4 +80,4 @@
   }
 }
 
-const resources: readonly Scarce[] = ['processor', 'memory', 'descriptors']
+const resources: readonly Resource[] = ['processor', 'memory', 'descriptors']
--- a/packages/detect/src/unlisted.ts
+++ b/packages/detect/src/unlisted.ts
@@ -110,7 +110,7 @@
   }
 
   /** Ids of the engines that are kept and have not answered since their entries were removed. */
-  get unheard (): string[] {
+  get unresponsive (): string[] {
     return [...this.#engines.values()].filter(each => !each.hasAnswered).map(each => each.upstream.id)
   }
 
@@ -153,10 +153,10 @@
       if (roster.find(id) !== undefined) this.#end(engine, 'listed')
       // Its address has been given to another upstream, whose answers would be taken for its own.
       else if (isUnreachable(id) || listed.has(address)) this.#end(engine, 'silent')
-      else if (roster.hasEnded(id) || !roster.remembers(id)) this.#end(engine, 'expired')
+      else if (roster.hasEnded(id) || !roster.isKnown(id)) this.#end(engine, 'expired')
       else if (!engine.isExpired && clock.now() - engine.at >= keep) this.#expire(engine)
     }
-    for (const id of [...this.#endedDepartures.keys()]) if (!roster.remembers(id)) this.#endedDepartures.delete(id)
+    for (const id of [...this.#endedDepartures.keys()]) if (!roster.isKnown(id)) this.#endedDepartures.delete(id)
   }
 
   #expire (engine: UnlistedEngine): void {
--- a/packages/detect/test/agreement.test.ts
+++ b/packages/detect/test/agreement.test.ts
@@ -6,7 +6,7 @@
 import { ManualClock, seeded } from '@eiderwind/clock'
 import { Log } from '@eiderwind/log'
 import { Roster } from '@eiderwind/roster'
-import { agreedSuspects, InFlight, isMajoritySuspect, Pauses, Stalls, Suspects, type InFlightRequest, type GatewayView } from '../src/index.js'
+import { majoritySuspects, InFlight, isMajoritySuspect, Pauses, Stalls, Suspects, type InFlightRequest, type GatewayView } from '../src/index.js'
 
 const silence = 400
 
@@ -32,7 +32,7 @@
       const flights = new InFlight(this.clock, () => {})
       const suspects = new Suspects(this.clock, roster)
       const peerViews = (): GatewayView[] => this.#views.filter((_each, other) => other !== index)
-      new Stalls({ clock: this.clock, log: new Log({ sink: () => {} }), roster, inFlight: flights, suspects, silence, witnesses: peerViews, pauses: new Pauses(this.clock), suspected: () => { this.clock.after(heartbeatDelay, () => this.exchangeViews()) } }).start()
+      new Stalls({ clock: this.clock, log: new Log({ sink: () => {} }), roster, inFlight: flights, suspects, silence, peerViews, pauses: new Pauses(this.clock), suspected: () => { this.clock.after(heartbeatDelay, () => this.exchangeViews()) } }).start()
       this.all.push({ flights, suspects, moved: new Set() })
     }
     this.clock.every(250, () => this.exchangeViews())
@@ -49,7 +49,7 @@
 
   get hasMajority (): boolean {
     this.exchangeViews()
-    return agreedSuspects(this.#views).has('head')
+    return majoritySuspects(this.#views).has('head')
   }
 }
 
@@ -112,5 +112,5 @@
   t.true(isMajoritySuspect('a', [moved, idle, idle, idle]))
   t.false(isMajoritySuspect('a', [suspecting, trusting]))
   t.true(isMajoritySuspect('a', [suspecting, moved, trusting]))
-  t.deepEqual([...agreedSuspects([suspecting, moved, trusting, { inFlight: { b: 2 }, suspects: ['c'] }])], ['a', 'c'])
+  t.deepEqual([...majoritySuspects([suspecting, moved, trusting, { inFlight: { b: 2 }, suspects: ['c'] }])], ['a', 'c'])
 })
--- a/packages/detect/test/unlisted.test.ts
+++ b/packages/detect/test/unlisted.test.ts
@@ -77,11 +77,11 @@
   fixture.lapse()
   fixture.unlisted.check()
   t.is(fixture.probes.requestCount, 1)
-  t.deepEqual(fixture.unlisted.unheard, ['a'])
+  t.deepEqual(fixture.unlisted.unresponsive, ['a'])
   fixture.probes.response = { loaded: [], staged: ['n'], membership: undefined, leaving: false }
   await fixture.pass(700)
   t.deepEqual(fixture.unlisted.engines, [{ ...engine, loaded: [], staged: ['n'], membership: undefined }])
-  t.deepEqual(fixture.unlisted.unheard, [])
+  t.deepEqual(fixture.unlisted.unresponsive, [])
 })
 
 test('with a keep time of 0 no engine is probed or kept', async t => {
--- a/packages/dispatch/src/availability.ts
+++ b/packages/dispatch/src/availability.ts
@@ -90,7 +90,7 @@
   #unavailability (id: string, priority: number): Unavailability | undefined {
     const { clock, rests, tokens } = this.#options
     const rest = rests.of(id)
-    if (rest !== undefined) return { end: rest.end, cause: rest.asked ? 'rest' : 'pause' }
+    if (rest !== undefined) return { end: rest.end, cause: rest.requested ? 'rest' : 'pause' }
     if (tokens === undefined || tokens.has(id)) return undefined
     return { end: clock.now() + tokens.expectedWait(id, priority), cause: 'limit' }
   }
--- a/packages/dispatch/test/dispatch.test.ts
+++ b/packages/dispatch/test/dispatch.test.ts
@@ -87,7 +87,7 @@
 test('a reserved place counts in the load of its upstream until it is released, but not as a request in flight', t => {
   const clock = new ManualClock()
   const inFlight = new InFlight(clock, () => {})
-  const releases = [inFlight.keep('a'), inFlight.keep('a')]
+  const releases = [inFlight.reserve('a'), inFlight.reserve('a')]
   inFlight.begin('a', 'm')
   t.is(inFlight.count('a'), 3)
   t.is(inFlight.total, 1)
--- a/packages/emulator/src/engines.ts
+++ b/packages/emulator/src/engines.ts
@@ -156,7 +156,7 @@
     return this.openReplicas.filter(({ members }) => members.some(id => this.#nodes.get(id)?.alive !== true)).map(each => each.head)
   }
 
-  async give (order: Order): Promise<OrderResult> {
+  async send (order: Order): Promise<OrderResult> {
     this.sentOrders.push(order)
     const node = this.#nodes.get(order.node)
     if (node === undefined || !node.alive || !node.reachable) return 'unanswered'
--- a/packages/emulator/test/forming.test.ts
+++ b/packages/emulator/test/forming.test.ts
@@ -187,10 +187,10 @@
   const { domain } = world.upstream(victim.head)
   const spare = world.roster.upstreams.find(each => each.domain === domain && each.membership === undefined && each.staged.includes('small'))?.id as string
   for (let times = 0; times < 3; times++) {
-    world.outage.failed(world.clock.now())
+    world.outage.recordFailure(world.clock.now())
     await advance(world, 1400)
   }
-  world.outage.answered()
+  world.outage.recordAnswer()
   world.roster.apply([{ gone: spare }])
   world.kill(victim.members[1])
   suspects.add(victim.head)
@@ -283,7 +283,7 @@
   // The head is closed, so that the planner opens it again. The roster shows this only after one second.
   world.listingDelay = 1000
   const replica = world.upstream(head).membership as NonNullable<Upstream['membership']>
-  await world.give({ kind: 'close', node: head, address: `${head}:1`, replica: replica.replica, epoch: replica.epoch, manner: 'cut', loads: false, fence: 0 })
+  await world.send({ kind: 'close', node: head, address: `${head}:1`, replica: replica.replica, epoch: replica.epoch, manner: 'cut', loads: false, fence: 0 })
   await advance(world, 1040)
   t.is(world.upstream(head).membership?.state, 'open')
   world.roster.apply([{ gone: members[2] }])
--- a/packages/emulator/test/placements.test.ts
+++ b/packages/emulator/test/placements.test.ts
@@ -61,8 +61,8 @@
   // Another planner closes the replica, makes its head leave and dissolves it. This planner is not notified of the new
   // placement.
   await placements.write({ ...placement, replicas: placement.replicas.filter(each => each.name !== replica) }, version)
-  await world.give({ ...order, kind: 'close', manner: 'cut' })
-  await world.give({ ...order, kind: 'leave' })
+  await world.send({ ...order, kind: 'close', manner: 'cut' })
+  await world.send({ ...order, kind: 'leave' })
   const before = world.sentOrders.length
   await advance(world, 5000)
   planner.stop()
@@ -81,8 +81,8 @@
   const [abandoned, ...remaining] = world.openReplicas
   const { replica, epoch } = world.upstream(abandoned.head).membership as Membership
   const order = { node: abandoned.head, address: `${abandoned.head}:1`, replica, epoch, loads: false, fence: epoch }
-  await world.give({ ...order, kind: 'close', manner: 'cut' })
-  await world.give({ ...order, kind: 'leave' })
+  await world.send({ ...order, kind: 'close', manner: 'cut' })
+  await world.send({ ...order, kind: 'leave' })
   const before = world.sentOrders.length
   const second = createPlanner(world, placements)
   second.start()
--- a/packages/forming/src/orders.ts
+++ b/packages/forming/src/orders.ts
@@ -51,7 +51,7 @@
 /** Sends orders to engines. */
 export abstract class Orders {
   /** Sends one order. Resolves to `unanswered` if the engine does not answer. */
-  abstract give (order: Order): Promise<OrderResult>
+  abstract send (order: Order): Promise<OrderResult>
 }
 
 /** Weights that an engine should load into its host's memory. */
--- a/packages/forming/src/reconciler.ts
+++ b/packages/forming/src/reconciler.ts
@@ -210,7 +210,7 @@
     const targets = this.#targets(engine, sizes.filter((_each, index) => !isEvacuated(domains[index], evacuated)), demand, evacuated.size > 0)
     const fleet = this.#fleetFacts(domains, engine, demand, evacuated)
     const { needs: _needs, ...shared } = fleet
-    this.#activity.updateSharedFacts(JSON.stringify([service.name, shared, [...dead], [...unreachable], [...evacuated], [...this.#options.roster.lapsed], [...this.#unlisted.ids], this.#unlisted.unheard, [...targets]]))
+    this.#activity.updateSharedFacts(JSON.stringify([service.name, shared, [...dead], [...unreachable], [...evacuated], [...this.#options.roster.lapsed], [...this.#unlisted.ids], this.#unlisted.unresponsive, [...targets]]))
     for (const domain of domains) {
       if (this.#domains.isWriting(domain.key)) continue
       if (!this.#activity.isDue(domain.key) && !this.#isSurveyDue(domain.key)) continue
@@ -306,7 +306,7 @@
   #domainFacts ({ placement, upstreams }: Domain, engine: Engine, targets: Counts, fleet: FleetFacts, evacuated: ReadonlySet<string>): DomainFacts {
     const { dead } = this.#liveness
     const unreachable = this.#unreachable
-    const lapsed = new Set([...this.#options.roster.lapsed, ...this.#unlisted.unheard])
+    const lapsed = new Set([...this.#options.roster.lapsed, ...this.#unlisted.unresponsive])
     return { ...fleet, engine, placement, upstreams, unreachable, dead, unlisted: this.#unlisted.ids, lapsed, evacuated, unjoined: this.#unjoined, targets }
   }
 
@@ -319,7 +319,7 @@
   #send (domain: string, order: Order): void {
     const { clock, orders, ordered, failed } = this.#options
     const sentAt = clock.now()
-    orders.give(order).then(result => {
+    orders.send(order).then(result => {
       this.#history.recordResult(order, result)
       if (order.kind === 'close') this.#liveness.closeAnswered(order.node, result !== 'unanswered')
       if (result === 'closed' || (order.kind === 'leave' && result !== 'unanswered')) this.#noteLeft(order)
--- a/packages/forward/src/path.ts
+++ b/packages/forward/src/path.ts
@@ -249,7 +249,7 @@
   #reserve ({ id }: Upstream, claim: Claim | undefined): void {
     const { inFlight, availability } = this.context
     availability.take(id, claim)
-    this.#releaseReservation = inFlight.keep(id)
+    this.#releaseReservation = inFlight.reserve(id)
     this.#placeSearch?.recordUse()
   }
 
--- a/packages/forward/src/streampath.ts
+++ b/packages/forward/src/streampath.ts
@@ -8,7 +8,7 @@
 import { roomOf, type Room } from '@eiderwind/places'
 import { type Upstream } from '@eiderwind/roster'
 import { type Engine } from '@eiderwind/traffic'
-import { expectedFirst, requestTokens, workOf, type RequestTokens } from '@eiderwind/work'
+import { expectedFirstEventTime, requestTokens, workOf, type RequestTokens } from '@eiderwind/work'
 import { type Context } from './context.js'
 import { lastEventName } from './names.js'
 import { Path } from './path.js'
@@ -60,7 +60,7 @@
     const { context: { clock }, request: { route: { gap } } } = this
     if (this.#progress.started) return clock.now() + gap
     const { engine } = this.#target
-    return super.latestStart - (engine === undefined ? 0 : expectedFirst(engine.prompt, idleHead, engine, usualModelPace))
+    return super.latestStart - (engine === undefined ? 0 : expectedFirstEventTime(engine.prompt, idleHead, engine, usualModelPace))
   }
 
   protected override get work (): number {
--- a/packages/gateway/src/coldstarts.ts
+++ b/packages/gateway/src/coldstarts.ts
@@ -35,9 +35,9 @@
     if (cold.recordAnswer(id, remaining)) began([id])
   }
 
-  /** Removes the upstreams that the roster no longer remembers. */
+  /** Removes the upstreams that the roster no longer knows. */
   forget (): void {
-    for (const id of this.#lastRemaining.keys()) if (!this.#options.roster.remembers(id)) this.#lastRemaining.delete(id)
+    for (const id of this.#lastRemaining.keys()) if (!this.#options.roster.isKnown(id)) this.#lastRemaining.delete(id)
   }
 
   /**
--- a/packages/gateway/src/conditions.ts
+++ b/packages/gateway/src/conditions.ts
@@ -68,7 +68,7 @@
   /** This module's fields of the heartbeats to other gateways. */
   get news (): Pick<Heartbeat, 'leaving'> {
     const { roster } = this.#options
-    for (const id of this.#leaving) if (!roster.remembers(id)) this.#leaving.delete(id)
+    for (const id of this.#leaving) if (!roster.isKnown(id)) this.#leaving.delete(id)
     return { leaving: [...this.#leaving] }
   }
 
@@ -78,12 +78,12 @@
    */
   hear ({ id: from, leaving = [] }: Heartbeat): void {
     const { log, roster } = this.#options
-    for (const id of leaving) if (roster.leave(id)) log.write('upstream-leaving', { upstream: id, from })
+    for (const id of leaving) if (roster.markLeaving(id)) log.write('upstream-leaving', { upstream: id, from })
   }
 
   #startRest (id: string, rest: number): void {
     const { log, rested } = this.#options
-    if (!this.rests.ask(id, rest)) return
+    if (!this.rests.recordRequest(id, rest)) return
     rested()
     log.write('upstream-resting', { upstream: id, rest: Math.round(rest) })
   }
@@ -92,7 +92,7 @@
     const { log, roster, tell } = this.#options
     if (this.#leaving.has(id)) return
     this.#leaving.add(id)
-    if (roster.leave(id)) log.write('upstream-leaving', { upstream: id })
+    if (roster.markLeaving(id)) log.write('upstream-leaving', { upstream: id })
     tell()
   }
 
--- a/packages/gateway/src/crashwatch.ts
+++ b/packages/gateway/src/crashwatch.ts
@@ -42,7 +42,7 @@
       hasEnded: upstream => roster.hasEnded(upstream),
       listensAt: async address => await listensAt(address, clock, connectTime),
       otherTrials: () => peers.live.flatMap(({ trials }) => trials === undefined ? [] : [trials]),
-      tell: () => peers.send(),
+      announce: () => peers.send(),
       changed,
       crashed: crash => this.#crashed(crash),
       blocked: (request, upstreams) => this.#blocked(request, upstreams)
@@ -57,12 +57,12 @@
 
   /** This module's fields of the heartbeats to other gateways. */
   get heartbeatFields (): Pick<Heartbeat, 'crashes' | 'cleared' | 'trials' | 'blocked'> {
-    return { ...this.crashes.news, blocked: this.#blocklist.digest }
+    return { ...this.crashes.heartbeatFields, blocked: this.#blocklist.digest }
   }
 
   /** Takes the crashes, cleared requests and digest from another gateway's heartbeat. */
   receiveHeartbeat ({ crashes = [], cleared = [], blocked }: Heartbeat, from: PeerAddress): void {
-    this.crashes.hear({ crashes, cleared })
+    this.crashes.receive({ crashes, cleared })
     this.#blocklist.receiveDigest(blocked, from)
   }
 
--- a/packages/gateway/src/evacuating.ts
+++ b/packages/gateway/src/evacuating.ts
@@ -140,6 +140,6 @@
   #runningIn (dataCentre: string): InFlightRequest[] {
     const { inFlight, roster } = this.#options
     const ids = Object.keys(inFlight.counts).filter(id => (roster.find(id) ?? roster.departure(id)?.upstream)?.dataCentre === dataCentre)
-    return ids.flatMap(id => inFlight.at(id)).sort((a, b) => a.sentAt - b.sentAt)
+    return ids.flatMap(id => inFlight.requestsAt(id)).sort((a, b) => a.sentAt - b.sentAt)
   }
 }
--- a/packages/gateway/src/fleetview.ts
+++ b/packages/gateway/src/fleetview.ts
@@ -63,7 +63,7 @@
     return {
       watchCandidates: this.rank(self === undefined ? others : [self, ...others]),
       leaders: live.flatMap(leadersOf),
-      fleet: this.#peers.heardWithin(fleetRetention).length + 1
+      fleet: this.#peers.seenWithin(fleetRetention).length + 1
     }
   }
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -108,8 +108,8 @@
       id: settings.id,
       address: settings.peers,
       heartbeat: () => this.#heartbeat(),
-      heard: (heartbeat, from) => this.#receiveHeartbeat(heartbeat, from),
-      other: (datagram, from) => this.#receiveDatagram(datagram, from),
+      received: (heartbeat, from) => this.#receiveHeartbeat(heartbeat, from),
+      receivedOther: (datagram, from) => this.#receiveDatagram(datagram, from),
       interval: heartbeatInterval,
       timeout: heartbeatTimeout,
       urgent: () => this.#leadership.isUrgent
@@ -308,7 +308,7 @@
     this.#roster.listen(() => this.#queue.wake())
     // An upstream that has ended sends no more answers. Behind a cut link nothing else would show that until the
     // requests time out.
-    this.#roster.listenEnds(({ id }) => { for (const each of this.#inFlight.at(id)) each.handlers.lost?.() })
+    this.#roster.listenEnds(({ id }) => { for (const each of this.#inFlight.requestsAt(id)) each.handlers.lost?.() })
   }
 
   #makeCallers (): Callers {
@@ -396,7 +396,7 @@
       suspects: this.#suspects,
       pauses: this.#pauses,
       silence,
-      witnesses: () => this.#peers.live,
+      peerViews: () => this.#peers.live,
       suspected: () => {
         this.#metrics.suspected()
         this.#peers.send()
--- a/packages/gateway/src/limiting.ts
+++ b/packages/gateway/src/limiting.ts
@@ -85,7 +85,7 @@
     this.#owners = new Owners({
       clock,
       live: () => [id, ...peers.live.map(each => each.id)],
-      fleet: () => peers.heardWithin(partRetention).length + 1,
+      fleet: () => peers.seenWithin(partRetention).length + 1,
       settleTime: takeoverPause
     })
     this.#issuer = new Issuer({
@@ -127,13 +127,13 @@
   }
 
   /**
-   * Removes the upstreams that the roster no longer remembers, and those whose tokens this gateway no longer issues.
+   * Removes the upstreams that the roster no longer knows, and those whose tokens this gateway no longer issues.
    */
   #forget (): void {
     const { roster } = this.#options
-    this.limits.keepOnly(id => roster.remembers(id))
+    this.limits.keepOnly(id => roster.isKnown(id))
     this.#coldStarts?.forget()
-    for (const id of this.#logged.keys()) if (!roster.remembers(id)) this.#logged.delete(id)
+    for (const id of this.#logged.keys()) if (!roster.isKnown(id)) this.#logged.delete(id)
     for (const id of this.#issuer.upstreams) if (!this.limits.isLimited(id) || this.#otherOwner(id) !== undefined) this.#issuer.end(id)
     this.tokens.forget()
   }
--- a/packages/gateway/src/listener.ts
+++ b/packages/gateway/src/listener.ts
@@ -44,13 +44,13 @@
     },
     condition: (upstream, condition) => conditions.take(upstream, condition),
     storeAnswered: () => {
-      outage.answered()
+      outage.recordAnswer()
       if (board.read('store')) return
       board.write('store', true)
       log.write('store-back', {})
     },
     storeFailed: (askedAt, cause) => {
-      outage.failed(askedAt)
+      outage.recordFailure(askedAt)
       // Logs only the change: the failures that follow give no new information.
       if (!board.read('store')) return
       board.write('store', false)
--- a/packages/gateway/src/orderrelay.ts
+++ b/packages/gateway/src/orderrelay.ts
@@ -39,8 +39,8 @@
     this.#options = options
   }
 
-  async give (order: Order): Promise<OrderResult> {
-    const result = await this.#options.orders.give(order)
+  async send (order: Order): Promise<OrderResult> {
+    const result = await this.#options.orders.send(order)
     if (result !== 'unanswered' || order.kind !== 'close') return result
     const results = await Promise.all(this.#options.peers.liveAddresses.slice(0, maxRelays).map(async peer => await this.#relay(peer, order)))
     return results.find(each => each !== 'unanswered') ?? 'unanswered'
--- a/packages/gateway/src/peerserver.ts
+++ b/packages/gateway/src/peerserver.ts
@@ -81,7 +81,7 @@
   async #relayOrder (request: IncomingMessage): Promise<OrderResult> {
     const body = await readBody(request, maxOrderBytes)
     if (body.isErr()) return 'unanswered'
-    return await this.#options.orders.give(decodeOrder(body.value.toString()))
+    return await this.#options.orders.send(decodeOrder(body.value.toString()))
   }
 
   #confirmation (requesterRevision: number): string {
--- a/packages/gateway/src/planning.ts
+++ b/packages/gateway/src/planning.ts
@@ -2,7 +2,7 @@
  * Connects the reconciler of `forming` to this gateway: the inputs that it reads from other parts, and the logs and
  * metrics of its decisions and orders.
  */
-import { agreedSuspects, type InFlight, type Pauses, type Suspects } from '@eiderwind/detect'
+import { majoritySuspects, type InFlight, type Pauses, type Suspects } from '@eiderwind/detect'
 import { Reconciler, type Order, type OrderResult } from '@eiderwind/forming'
 import { type Peers } from '@eiderwind/peers'
 import { type Roster } from '@eiderwind/roster'
@@ -47,9 +47,9 @@
     services: () => board.read('inForce')?.traffic.services ?? [],
     leads: service => leadership.plans(service),
     contested: service => { leadership.contested(service).catch(() => { /* Never rejects: it returns its errors. */ }) },
-    suspects: () => agreedSuspects([{ inFlight: inFlight.counts, suspects: suspects.all }, ...peers.live]),
+    suspects: () => majoritySuspects([{ inFlight: inFlight.counts, suspects: suspects.all }, ...peers.live]),
     demand: () => modelLoad.demand,
-    othersLoads: () => new Map(peers.heardWithin(loadRetention).flatMap(each => Object.entries(each.loads))),
+    othersLoads: () => new Map(peers.seenWithin(loadRetention).flatMap(each => Object.entries(each.loads))),
     beforeTraffic: () => settings.first && !served() && !peers.live.some(each => each.served),
     decided: (domain, note, epoch) => log.write('replica-decided', { domain, note, epoch }),
     keepUnlisted: settings.keepUnlisted,
--- a/packages/gateway/src/readiness.ts
+++ b/packages/gateway/src/readiness.ts
@@ -4,7 +4,7 @@
  * Open connections stay, and their callers are served as before.
  */
 import { type Clock, type Subscription } from '@eiderwind/clock'
-import { Strain, type Scarce, type StrainBounds } from '@eiderwind/detect'
+import { Strain, type Resource, type StrainBounds } from '@eiderwind/detect'
 import { type Log } from '@eiderwind/log'
 import { type Heartbeat } from '@eiderwind/peers'
 
@@ -67,7 +67,7 @@
   }
 
   /** The scarce resource because of which new callers are sent to other gateways; undefined if there is none. */
-  get cause (): Scarce | undefined {
+  get cause (): Resource | undefined {
     return this.#strain.cause
   }
 
--- a/packages/gateway/test/fleet.ts
+++ b/packages/gateway/test/fleet.ts
@@ -174,7 +174,7 @@
       return
     }
     this.#registered.set(id, { id, address: `${id}:1` })
-    member.outage.answered()
+    member.outage.recordAnswer()
     member.board.write('store', true)
     member.board.write('upstreamsFrom', 'store')
     this.#list(member)
@@ -247,8 +247,8 @@
     const { board, outage, leadership, id } = member
     if (!board.read('listed')) return
     const reached = this.reachesStore(id)
-    if (reached && !board.read('store')) outage.answered()
-    if (!reached) outage.failed(this.clock.now())
+    if (reached && !board.read('store')) outage.recordAnswer()
+    if (!reached) outage.recordFailure(this.clock.now())
     board.write('store', reached)
     if (!reached) return
     if (leadership.follows) {
--- a/packages/gateway/test/limiting.test.ts
+++ b/packages/gateway/test/limiting.test.ts
@@ -35,7 +35,7 @@
       get live (): unknown {
         return others.map(id => ({ id }))
       },
-      heardWithin: () => others.map(id => ({ id })),
+      seenWithin: () => others.map(id => ({ id })),
       send: () => { this.heartbeatsSent++ },
       post: (to: string, message: string) => { this.posted.push(`${to} ${message}`) }
     }
--- a/packages/gateway/test/limitmember.ts
+++ b/packages/gateway/test/limitmember.ts
@@ -51,8 +51,8 @@
       address,
       datagrams: new ModelDatagrams(network, address),
       heartbeat: (): Heartbeat => ({ id, revision: 1, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: true, loads: {}, ...this.limiting.news }),
-      heard: each => this.limiting.hear(each),
-      other: (datagram, from) => {
+      received: each => this.limiting.hear(each),
+      receivedOther: (datagram, from) => {
         onTokenDatagram()
         this.limiting.receive(datagram, from)
       },
--- a/packages/gateway/test/overload.ts
+++ b/packages/gateway/test/overload.ts
@@ -218,8 +218,8 @@
       address,
       datagrams: new ModelDatagrams(network, address),
       heartbeat,
-      heard: (heartbeat, from) => rooms?.hear(heartbeat, from),
-      other: (datagram, from) => rooms?.receive(datagram, from),
+      received: (heartbeat, from) => rooms?.hear(heartbeat, from),
+      receivedOther: (datagram, from) => rooms?.receive(datagram, from),
       interval,
       timeout: 1000
     })
--- a/packages/gateway/test/suspended.test.ts
+++ b/packages/gateway/test/suspended.test.ts
@@ -46,10 +46,10 @@
   const upstream: Upstream = { id: 'a', service: 's', address: 'a:1', dataCentre: 'dc', leaving: false, loaded: [], staged: [] }
   roster.replace([upstream])
   for (let count = 0; count < 2; count++) {
-    outage.failed(clock.bootNow())
+    outage.recordFailure(clock.bootNow())
     clock.advance(1500)
   }
-  outage.answered()
+  outage.recordAnswer()
   clock.suspend(5000)
   roster.replace([])
   t.is(roster.find('a'), undefined)
--- a/packages/peers/src/peers.ts
+++ b/packages/peers/src/peers.ts
@@ -41,9 +41,9 @@
   /** Silence after which a peer that sends each `interval` no longer counts as live. */
   readonly timeout: number
   /** Called with each received heartbeat. Default: nothing. */
-  readonly heard?: (heartbeat: Heartbeat, from: PeerAddress) => void
+  readonly received?: (heartbeat: Heartbeat, from: PeerAddress) => void
   /** Called with each datagram that is not a heartbeat, and the `host:port` of its sender. Default: it is dropped. */
-  readonly other?: (message: Buffer, from: string) => void
+  readonly receivedOther?: (message: Buffer, from: string) => void
   /**
    * Whether the loss of this gateway must be detected soon: it then sends each `interval` in a fleet of any size.
    * Default: never.
@@ -128,7 +128,7 @@
   }
 
   /** The newest heartbeat of each peer from which one arrived within a time, live or not. @param time in ms */
-  heardWithin (time: number): Heartbeat[] {
+  seenWithin (time: number): Heartbeat[] {
     const since = this.#options.clock.now() - time
     return [...this.#received.values()].filter(each => each.at >= since).map(each => each.heartbeat)
   }
@@ -236,12 +236,12 @@
    */
   #receive (message: Buffer, address: string): void {
     const heartbeat = decode(message)
-    if (heartbeat === undefined) return this.#options.other?.(message, address)
+    if (heartbeat === undefined) return this.#options.receivedOther?.(message, address)
     if (heartbeat.id === this.#options.id) return
     const at = this.#options.clock.now()
     this.#received.set(heartbeat.id, { heartbeat, at, liveUntil: at + this.#timeoutOf(heartbeat), address })
     this.#live = undefined
-    this.#options.heard?.(heartbeat, { id: heartbeat.id, address })
+    this.#options.received?.(heartbeat, { id: heartbeat.id, address })
     if (heartbeat.wantsReply === true) this.#sendTo([{ id: heartbeat.id, address }], false)
   }
 }
--- a/packages/roster/src/outage.ts
+++ b/packages/roster/src/outage.ts
@@ -66,7 +66,7 @@
   }
 
   /** Records that a call was answered. */
-  answered (): void {
+  recordAnswer (): void {
     const now = this.#clock.bootNow()
     this.#firstAnswerAt = Math.min(this.#firstAnswerAt, now)
     if (this.#failingSince !== undefined && this.#failures >= minimumFailures && now - this.#failingSince > minimumOutage) this.#endedAt = now
@@ -76,7 +76,7 @@
   }
 
   /** Records that a call failed. @param askedAt when the call was made, on `Clock.bootNow` */
-  failed (askedAt: number): void {
+  recordFailure (askedAt: number): void {
     this.#failures++
     this.#failingSince ??= Math.max(askedAt, this.#answeredAt)
   }
--- a/packages/roster/src/roster.ts
+++ b/packages/roster/src/roster.ts
@@ -92,7 +92,7 @@
   }
 
   /** Whether an upstream is listed, or its departure is still retained. */
-  remembers (id: string): boolean {
+  isKnown (id: string): boolean {
     return this.find(id) !== undefined || this.departure(id) !== undefined
   }
 
@@ -179,7 +179,7 @@
    * record contains, until a later incarnation begins. Returns whether that is new. Some upstreams never announce it in
    * their record.
    */
-  leave (id: string): boolean {
+  markLeaving (id: string): boolean {
     // An upstream that is gone may be listed again after an outage.
     const latest = this.#upstreams.get(id) ?? this.#departures.get(id)?.upstream
     if (latest === undefined || latest.leaving) return false
--- a/packages/roster/test/evacuation.test.ts
+++ b/packages/roster/test/evacuation.test.ts
@@ -55,7 +55,7 @@
   const roster = new Roster(new ManualClock())
   roster.replace(all)
   roster.evacuate(new Set(['a']))
-  roster.leave('p-a')
+  roster.markLeaving('p-a')
   t.true(roster.isEvacuated('p-a'))
   roster.replace(all.filter(each => each.id !== 'p-a'))
   roster.replace(all)
--- a/packages/roster/test/incarnations.test.ts
+++ b/packages/roster/test/incarnations.test.ts
@@ -57,10 +57,10 @@
   const { clock, outage, roster, ends } = fixture()
   roster.replace([incarnation(1)])
   for (let count = 0; count < 3; count++) {
-    outage.failed(clock.now())
+    outage.recordFailure(clock.now())
     clock.advance(1500)
   }
-  outage.answered()
+  outage.recordAnswer()
   roster.replace([])
   t.deepEqual([...roster.lapsed], ['a@1'])
   roster.apply([{ upstream: incarnation(2) }])
@@ -74,10 +74,10 @@
   const { clock, outage, roster } = fixture()
   roster.replace([incarnation(1)])
   for (let count = 0; count < 3; count++) {
-    outage.failed(clock.now())
+    outage.recordFailure(clock.now())
     clock.advance(1500)
   }
-  outage.answered()
+  outage.recordAnswer()
   roster.apply([{ gone: 'a', certain: true }])
   t.deepEqual(roster.upstreams, [])
   t.deepEqual([...roster.lapsed], [])
--- a/packages/roster/test/leave.test.ts
+++ b/packages/roster/test/leave.test.ts
@@ -25,8 +25,8 @@
 
 test('an upstream that announces that it is leaving takes no new requests, and the listeners are notified once', t => {
   const { roster, notified } = fixture()
-  t.true(roster.leave('a'))
-  t.false(roster.leave('a'))
+  t.true(roster.markLeaving('a'))
+  t.false(roster.markLeaving('a'))
   t.deepEqual(roster.heads('chat', 'm').map(each => each.id), ['b'])
   t.deepEqual(roster.available('chat').map(each => each.id), ['b'])
   t.true(roster.departure('a')?.upstream.leaving)
@@ -35,7 +35,7 @@
 
 test('a later record without the announcement changes nothing, in a change or in a whole list', t => {
   const { roster } = fixture()
-  roster.leave('a')
+  roster.markLeaving('a')
   roster.apply([{ upstream: record('a', { staged: ['m'] }) }])
   roster.replace([record('a'), record('b')])
   t.deepEqual(roster.available('chat').map(each => each.id), ['b'])
@@ -44,28 +44,28 @@
 test('an announcement that the record already contains is not new', t => {
   const { roster, notified } = fixture()
   roster.apply([{ upstream: record('a', { leaving: true }) }])
-  t.false(roster.leave('a'))
+  t.false(roster.markLeaving('a'))
   t.deepEqual(notified, ['a leaves'])
 })
 
 test('an upstream that announces its leaving while it is not listed is still leaving when it is listed again', t => {
   const { roster } = fixture()
   roster.apply([{ gone: 'a', certain: true }])
-  t.true(roster.leave('a'))
-  t.false(roster.leave('a'))
+  t.true(roster.markLeaving('a'))
+  t.false(roster.markLeaving('a'))
   roster.apply([{ upstream: record('a') }])
   t.deepEqual(roster.available('chat').map(each => each.id), ['b'])
 })
 
 test('an upstream that announces its leaving while its record has lapsed is gone when the time to be listed again is over', t => {
   const { clock, outage, roster } = fixture()
-  outage.failed(clock.bootNow())
-  outage.failed(clock.bootNow())
+  outage.recordFailure(clock.bootNow())
+  outage.recordFailure(clock.bootNow())
   clock.advance(3000)
-  outage.answered()
+  outage.recordAnswer()
   roster.apply([{ gone: 'a' }])
   t.true(roster.lapsed.has('a'))
-  t.true(roster.leave('a'))
+  t.true(roster.markLeaving('a'))
   t.true(roster.lapsed.has('a'))
   clock.advance(10_000)
   t.is(roster.find('a'), undefined)
@@ -74,13 +74,13 @@
 test('a later incarnation of an upstream that was leaving is not leaving', t => {
   const { roster } = fixture()
   roster.apply([{ upstream: record('c@1', { name: 'c', born: 1 }) }])
-  roster.leave('c@1')
+  roster.markLeaving('c@1')
   roster.apply([{ upstream: record('c@2', { name: 'c', born: 2 }) }])
   t.deepEqual(roster.available('chat').map(each => each.id), ['a', 'b', 'c@2'])
 })
 
 test('an announcement of an unknown upstream is ignored', t => {
   const { roster, notified } = fixture()
-  t.false(roster.leave('unknown'))
+  t.false(roster.markLeaving('unknown'))
   t.deepEqual(notified, [])
 })
--- a/packages/work/src/first.ts
+++ b/packages/work/src/first.ts
@@ -42,7 +42,7 @@
  * @param prompt tokens of its prompt
  * @param pace the model's factor on all times
  */
-export function expectedFirst (prompt: number, { inFlight, unread }: HeadState, engine: Figures, pace: number): number {
+export function expectedFirstEventTime (prompt: number, { inFlight, unread }: HeadState, engine: Figures, pace: number): number {
   const { slots, readRate } = engine
   const waiting = Math.max(0, inFlight + 1 - slots)
   const step = stepTime(engine, Math.min(slots, inFlight + 1))
--- a/packages/work/src/forecast.ts
+++ b/packages/work/src/forecast.ts
@@ -5,7 +5,7 @@
  * measured times. Each gateway learns for itself.
  */
 import { type Engine } from '@eiderwind/traffic'
-import { expectedFirst, type Expectation, type HeadState, type ModelRequest } from './first.js'
+import { expectedFirstEventTime, type Expectation, type HeadState, type ModelRequest } from './first.js'
 import { RunningMedian } from './median.js'
 import { Unread } from './unread.js'
 
@@ -25,7 +25,7 @@
   expect ({ service, model, prompt }: ModelRequest, head: HeadState, engine: Engine): Pick<Expectation, 'time' | 'lag'> {
     const pace = engine.models.find(({ name }) => name === model)?.pace ?? 1
     const lag = this.#lag(service, model).value
-    return { time: expectedFirst(prompt, head, engine, pace) + lag, lag }
+    return { time: expectedFirstEventTime(prompt, head, engine, pace) + lag, lag }
   }
 
   /**
--- a/packages/work/test/work.test.ts
+++ b/packages/work/test/work.test.ts
@@ -1,6 +1,6 @@
 /** Costs of requests and times of first events, computed from the parameters of an engine. */
 import test from 'ava'
-import { Forecast, RunningMedian, Unread, expectedFirst, requestTokens, workOf } from '../src/index.js'
+import { Forecast, RunningMedian, Unread, expectedFirstEventTime, requestTokens, workOf } from '../src/index.js'
 
 const engine = { slots: 40, step: 8, stepPerRequest: 0.1, readRate: 50_000, prompt: 1000, answer: 100 }
 
@@ -42,12 +42,12 @@
     ['four wait', 0, 43, 0, 1, 120 + 12],
     ['a slow model', 1000, 4, 3000, 2, 177]
   ]
-  for (const [what, prompt, inFlight, unread, pace, time] of table) t.is(Number(expectedFirst(prompt, { inFlight, unread }, engine, pace).toFixed(6)), Number(time.toFixed(6)), what)
+  for (const [what, prompt, inFlight, unread, pace, time] of table) t.is(Number(expectedFirstEventTime(prompt, { inFlight, unread }, engine, pace).toFixed(6)), Number(time.toFixed(6)), what)
 })
 
 test('more requests or unread tokens ahead of a request never make its first event earlier', t => {
   for (let inFlight = 0; inFlight < 60; inFlight++) {
-    const time = (more: number, unread: number): number => expectedFirst(700, { inFlight: inFlight + more, unread }, engine, 1)
+    const time = (more: number, unread: number): number => expectedFirstEventTime(700, { inFlight: inFlight + more, unread }, engine, 1)
     t.true(time(1, 0) >= time(0, 0))
     t.true(time(0, 100) > time(0, 0))
   }
@@ -83,7 +83,7 @@
   const served = { ...engine, models: [{ name: 'm', size: 1, share: 1, pace: 2, load: 0, warm: 0 }], loadRate: 1, loadsAtOnce: 1, formTime: 0 }
   const subject = { service: 's', model: 'm', prompt: 1000 }
   const idle = { inFlight: 0, unread: 0 }
-  const computed = expectedFirst(1000, idle, served, 2)
+  const computed = expectedFirstEventTime(1000, idle, served, 2)
   t.deepEqual(forecast.expect(subject, idle, served), { time: computed, lag: 0 })
   for (let each = 0; each < 40; each++) {
     const { time, lag } = forecast.expect(subject, idle, served)
