--- a/packages/detect/src/stalls.ts
+++ b/packages/detect/src/stalls.ts
@@ -1,8 +1,8 @@
 /**
  * Detects stalled replicas: a replica that lost a member keeps its connections open and sends nothing. A head whose
- * streams have all been silent for `silence` ms is suspected, and other gateways are notified at once. If most gateways
- * with streams there suspect it too, each request in flight there may move. A single stream that is silent for longer
- * may also move while its head serves others, since its connection may have failed unnoticed.
+ * streams have all been silent for `maxSilence` ms is suspected, and other gateways are notified at once. If most
+ * gateways with streams there suspect it too, each request in flight there may move. A single stream that is silent for
+ * longer may also move while its head serves others, since its connection may have failed unnoticed.
  *
  * Owns only its timer. Relies on `InFlight` for silence, `Suspects` to store suspicions, `Pauses` to discard silence
  * that was measured while this process was paused, and on the heartbeats of other gateways for their views
@@ -25,7 +25,7 @@
   readonly suspects: Suspects
   readonly pauses: Pauses
   /** How long all streams of a head may be silent before it is suspected, in ms. */
-  readonly silence: number
+  readonly maxSilence: number
   /** The views of the other gateways that are live. */
   readonly peerViews: () => readonly GatewayView[]
   /** Called after a head has become suspected. */
@@ -45,7 +45,7 @@
 /**
  * How long all streams of a head may be silent before that counts without confirmation by other gateways, in ms. A
  * first event takes 0.1 s, and 0.3 s while the head reads long prompts of other requests. At a full head it may take
- * longer than `silence`.
+ * longer than `maxSilence`.
  */
 const unconfirmedSilence = 1000
 
@@ -67,10 +67,10 @@
   }
 
   check (): void {
-    const { clock, inFlight, silence, pauses, peerViews } = this.#options
+    const { clock, inFlight, maxSilence, pauses, peerViews } = this.#options
     // Data that arrived while this process was paused is still unread in its sockets.
-    if (clock.now() - pauses.resumedAt < silence) return
-    const silent = inFlight.silentUpstreams(upstream => this.#isHead(upstream) ? silence : Infinity)
+    if (clock.now() - pauses.resumedAt < maxSilence) return
+    const silent = inFlight.silentUpstreams(upstream => this.#isHead(upstream) ? maxSilence : Infinity)
     if (silent.length > 0) this.#checkHeads(silent, peerViews())
     for (const { upstream, handlers } of inFlight.silentRequests(streamSilence)) if (this.#isHead(upstream)) handlers.stalled?.()
   }
--- a/packages/detect/test/agreement.test.ts
+++ b/packages/detect/test/agreement.test.ts
@@ -8,7 +8,7 @@
 import { Roster } from '@eiderwind/roster'
 import { majoritySuspects, InFlight, isMajoritySuspect, Pauses, Stalls, Suspects, type InFlightRequest, type GatewayView } from '../src/index.js'
 
-const silence = 400
+const maxSilence = 400
 
 /** Time until the other gateways receive a suspicion, in ms. */
 const heartbeatDelay = 10
@@ -32,7 +32,7 @@
       const flights = new InFlight(this.clock, () => {})
       const suspects = new Suspects(this.clock, roster)
       const peerViews = (): GatewayView[] => this.#views.filter((_each, other) => other !== index)
-      new Stalls({ clock: this.clock, log: new Log({ sink: () => {} }), roster, inFlight: flights, suspects, silence, peerViews, pauses: new Pauses(this.clock), suspected: () => { this.clock.after(heartbeatDelay, () => this.exchangeViews()) } }).start()
+      new Stalls({ clock: this.clock, log: new Log({ sink: () => {} }), roster, inFlight: flights, suspects, maxSilence, peerViews, pauses: new Pauses(this.clock), suspected: () => { this.clock.after(heartbeatDelay, () => this.exchangeViews()) } }).start()
       this.all.push({ flights, suspects, moved: new Set() })
     }
     this.clock.every(250, () => this.exchangeViews())
@@ -64,7 +64,7 @@
     }
     // The last requests before the death were sent a moment ago and have received nothing.
     const late = gateways.all.slice(0, Math.ceil(size / 4)).map(each => ({ each, request: gateways.send(each) }))
-    clock.advance(silence + 110)
+    clock.advance(maxSilence + 110)
     t.true(gateways.hasMajority)
     for (const { each, request } of requests) t.true(each.moved.has(request))
     for (const { each, request } of late) t.true(each.moved.has(request))
--- a/packages/detect/test/detect.test.ts
+++ b/packages/detect/test/detect.test.ts
@@ -54,7 +54,7 @@
   const suspects = new Suspects(clock, roster)
   const flights = new InFlight(clock, () => {})
   const pauses = new Pauses(clock)
-  const stalls = new Stalls({ clock, log: new Log({ sink: () => {} }), roster, inFlight: flights, suspects, silence: 400, peerViews: () => [], pauses, suspected: () => {} })
+  const stalls = new Stalls({ clock, log: new Log({ sink: () => {} }), roster, inFlight: flights, suspects, maxSilence: 400, peerViews: () => [], pauses, suspected: () => {} })
   pauses.start()
   stalls.start()
   const flight = flights.begin('a', 'm')
@@ -78,7 +78,7 @@
   }])
   const suspects = new Suspects(clock, roster)
   const flights = new InFlight(clock, () => {})
-  const stalls = new Stalls({ clock, log: new Log({ sink: () => {} }), roster, inFlight: flights, suspects, silence: 400, peerViews: () => [], pauses: new Pauses(clock), suspected: () => {} })
+  const stalls = new Stalls({ clock, log: new Log({ sink: () => {} }), roster, inFlight: flights, suspects, maxSilence: 400, peerViews: () => [], pauses: new Pauses(clock), suspected: () => {} })
   stalls.start()
   return { clock, suspects, flights, stalls }
 }
--- a/packages/dispatch/src/waiting.ts
+++ b/packages/dispatch/src/waiting.ts
@@ -17,7 +17,7 @@
 
 /**
  * Maximum wait of a stream for its next upstream, in ms. Callers leave after 2,000 ms without an event. About 400 ms of
- * these (setting `silence`) pass before a stall is detected.
+ * these (`GatewaySettings.maxSilence`) pass before a stall is detected.
  */
 const maxResumeWaitMs = 1500
 
--- a/packages/emulator/src/day.ts
+++ b/packages/emulator/src/day.ts
@@ -80,7 +80,7 @@
 const windowLength = 2000
 
 /**
- * Time for which a head's requests make no progress before gateways suspect it, in ms: the setting `silence` plus a
+ * Time for which a head's requests make no progress before gateways suspect it, in ms: the setting `maxSilence` plus a
  * heartbeat.
  */
 const suspicionDelay = 500
--- a/packages/gateway/src/callers.ts
+++ b/packages/gateway/src/callers.ts
@@ -21,7 +21,7 @@
   /** `host:port` on which callers connect. */
   readonly address: string
   /** Maximum age of the newest confirmation of the configuration where a recent one is needed, in ms. */
-  readonly freshness: number
+  readonly maxConfirmationAge: number
   /** Whether requests with known keys need a recent confirmation. */
   readonly strictKeys: boolean
   /** Chooses the service of a request if its route is split between several. */
@@ -96,8 +96,8 @@
   }
 
   get #isFresh (): boolean {
-    const { context, board, freshness } = this.#options
-    return context.clock.bootNow() - board.read('confirmedAt') <= freshness
+    const { context, board, maxConfirmationAge } = this.#options
+    return context.clock.bootNow() - board.read('confirmedAt') <= maxConfirmationAge
   }
 
   async start (): Promise<void> {
--- a/packages/gateway/src/changelog.ts
+++ b/packages/gateway/src/changelog.ts
@@ -19,12 +19,12 @@
   readonly roster: Roster
   readonly board: GatewayBoard
   /** Identifies this incarnation of the process: its change numbers mean nothing to another one. */
-  readonly life: string
+  readonly incarnation: string
   /**
    * How long an answer waits for a change, in ms. Each answer shows the follower that this gateway is live and how
    * recent its list is.
    */
-  readonly wait: number
+  readonly maxWait: number
 }
 
 /** Number of retained changes: those of many seconds, so that only a follower that was away gets the whole list. */
@@ -57,8 +57,8 @@
   async after (request: UpstreamsRequest): Promise<UpstreamChanges> {
     if (this.#changesFor(request)?.length === 0) await this.#nextChange()
     const changes = this.#changesFor(request)
-    const { roster, life } = this.#options
-    const common = { life, newest: this.#newest, revision: this.#revision }
+    const { roster, incarnation } = this.#options
+    const common = { life: incarnation, newest: this.#newest, revision: this.#revision }
     return changes === undefined ? { ...common, upstreams: roster.upstreams } : { ...common, changes: changes.map(each => each.change) }
   }
 
@@ -77,7 +77,7 @@
     if (revision !== undefined && this.#retainedSince !== undefined && revision >= this.#retainedSince) {
       return this.#changes.filter(each => each.revision === undefined || each.revision > revision)
     }
-    if (life !== this.#options.life || after > this.#newest || this.#newest - after > this.#changes.length) return undefined
+    if (life !== this.#options.incarnation || after > this.#newest || this.#newest - after > this.#changes.length) return undefined
     return this.#changes.filter(each => each.number > after)
   }
 
@@ -103,7 +103,7 @@
         this.#waiters.delete(wake)
         resolve()
       }
-      const timer = this.#options.clock.after(this.#options.wait, wake)
+      const timer = this.#options.clock.after(this.#options.maxWait, wake)
       this.#waiters.add(wake)
     })
   }
--- a/packages/gateway/src/conditions.ts
+++ b/packages/gateway/src/conditions.ts
@@ -4,7 +4,7 @@
  * One that is leaving gets no new request in this incarnation, whatever the store's list says.
  * Owns the rests, and the set of upstreams that announced to this gateway that they are leaving. Heartbeats carry that
  * set to the other gateways. A rest is asked of one gateway and is not forwarded; a limit is for all gateways together
- * (`limiting.ts`).
+ * (`upstreamlimits.ts`).
  */
 import { type Clock } from '@eiderwind/clock'
 import { Backoff, Rests, type InFlight } from '@eiderwind/detect'
@@ -22,7 +22,7 @@
   readonly inFlight: InFlight
   readonly queue: Queue
   /** Called when a heartbeat should be sent at once, because an upstream is leaving. */
-  readonly tell: () => void
+  readonly announce: () => void
   /** Takes the limit named in an upstream's answer to this gateway. */
   readonly limited: (id: string, rate: number) => void
   /** Takes the time for which an upstream is still cold, in ms, from its answer to this gateway. */
@@ -66,7 +66,7 @@
   }
 
   /** This module's fields of the heartbeats to other gateways. */
-  get news (): Pick<Heartbeat, 'leaving'> {
+  get heartbeatFields (): Pick<Heartbeat, 'leaving'> {
     const { roster } = this.#options
     for (const id of this.#leaving) if (!roster.isKnown(id)) this.#leaving.delete(id)
     return { leaving: [...this.#leaving] }
@@ -76,7 +76,7 @@
    * Takes the leaving upstreams from another gateway's heartbeat. Every heartbeat repeats them, so an announcement that
    * arrives before the list of upstreams is not lost.
    */
-  hear ({ id: from, leaving = [] }: Heartbeat): void {
+  receiveHeartbeat ({ id: from, leaving = [] }: Heartbeat): void {
     const { log, roster } = this.#options
     for (const id of leaving) if (roster.markLeaving(id)) log.write('upstream-leaving', { upstream: id, from })
   }
@@ -89,11 +89,11 @@
   }
 
   #markLeaving (id: string): void {
-    const { log, roster, tell } = this.#options
+    const { log, roster, announce } = this.#options
     if (this.#leaving.has(id)) return
     this.#leaving.add(id)
     if (roster.markLeaving(id)) log.write('upstream-leaving', { upstream: id })
-    tell()
+    announce()
   }
 
   /**
--- a/packages/gateway/src/confirmations.ts
+++ b/packages/gateway/src/confirmations.ts
@@ -8,7 +8,7 @@
 import { type Clock, type Subscription } from '@eiderwind/clock'
 import { type PeerAddress, type Peers } from '@eiderwind/peers'
 import { ask, type Connections } from '@eiderwind/wire'
-import { confirm, applyConfiguration, revisionInForce, type GatewayBoard } from './facts.js'
+import { recordConfirmation, applyConfiguration, revisionInForce, type GatewayBoard } from './facts.js'
 import { confirmationTarget, decodeConfirmation } from './messages.js'
 
 /** Dependencies of `Confirmations`. */
@@ -90,7 +90,7 @@
     const { body } = await ask(connections, clock, call, answerTimeout)
     const { revision: peerRevision, age, traffic } = decodeConfirmation(body.toString())
     if (traffic !== undefined) applyConfiguration(board, traffic, clock.now())
-    if (this.#revision === peerRevision) confirm(board, askedAt - age)
+    if (this.#revision === peerRevision) recordConfirmation(board, askedAt - age)
   }
 
   get #revision (): number {
--- a/packages/gateway/src/election.ts
+++ b/packages/gateway/src/election.ts
@@ -23,7 +23,7 @@
   /** Whether this gateway may plan now. */
   readonly eligible: () => boolean
   /** This gateway's position among the candidates that it knows: 0 stands first. */
-  readonly place: () => number
+  readonly position: () => number
   /** The terms in which other live gateways lead, and whether each may plan. */
   readonly others: () => ReadonlyArray<{ readonly term: number, readonly able: boolean }>
   /** Called when this gateway was elected, or no longer leads. */
@@ -65,16 +65,16 @@
   }
 
   /** Stands for election if there is no leader, and stops leading if another gateway has a later term. */
-  look (): void {
+  update (): void {
     this.#yieldToLaterTerm()
     const wait = this.#startDelay
     if (this.#term !== undefined || this.#isStanding || wait === undefined) {
       this.#vacantSince = undefined
       return
     }
-    const { clock, place } = this.#options
+    const { clock, position } = this.#options
     this.#vacantSince ??= clock.now()
-    if (clock.now() < Math.max(this.#pausedUntil, this.#vacantSince + wait + place() * candidateDelay)) return
+    if (clock.now() < Math.max(this.#pausedUntil, this.#vacantSince + wait + position() * candidateDelay)) return
     this.#isStanding = true
     this.#stand().finally(() => { this.#isStanding = false }).catch(() => { /* Never rejects: `Leaders` returns its errors. */ })
   }
--- a/packages/gateway/src/elections.ts
+++ b/packages/gateway/src/elections.ts
@@ -57,7 +57,7 @@
   leads (service: string): boolean {
     const { eligible } = this.#options
     const election = this.#of(service)
-    election.look()
+    election.update()
     const leads = election.term !== undefined && eligible()
     if (leads !== this.#ledServices.has(service)) this.#recordLeading(service, leads, election.term)
     return leads
@@ -95,7 +95,7 @@
       service,
       id,
       eligible,
-      place: () => Math.max(0, candidates().indexOf(id)),
+      position: () => Math.max(0, candidates().indexOf(id)),
       others: () => others().filter(each => each.service === service),
       changed
     })
--- a/packages/gateway/src/evacuating.ts
+++ b/packages/gateway/src/evacuationcontroller.ts
@@ -14,18 +14,18 @@
 import { type Roster } from '@eiderwind/roster'
 import { type GatewayBoard } from './facts.js'
 
-/** Dependencies of `Evacuating`. */
-export interface EvacuatingOptions {
+/** Dependencies of `EvacuationController`. */
+export interface EvacuationControllerOptions {
   readonly clock: Clock
   readonly log: Log
   readonly board: GatewayBoard
   readonly roster: Roster
   readonly inFlight: InFlight
   /** Time within which streams leave a data centre, in ms; undefined if evacuations are disabled. */
-  readonly span: number | undefined
+  readonly evacuationTime: number | undefined
 }
 
-/** Interval at which streams are moved, in ms: short compared with the span over which the moves are spread. */
+/** Interval at which streams are moved, in ms: short compared with the time over which the moves are spread. */
 const moveInterval = 100
 
 /**
@@ -38,8 +38,8 @@
 const reason = 'its data centre is evacuated'
 
 /** Empties evacuated data centres. */
-export class Evacuating {
-  readonly #options: EvacuatingOptions
+export class EvacuationController {
+  readonly #options: EvacuationControllerOptions
   /** When the evacuation of each data centre became known here, on `Clock.now`. */
   readonly #since = new Map<string, number>()
   /** When the set last changed here, on `Clock.now`. */
@@ -47,13 +47,13 @@
   #moved = 0
   #timer: Subscription | undefined
 
-  constructor (options: EvacuatingOptions) {
+  constructor (options: EvacuationControllerOptions) {
     this.#options = options
   }
 
   start (): void {
-    const { clock, span } = this.#options
-    if (span !== undefined) this.#timer = clock.every(moveInterval, () => this.#moveStreams(span))
+    const { clock, evacuationTime } = this.#options
+    if (evacuationTime !== undefined) this.#timer = clock.every(moveInterval, () => this.#moveStreams(evacuationTime))
   }
 
   stop (): void {
@@ -80,9 +80,9 @@
    * sent it; undefined if it comes from the store
    */
   take (evacuation: Evacuation, from?: string): void {
-    const { board, clock, span, roster } = this.#options
+    const { board, clock, evacuationTime, roster } = this.#options
     const known = board.read('evacuation')
-    if (span === undefined || (known !== undefined && evacuation.revision <= known.revision)) return
+    if (evacuationTime === undefined || (known !== undefined && evacuation.revision <= known.revision)) return
     board.write('evacuation', evacuation)
     const current = new Set(evacuation.dataCentres)
     const begun = [...current].filter(each => !this.#since.has(each))
@@ -95,12 +95,12 @@
   }
 
   /** Takes the evacuations from another gateway's heartbeat. */
-  hear ({ id: from, evacuation }: Heartbeat): void {
+  receiveHeartbeat ({ id: from, evacuation }: Heartbeat): void {
     if (evacuation !== undefined) this.take(evacuation, from)
   }
 
   /** This module's fields of the heartbeats to other gateways. */
-  get news (): Pick<Heartbeat, 'evacuation'> {
+  get heartbeatFields (): Pick<Heartbeat, 'evacuation'> {
     const evacuation = this.#options.board.read('evacuation')
     const isAnnounced = this.#since.size > 0 || this.#options.clock.now() - this.#changedAt < endAnnouncementTime
     return evacuation !== undefined && isAnnounced ? { evacuation } : {}
@@ -122,11 +122,11 @@
    * Moves the number of streams that are due, the oldest first. Streams that may not be resumed, or find no room
    * elsewhere, stay.
    */
-  #moveStreams (span: number): void {
+  #moveStreams (evacuationTime: number): void {
     const now = this.#options.clock.now()
     for (const [dataCentre, since] of this.#since) {
       const running = this.#runningIn(dataCentre)
-      let quota = streamsToMove({ running: running.length, time: now - since, span, interval: moveInterval })
+      let quota = streamsToMove({ running: running.length, time: now - since, span: evacuationTime, interval: moveInterval })
       for (const { handlers } of running) {
         if (quota <= 0) break
         if (handlers.moved?.(reason) !== true) continue
--- a/packages/gateway/src/facts.ts
+++ b/packages/gateway/src/facts.ts
@@ -84,7 +84,7 @@
  * Records a confirmation that was requested at `askedAt`. Answers may arrive out of order; the request that was sent
  * last counts.
  */
-export function confirm (board: GatewayBoard, askedAt: number): void {
+export function recordConfirmation (board: GatewayBoard, askedAt: number): void {
   if (askedAt > board.read('confirmedAt')) board.write('confirmedAt', askedAt)
 }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -20,9 +20,9 @@
 import { Confirmations } from './confirmations.js'
 import { CrashWatch } from './crashwatch.js'
 import { ModelLoad } from './demand.js'
-import { Evacuating } from './evacuating.js'
+import { EvacuationController } from './evacuationcontroller.js'
 import { gatewayBoard, revisionInForce } from './facts.js'
-import { Limiting } from './limiting.js'
+import { UpstreamLimits } from './upstreamlimits.js'
 import { platformListener } from './listener.js'
 import { Health } from './health.js'
 import { Leadership } from './leadership.js'
@@ -66,8 +66,8 @@
   readonly #suspects: Suspects
   readonly #crashWatch: CrashWatch
   readonly #conditions: Conditions
-  readonly #limiting: Limiting
-  readonly #evacuating: Evacuating
+  readonly #upstreamLimits: UpstreamLimits
+  readonly #evacuationController: EvacuationController
   readonly #availability: Availability
   readonly #choice: Choice
   /** Undefined if each gateway searches for room alone. */
@@ -124,7 +124,7 @@
       peers,
       leaders: platform.leaders,
       id: settings.id,
-      firstStart: settings.first
+      isFirstStart: settings.isFirstStart
     })
     this.#budgets = new Budgets({ clock, board, peers, settings })
     this.#crashWatch = new CrashWatch({
@@ -138,7 +138,7 @@
       connectTime,
       changed: () => this.#queue.wake()
     })
-    this.#limiting = new Limiting({
+    this.#upstreamLimits = new UpstreamLimits({
       clock,
       log,
       id: settings.id,
@@ -156,12 +156,12 @@
       roster: this.#roster,
       inFlight: this.#inFlight,
       queue: this.#queue,
-      tell: () => peers.send(),
-      limited: (id, rate) => this.#limiting.named(id, rate),
-      cold: (id, remaining) => this.#limiting.coldAnswer(id, remaining),
+      announce: () => peers.send(),
+      limited: (id, rate) => this.#upstreamLimits.recordLimit(id, rate),
+      cold: (id, remaining) => this.#upstreamLimits.recordCold(id, remaining),
       rested: () => this.#metrics.rested()
     })
-    this.#availability = new Availability({ clock, rests: this.#conditions.rests, tokens: this.#limiting.tokens })
+    this.#availability = new Availability({ clock, rests: this.#conditions.rests, tokens: this.#upstreamLimits.tokens })
     this.#choice = new Choice({
       roster: this.#roster,
       inFlight: this.#inFlight,
@@ -172,7 +172,7 @@
       dataCentre: settings.dataCentre
     })
     this.#rooms = settings.sharedRoom === true ? this.#makeRooms() : undefined
-    this.#evacuating = new Evacuating({ clock, log, board, roster: this.#roster, inFlight: this.#inFlight, span: settings.evacuation })
+    this.#evacuationController = new EvacuationController({ clock, log, board, roster: this.#roster, inFlight: this.#inFlight, evacuationTime: settings.evacuationTime })
     this.#deliveries = new Deliveries({ clock, log, bounds: settings.unread })
     this.#metrics = new Metrics({
       clock,
@@ -185,8 +185,8 @@
       connections: this.#connections,
       budgets: this.#budgets,
       rests: this.#conditions.rests,
-      limiting: this.#limiting,
-      evacuating: this.#evacuating,
+      upstreamLimits: this.#upstreamLimits,
+      evacuationController: this.#evacuationController,
       rooms: this.#rooms
     })
     this.#callers = this.#makeCallers()
@@ -205,8 +205,8 @@
         clock,
         board,
         roster: this.#roster,
-        life: randomUUID(),
-        wait: Math.min(maxChangeWait, changeWaitShare * settings.patience)
+        incarnation: randomUUID(),
+        maxWait: Math.min(maxChangeWait, changeWaitShare * settings.maxListAge)
       }),
       crashes: this.#crashWatch.crashes,
       address: settings.peers,
@@ -270,15 +270,15 @@
       outage: this.#outage,
       peers: this.#peers,
       conditions: this.#conditions,
-      evacuating: this.#evacuating
+      evacuationController: this.#evacuationController
     }))
     platform.register({ id: settings.id, address: settings.peers })
-    if (!settings.first) this.#crashWatch.start()
+    if (!settings.isFirstStart) this.#crashWatch.start()
     this.#pauses.start()
     this.#rooms?.start()
     this.#stalls.start()
     this.#readiness.start()
-    this.#evacuating.start()
+    this.#evacuationController.start()
     this.#reconciler.start()
     this.#sampling.start()
   }
@@ -300,7 +300,7 @@
     }
     this.#callers.close()
     this.#rooms?.stop()
-    for (const part of [this.#sampling, this.#reconciler, this.#stalls, this.#readiness, this.#evacuating, this.#pauses, this.#confirmations, this.#upstreamFeed, this.#peerServer, this.#peers, this.#health, this.#metrics, this.#options.platform]) part.stop()
+    for (const part of [this.#sampling, this.#reconciler, this.#stalls, this.#readiness, this.#evacuationController, this.#pauses, this.#confirmations, this.#upstreamFeed, this.#peerServer, this.#peers, this.#health, this.#metrics, this.#options.platform]) part.stop()
     this.#connections.close()
   }
 
@@ -312,7 +312,7 @@
   }
 
   #makeCallers (): Callers {
-    const { clock, log, platform, settings: { callers: address, dataCentre, freshness, strictKeys, fair } } = this.#options
+    const { clock, log, platform, settings: { callers: address, dataCentre, maxConfirmationAge, strictKeys, fair } } = this.#options
     const conditions = this.#conditions
     const rooms = this.#rooms
     const context: Context = {
@@ -343,7 +343,7 @@
       context,
       board: this.#board,
       address,
-      freshness,
+      maxConfirmationAge,
       strictKeys,
       random: Math.random,
       usualMaxWaits: fair ? new UsualMaxWaits() : undefined,
@@ -381,13 +381,13 @@
       platform,
       connections: this.#connections,
       sources: () => this.#leadership.sources,
-      patience: this.#options.settings.patience,
+      maxListAge: this.#options.settings.maxListAge,
       failed: error => log.write('controller-failed', { controller: 'upstreams', cause: String((error as Error).stack) })
     })
   }
 
   #makeStalls (): Stalls {
-    const { clock, log, settings: { silence } } = this.#options
+    const { clock, log, settings: { maxSilence } } = this.#options
     return new Stalls({
       clock,
       log,
@@ -395,7 +395,7 @@
       inFlight: this.#inFlight,
       suspects: this.#suspects,
       pauses: this.#pauses,
-      silence,
+      maxSilence,
       peerViews: () => this.#peers.live,
       suspected: () => {
         this.#metrics.suspected()
@@ -407,15 +407,15 @@
   /** Passes another gateway's heartbeat to the parts that read it. */
   #receiveHeartbeat (heartbeat: Heartbeat, from: PeerAddress): void {
     this.#crashWatch.receiveHeartbeat(heartbeat, from)
-    this.#conditions.hear(heartbeat)
-    this.#limiting.hear(heartbeat)
-    this.#evacuating.hear(heartbeat)
-    this.#rooms?.hear(heartbeat, from)
+    this.#conditions.receiveHeartbeat(heartbeat)
+    this.#upstreamLimits.receiveHeartbeat(heartbeat)
+    this.#evacuationController.receiveHeartbeat(heartbeat)
+    this.#rooms?.receiveHeartbeat(heartbeat, from)
   }
 
   /** Takes a datagram that is not a heartbeat. */
   #receiveDatagram (datagram: Buffer, from: string): void {
-    if (this.#rooms?.receive(datagram, from) !== true) this.#limiting.receive(datagram, from)
+    if (this.#rooms?.receive(datagram, from) !== true) this.#upstreamLimits.receive(datagram, from)
   }
 
   /** The heartbeat of this gateway. */
@@ -432,11 +432,11 @@
       loads: this.#reconciler.loads,
       terms: this.#leadership.terms,
       ...this.#crashWatch.heartbeatFields,
-      ...this.#conditions.news,
-      ...this.#limiting.news,
-      ...this.#evacuating.news,
-      ...this.#readiness.news,
-      ...this.#rooms?.news
+      ...this.#conditions.heartbeatFields,
+      ...this.#upstreamLimits.heartbeatFields,
+      ...this.#evacuationController.heartbeatFields,
+      ...this.#readiness.heartbeatFields,
+      ...this.#rooms?.heartbeatFields
     }
   }
 }
--- a/packages/gateway/src/leaders.ts
+++ b/packages/gateway/src/leaders.ts
@@ -14,7 +14,7 @@
 }
 
 /** The leader before any election. */
-export const nobody: Leader = { id: '', term: 0 }
+export const noLeader: Leader = { id: '', term: 0 }
 
 /** The store of the records, one for each service. */
 export abstract class Leaders {
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -30,7 +30,7 @@
   /** This gateway's id. */
   readonly id: string
   /** Whether the whole system starts for the first time. */
-  readonly firstStart: boolean
+  readonly isFirstStart: boolean
 }
 
 /**
@@ -87,13 +87,13 @@
 
   /** Whether this gateway may plan at all. Other gateways read it in its heartbeat. */
   get eligible (): boolean {
-    const { board, outage, firstStart } = this.#options
+    const { board, outage, isFirstStart } = this.#options
     if (!board.read('store') || !board.read('listed') || board.read('stopping')) return false
     // The gateway cannot know whether an outage of the store has just ended. Upstreams that lapsed may still be missing
     // from its first list.
-    const isFirstList = firstStart && !outage.resumed
+    const isFirstList = isFirstStart && !outage.resumed
     if (!isFirstList && !outage.listComplete) return false
-    return this.#isSettled && !this.follows
+    return this.#isSettled && !this.isFollowing
   }
 
   /**
@@ -111,7 +111,7 @@
    * does not end that. After a pause, only a gateway that watched, and may now be behind, leaves watching to the others
    * for a while.
    */
-  get follows (): boolean {
+  get isFollowing (): boolean {
     const { board, id } = this.#options
     if (!this.#isLarge || !this.#hasSettledSince(this.#startedAt)) return false
     if (!board.read('store') || !board.read('listed') || board.read('upstreamsFrom') === undefined) return false
@@ -151,14 +151,14 @@
   }
 
   /** Whether this gateway plans any service now. */
-  get planning (): boolean {
+  get isPlanningAny (): boolean {
     return this.#elections.leading
   }
 
   /**
    * Whether this gateway plans the replicas of a service now: it leads, and its list of upstreams comes from the store.
    */
-  plans (service: string): boolean {
+  isPlanning (service: string): boolean {
     return this.#elections.leads(service) && this.#options.board.read('upstreamsFrom') === 'store'
   }
 
@@ -187,7 +187,7 @@
    */
   get sources (): PeerAddress[] {
     const { id, board, peers } = this.#options
-    if (board.read('store') && !this.follows) return []
+    if (board.read('store') && !this.isFollowing) return []
     const storeReaders = this.storeReaders.filter(each => each !== id)
     const sources = board.read('upstreamsFrom') === undefined ? [...storeReaders, ...peers.live.map(each => each.id)] : storeReaders
     const addresses = new Map(peers.liveAddresses.map(each => [each.id, each]))
--- a/packages/gateway/src/listener.ts
+++ b/packages/gateway/src/listener.ts
@@ -1,15 +1,15 @@
 /**
  * Passes what the platform delivers to the part that owns it. The configuration and its confirmations go to the board,
- * upstreams to the roster, gateways to the peers, evacuations to `Evacuating`, and answers and failures of the store to
- * outage detection. Logs changes of the gateway's view.
+ * upstreams to the roster, gateways to the peers, evacuations to `EvacuationController`, and answers and failures of
+ * the store to outage detection. Logs changes of the gateway's view.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Log } from '@eiderwind/log'
 import { type Peers } from '@eiderwind/peers'
 import { type Outage, type Roster } from '@eiderwind/roster'
 import { type Conditions } from './conditions.js'
-import { type Evacuating } from './evacuating.js'
-import { recordCompleteness, confirm, applyConfiguration, type GatewayBoard } from './facts.js'
+import { type EvacuationController } from './evacuationcontroller.js'
+import { recordCompleteness, recordConfirmation, applyConfiguration, type GatewayBoard } from './facts.js'
 import { type PlatformListener } from './platform.js'
 
 /** Dependencies of a platform's listener. */
@@ -21,12 +21,12 @@
   readonly outage: Outage
   readonly peers: Peers
   readonly conditions: Conditions
-  readonly evacuating: Evacuating
+  readonly evacuationController: EvacuationController
 }
 
 /** The listener of a gateway's platform. */
 export function platformListener (options: PlatformListenerOptions): PlatformListener {
-  const { clock, log, board, outage, peers, conditions, evacuating } = options
+  const { clock, log, board, outage, peers, conditions, evacuationController } = options
   return {
     ...upstreamListener(options),
     configuration: (traffic, askedAt) => {
@@ -34,10 +34,10 @@
         log.write('configuration-new', { revision: traffic.revision, age: Math.round(clock.bootNow() - askedAt) })
       }
       // An older configuration, from a store that lags, does not confirm the one in force.
-      if (board.read('inForce')?.traffic.revision === traffic.revision) confirm(board, askedAt)
+      if (board.read('inForce')?.traffic.revision === traffic.revision) recordConfirmation(board, askedAt)
     },
-    confirmed: askedAt => confirm(board, askedAt),
-    evacuations: (dataCentres, revision) => evacuating.take({ dataCentres, revision }),
+    confirmed: askedAt => recordConfirmation(board, askedAt),
+    evacuations: (dataCentres, revision) => evacuationController.take({ dataCentres, revision }),
     gateways: all => {
       board.write('listed', true)
       peers.setAddresses(all)
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -12,8 +12,8 @@
 import { type Roster } from '@eiderwind/roster'
 import { listen, type Connections } from '@eiderwind/wire'
 import { type Budgets } from './budgets.js'
-import { type Evacuating } from './evacuating.js'
-import { type Limiting } from './limiting.js'
+import { type EvacuationController } from './evacuationcontroller.js'
+import { type UpstreamLimits } from './upstreamlimits.js'
 import { type Rooms } from './rooms.js'
 import { revisionInForce, type GatewayBoard } from './facts.js'
 
@@ -30,8 +30,8 @@
   readonly connections: Connections
   readonly budgets: Budgets
   readonly rests: Rests
-  readonly limiting: Limiting
-  readonly evacuating: Evacuating
+  readonly upstreamLimits: UpstreamLimits
+  readonly evacuationController: EvacuationController
   /** Absent if each gateway searches for room alone. */
   readonly rooms: Rooms | undefined
 }
@@ -181,7 +181,7 @@
   }
 
   #registerGauges (registers: Registry[]): void {
-    const { clock, board, deliveries, away, inFlight, queue, connections, budgets, rests, limiting: { limits, tokens, cold }, evacuating } = this.#options
+    const { clock, board, deliveries, away, inFlight, queue, connections, budgets, rests, upstreamLimits: { limits, tokens, cold }, evacuationController } = this.#options
     const single = (name: string, help: string, read: () => number): void => {
       const gauge: Gauge = new Gauge({ name, help, registers, collect: () => gauge.set(read()) })
     }
@@ -212,9 +212,9 @@
     single('eiderwind_cold', 'Upstreams that are cold now, each with a limit for all gateways together.', () => cold.ids.length)
     single('eiderwind_limit_tokens_received_total', 'Tokens for limited upstreams that requests of this gateway asked for and got.', () => tokens.received)
     single('eiderwind_limit_tokens_used_total', 'Of those, tokens with which a request was sent; the others lapsed.', () => tokens.used)
-    single('eiderwind_evacuated_data_centres', 'Data centres that the operator has evacuated, by what this gateway knows.', () => evacuating.dataCentres.length)
-    single('eiderwind_evacuated_flights', 'Requests in flight at upstreams of evacuated data centres.', () => evacuating.running)
-    single('eiderwind_evacuated_streams_moved_total', 'Streams that were resumed elsewhere since their data centre is evacuated.', () => evacuating.moved)
+    single('eiderwind_evacuated_data_centres', 'Data centres that the operator has evacuated, by what this gateway knows.', () => evacuationController.dataCentres.length)
+    single('eiderwind_evacuated_flights', 'Requests in flight at upstreams of evacuated data centres.', () => evacuationController.running)
+    single('eiderwind_evacuated_streams_moved_total', 'Streams that were resumed elsewhere since their data centre is evacuated.', () => evacuationController.moved)
     this.#registerRoomGauges(single)
     single('eiderwind_memory_bytes', 'Resident memory of the process.', () => process.memoryUsage.rss())
     labelled('eiderwind_engines', 'Engines by the state of their membership.', 'state', () => this.#engines())
--- a/packages/gateway/src/readiness.ts
+++ b/packages/gateway/src/readiness.ts
@@ -72,7 +72,7 @@
   }
 
   /** This module's field of the heartbeats to other gateways. */
-  get news (): Pick<Heartbeat, 'away'> {
+  get heartbeatFields (): Pick<Heartbeat, 'away'> {
     return this.cause === undefined ? {} : { away: true }
   }
 
--- a/packages/gateway/src/rooms.ts
+++ b/packages/gateway/src/rooms.ts
@@ -98,12 +98,12 @@
   }
 
   /** This module's fields of the heartbeats to other gateways. */
-  get news (): PlaceHeartbeatFields {
+  get heartbeatFields (): PlaceHeartbeatFields {
     return this.#coordinator.heartbeatFields
   }
 
   /** Takes another gateway's heartbeat. */
-  hear ({ id, inFlight, contended, grants }: Heartbeat, { address }: PeerAddress): void {
+  receiveHeartbeat ({ id, inFlight, contended, grants }: Heartbeat, { address }: PeerAddress): void {
     this.#senders.set(address, id)
     this.#coordinator.receiveHeartbeat(id, inFlight, { contended, grants })
   }
--- a/packages/gateway/src/sampling.ts
+++ b/packages/gateway/src/sampling.ts
@@ -52,7 +52,7 @@
     const { platform, peers, offered, modelLoad, leadership } = this.#options
     offered.sample()
     modelLoad.sample([offered.models, ...peers.live.map(each => each.offeredByModel)])
-    const { planning, isPolling: confirming, isFollowed: followed, isSpared: spared, fleet } = leadership
+    const { isPlanningAny: planning, isPolling: confirming, isFollowed: followed, isSpared: spared, fleet } = leadership
     platform.setUse({ planning, confirming, followed, spared, fleet })
     this.#logUse(followed, spared)
     this.#logFreshness()
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -5,7 +5,7 @@
 import { type Clock } from '@eiderwind/clock'
 import { type BacklogBounds } from '@eiderwind/forward'
 import { type Log } from '@eiderwind/log'
-import { type ColdBound } from './limiting.js'
+import { type ColdBound } from './upstreamlimits.js'
 import { type Platform } from './platform.js'
 import { type ReadinessLimits } from './readiness.js'
 
@@ -23,7 +23,7 @@
   readonly id: string
   readonly dataCentre: string
   /** Whether the whole system starts for the first time, so that no caller can have been served yet. */
-  readonly first: boolean
+  readonly isFirstStart: boolean
   /** `host:port` for callers, for the balancer's health check, and for other gateways (TCP and UDP). */
   readonly callers: string
   readonly health: string
@@ -31,7 +31,7 @@
   /** `host:port` that serves the metrics. If empty, no metrics are served. */
   readonly metrics: string
   /** Maximum age of the newest confirmation where a recent one is needed (`admission.ts`). */
-  readonly freshness: number
+  readonly maxConfirmationAge: number
   /**
    * Whether requests with known keys need a recent confirmation. If not, they are served by the known configuration.
    */
@@ -50,22 +50,22 @@
    */
   readonly sharedRoom?: boolean
   /** How long all streams of a replica's head may be silent before it is suspected. */
-  readonly silence: number
+  readonly maxSilence: number
   /**
    * Age of another gateway's list of upstreams above which this gateway watches the store itself (`upstreamfeed.ts`).
    */
-  readonly patience: number
+  readonly maxListAge: number
   /**
    * Time within which streams leave a data centre once this gateway knows that it is evacuated; undefined if
    * evacuations are disabled.
    */
-  readonly evacuation: number | undefined
+  readonly evacuationTime: number | undefined
   /** Bounds on the bytes of answers that callers have not read yet (`[unread]`). */
   readonly unread: BacklogBounds
   /** The resources that the process may use before the balancer sends new callers to other gateways (`[readiness]`). */
   readonly readiness: ReadinessLimits
   /** Interval between the heartbeats of an upstream at the platform. */
-  readonly pulse: number
+  readonly upstreamHeartbeatInterval: number
   /**
    * How long an engine that answers is retained in its replica after its entry is gone. 0: it counts as missing at
    * once.
--- a/packages/gateway/src/upstreamfeed.ts
+++ b/packages/gateway/src/upstreamfeed.ts
@@ -27,7 +27,7 @@
   /** The gateways to follow, the best first; empty if this gateway should watch the store itself. */
   readonly sources: () => readonly PeerAddress[]
   /** Age of the newest answer above which this gateway watches the store itself, if it can, in ms. */
-  readonly patience: number
+  readonly maxListAge: number
   /** Called with an error that nothing else handles. */
   readonly failed: (error: unknown) => void
 }
@@ -95,8 +95,8 @@
    * and there is no better list.
    */
   #isAcceptable (completeAt: number): boolean {
-    const { clock, board, patience } = this.#options
-    return !board.read('store') || clock.bootNow() - completeAt <= patience
+    const { clock, board, maxListAge } = this.#options
+    return !board.read('store') || clock.bootNow() - completeAt <= maxListAge
   }
 
   /** Follows one gateway as long as it is a source, answers, and its answers are acceptable. */
--- a/packages/gateway/src/limiting.ts
+++ b/packages/gateway/src/upstreamlimits.ts
@@ -14,8 +14,8 @@
 import { type Service } from '@eiderwind/traffic'
 import { ColdStarts } from './coldstarts.js'
 
-/** Dependencies of `Limiting`. */
-export interface LimitingOptions {
+/** Dependencies of `UpstreamLimits`. */
+export interface UpstreamLimitsOptions {
   readonly clock: Clock
   readonly log: Log
   /** This gateway's id. */
@@ -57,11 +57,11 @@
 const logInterval = 1000
 
 /** Limits of upstreams, shared by all gateways. */
-export class Limiting {
+export class UpstreamLimits {
   readonly limits: Limits
   readonly tokens: TokenClient
   readonly cold: ColdUpstreams
-  readonly #options: LimitingOptions
+  readonly #options: UpstreamLimitsOptions
   readonly #issuer: Issuer
   readonly #owners: Owners
   /** Undefined if upstreams do not count as cold. */
@@ -69,7 +69,7 @@
   /** The limit that was logged last, and when, by upstream. */
   readonly #logged = new Map<string, { readonly rate: number, readonly at: number }>()
 
-  constructor (options: LimitingOptions) {
+  constructor (options: UpstreamLimitsOptions) {
     const { clock, id, roster, peers, queue, random, coldBound } = options
     this.#options = options
     this.cold = new ColdUpstreams({ clock, rate: upstream => this.#coldRate(upstream), ended: () => queue.wake() })
@@ -107,19 +107,19 @@
   }
 
   /** Takes the limit named in an upstream's answer to this gateway; Infinity if it names none. */
-  named (id: string, rate: number): void {
+  recordLimit (id: string, rate: number): void {
     const isNew = !this.limits.isLimited(id)
     if (this.limits.recordAnswer(id, rate)) this.#limitChanged(id, isNew)
     if (isNew && this.limits.isLimited(id)) this.#options.peers.send()
   }
 
   /** Takes the time for which an upstream is still cold, in ms, from its answer to this gateway. */
-  coldAnswer (id: string, remaining: number): void {
+  recordCold (id: string, remaining: number): void {
     this.#coldStarts?.answered(id, remaining)
   }
 
   /** This module's fields of the heartbeats to other gateways. */
-  get news (): Pick<Heartbeat, 'limits' | 'cold'> {
+  get heartbeatFields (): Pick<Heartbeat, 'limits' | 'cold'> {
     this.#owners.refresh()
     this.#forget()
     const isIssuedHere = (id: string): boolean => this.#otherOwner(id) === undefined
@@ -139,7 +139,7 @@
   }
 
   /** Takes the limits and cold upstreams from another gateway's heartbeat. */
-  hear ({ id: from, limits = {}, cold = {} }: Heartbeat): void {
+  receiveHeartbeat ({ id: from, limits = {}, cold = {} }: Heartbeat): void {
     for (const [id, report] of Object.entries(limits)) this.#receiveLimit(id, report, from)
     this.#receiveCold(cold)
   }
--- a/packages/gateway/test/changelog.test.ts
+++ b/packages/gateway/test/changelog.test.ts
@@ -30,7 +30,7 @@
   const outage = new Outage(clock)
   const roster = new Roster(clock, outage)
   const board = gatewayBoard()
-  const log = new ChangeLog({ clock, roster, board, life: 'source', wait: 0 })
+  const log = new ChangeLog({ clock, roster, board, incarnation: 'source', maxWait: 0 })
   roster.replace([stays, ends])
   board.write('upstreamsRevision', before)
   outage.recordAnswer()
@@ -61,7 +61,7 @@
     const follower = new Roster(clock)
     follower.replace([stays, ends])
     const answer = log.after(request)
-    // A request that lacks no change waits for the next one, for as long as the option `wait` says.
+    // A request that lacks no change waits for the next one, for as long as the option `maxWait` says.
     clock.advance(0)
     resumeWatch(follower, await answer)
     t.deepEqual(follower.upstreams, [stays])
--- a/packages/gateway/test/conditions.test.ts
+++ b/packages/gateway/test/conditions.test.ts
@@ -37,7 +37,7 @@
     roster: this.roster,
     inFlight: this.inFlight,
     queue: this.queue,
-    tell: () => { this.notifications++ },
+    announce: () => { this.notifications++ },
     limited: (id, rate) => { this.limits.push(`${id} ${rate}`) },
     cold: (id, remaining) => { this.cold.push(`${id} ${remaining}`) },
     rested: () => { this.restCount++ }
@@ -121,12 +121,12 @@
   first.answer('a', false, { leaving: true, rest: 0 })
   first.answer('a', false, { leaving: true, rest: 0 })
   t.is(first.notifications, 1)
-  t.deepEqual(first.conditions.news, { leaving: ['a'] })
-  second.conditions.hear(heartbeat(first.conditions.news))
-  second.conditions.hear(heartbeat(first.conditions.news))
+  t.deepEqual(first.conditions.heartbeatFields, { leaving: ['a'] })
+  second.conditions.receiveHeartbeat(heartbeat(first.conditions.heartbeatFields))
+  second.conditions.receiveHeartbeat(heartbeat(first.conditions.heartbeatFields))
   t.deepEqual(second.roster.available('s').map(each => each.id), ['b'])
   t.deepEqual(second.lines, ['upstream-leaving a other'])
-  t.deepEqual(second.conditions.news, { leaving: [] })
+  t.deepEqual(second.conditions.heartbeatFields, { leaving: [] })
 })
 
 test('a gateway that has no list yet learns of a leaving upstream from a later heartbeat', t => {
@@ -134,10 +134,10 @@
   late.roster.replace([])
   late.clock.advance(100_000)
   late.roster.replace([])
-  late.conditions.hear(heartbeat({ leaving: ['c'] }))
+  late.conditions.receiveHeartbeat(heartbeat({ leaving: ['c'] }))
   late.roster.replace([upstream('c')])
   t.deepEqual(late.roster.available('s').map(each => each.id), ['c'])
-  late.conditions.hear(heartbeat({ leaving: ['c'] }))
+  late.conditions.receiveHeartbeat(heartbeat({ leaving: ['c'] }))
   t.deepEqual(late.roster.available('s'), [])
 })
 
@@ -145,10 +145,10 @@
   const { clock, roster, conditions } = new Fixture()
   conditions.take('a', { leaving: true, rest: 0 })
   roster.apply([{ gone: 'a', certain: true }])
-  t.deepEqual(conditions.news, { leaving: ['a'] })
+  t.deepEqual(conditions.heartbeatFields, { leaving: ['a'] })
   clock.advance(100_000)
   roster.apply([])
-  t.deepEqual(conditions.news, { leaving: [] })
+  t.deepEqual(conditions.heartbeatFields, { leaving: [] })
 })
 
 test('the limit in any answer is forwarded', t => {
--- a/packages/gateway/test/digest.test.ts
+++ b/packages/gateway/test/digest.test.ts
@@ -146,7 +146,7 @@
   const suspects = new Suspects(clock, roster)
   const pauses = new Pauses(clock)
   const lines: string[] = []
-  const stalls = new Stalls({ clock, log: new Log({ sink: line => lines.push(line.replace(/"time":"[^"]*"/, '')) }), roster, inFlight: flights, suspects, silence: 400, peerViews: () => [], pauses, suspected: () => lines.push('suspected') })
+  const stalls = new Stalls({ clock, log: new Log({ sink: line => lines.push(line.replace(/"time":"[^"]*"/, '')) }), roster, inFlight: flights, suspects, maxSilence: 400, peerViews: () => [], pauses, suspected: () => lines.push('suspected') })
   pauses.start()
   stalls.start()
   const running: InFlightRequest[] = []
--- a/packages/gateway/test/election.test.ts
+++ b/packages/gateway/test/election.test.ts
@@ -4,11 +4,11 @@
 import { type WriteFailure } from '@eiderwind/forming'
 import { Err, Ok, type Result } from 'ts-results-es'
 import { Election } from '../src/election.js'
-import { Leaders, nobody, type Leader } from '../src/leaders.js'
+import { Leaders, noLeader, type Leader } from '../src/leaders.js'
 
 /** A record whose writes fail as set by the test. */
 class LeaderRecord extends Leaders {
-  leader = nobody
+  leader = noLeader
   /** Number of store calls. */
   reads = 0
   writes = 0
@@ -45,7 +45,7 @@
     service: 's',
     id: 'own',
     eligible: () => this.eligible,
-    place: () => this.rank,
+    position: () => this.rank,
     others: () => this.others,
     changed: () => { this.changes++ }
   })
@@ -54,7 +54,7 @@
   async run (span: number): Promise<void> {
     for (let passed = 0; passed < span; passed += 50) {
       this.clock.advance(50)
-      this.election.look()
+      this.election.update()
       await new Promise(resolve => setImmediate(resolve))
     }
   }
--- a/packages/gateway/test/evacuating.test.ts
+++ b/packages/gateway/test/evacuationcontroller.test.ts
@@ -5,7 +5,7 @@
 import { type Log } from '@eiderwind/log'
 import { type Heartbeat } from '@eiderwind/peers'
 import { Roster, type Upstream } from '@eiderwind/roster'
-import { Evacuating } from '../src/evacuating.js'
+import { EvacuationController } from '../src/evacuationcontroller.js'
 import { gatewayBoard } from '../src/facts.js'
 
 /** Time in which a data centre is emptied, in ms. */
@@ -20,14 +20,14 @@
   readonly roster = new Roster(this.clock)
   readonly inFlight = new InFlight(this.clock, () => {})
   readonly lines: string[] = []
-  readonly evacuating: Evacuating
+  readonly evacuationController: EvacuationController
 
   /** @param watchesEvacuations whether the gateway handles evacuations */
   constructor (watchesEvacuations = true) {
     const log = { write: (name: string, { dataCentre, from }: Record<string, unknown>) => this.lines.push([name, dataCentre, from].filter(each => each !== undefined).join(' ')) }
-    this.evacuating = new Evacuating({ clock: this.clock, log: log as unknown as Log, board: gatewayBoard(), roster: this.roster, inFlight: this.inFlight, span: watchesEvacuations ? span : undefined })
+    this.evacuationController = new EvacuationController({ clock: this.clock, log: log as unknown as Log, board: gatewayBoard(), roster: this.roster, inFlight: this.inFlight, evacuationTime: watchesEvacuations ? span : undefined })
     this.roster.replace([upstream('a1', 'a'), upstream('b1', 'b')])
-    this.evacuating.start()
+    this.evacuationController.start()
   }
 
   get availableIds (): string {
@@ -36,7 +36,7 @@
 
   /** Simulates a heartbeat of another gateway. */
   receiveHeartbeat (revision: number, ...dataCentres: string[]): void {
-    this.evacuating.hear(heartbeat({ evacuation: { revision, dataCentres } }))
+    this.evacuationController.receiveHeartbeat(heartbeat({ evacuation: { revision, dataCentres } }))
   }
 }
 
@@ -46,65 +46,65 @@
 
 test('the latest revision is applied whether it comes from the store or a gateway, and an older one is ignored', t => {
   const fixture = new Fixture()
-  const { evacuating } = fixture
-  evacuating.take({ revision: 10, dataCentres: [] })
+  const { evacuationController } = fixture
+  evacuationController.take({ revision: 10, dataCentres: [] })
   t.is(fixture.availableIds, 'a1 b1')
   fixture.receiveHeartbeat(12, 'a')
   t.is(fixture.availableIds, 'b1')
-  for (const revision of [11, 12]) evacuating.take({ revision, dataCentres: [] })
+  for (const revision of [11, 12]) evacuationController.take({ revision, dataCentres: [] })
   t.is(fixture.availableIds, 'b1')
-  evacuating.take({ revision: 13, dataCentres: ['a', 'b'] })
+  evacuationController.take({ revision: 13, dataCentres: ['a', 'b'] })
   t.is(fixture.availableIds, '')
   fixture.receiveHeartbeat(12, 'a')
   t.is(fixture.availableIds, '')
-  evacuating.take({ revision: 20, dataCentres: ['b'] })
+  evacuationController.take({ revision: 20, dataCentres: ['b'] })
   t.is(fixture.availableIds, 'a1')
-  evacuating.take({ revision: 21, dataCentres: [] })
+  evacuationController.take({ revision: 21, dataCentres: [] })
   t.is(fixture.availableIds, 'a1 b1')
   t.deepEqual(fixture.lines, ['evacuation-begun a g2', 'evacuation-begun b', 'evacuation-ended a', 'evacuation-ended b'])
 })
 
 test('a gateway reports its revision to the others while a data centre is evacuated and for a minute after', t => {
-  const { clock, evacuating } = new Fixture()
-  evacuating.take({ revision: 1, dataCentres: [] })
-  t.deepEqual(evacuating.news, {}, 'no evacuation so far')
-  evacuating.take({ revision: 2, dataCentres: ['a'] })
+  const { clock, evacuationController } = new Fixture()
+  evacuationController.take({ revision: 1, dataCentres: [] })
+  t.deepEqual(evacuationController.heartbeatFields, {}, 'no evacuation so far')
+  evacuationController.take({ revision: 2, dataCentres: ['a'] })
   clock.advance(600_000)
-  t.deepEqual(evacuating.news, { evacuation: { revision: 2, dataCentres: ['a'] } })
-  evacuating.take({ revision: 3, dataCentres: [] })
-  evacuating.take({ revision: 9, dataCentres: [] })
+  t.deepEqual(evacuationController.heartbeatFields, { evacuation: { revision: 2, dataCentres: ['a'] } })
+  evacuationController.take({ revision: 3, dataCentres: [] })
+  evacuationController.take({ revision: 9, dataCentres: [] })
   clock.advance(59_000)
-  t.deepEqual(evacuating.news, { evacuation: { revision: 9, dataCentres: [] } })
+  t.deepEqual(evacuationController.heartbeatFields, { evacuation: { revision: 9, dataCentres: [] } })
   clock.advance(2000)
-  t.deepEqual(evacuating.news, {})
+  t.deepEqual(evacuationController.heartbeatFields, {})
 })
 
 test('a gateway that has not read the store learns of an evacuation from the heartbeat of any other', t => {
   const source = new Fixture()
-  source.evacuating.take({ revision: 2, dataCentres: ['a'] })
+  source.evacuationController.take({ revision: 2, dataCentres: ['a'] })
   const started = new Fixture()
-  started.evacuating.hear(heartbeat(source.evacuating.news))
+  started.evacuationController.receiveHeartbeat(heartbeat(source.evacuationController.heartbeatFields))
   t.is(started.availableIds, 'b1')
-  t.deepEqual(started.evacuating.news, source.evacuating.news, 'and forwards it')
+  t.deepEqual(started.evacuationController.heartbeatFields, source.evacuationController.heartbeatFields, 'and forwards it')
 })
 
 test('a gateway that does not handle evacuations ignores those in heartbeats', t => {
   const fixture = new Fixture(false)
   fixture.receiveHeartbeat(12, 'a')
   t.is(fixture.availableIds, 'a1 b1')
-  t.deepEqual(fixture.evacuating.news, {})
+  t.deepEqual(fixture.evacuationController.heartbeatFields, {})
 })
 
 test('unsent requests to the evacuated data centre are withdrawn at once, those to others are not', t => {
-  const { evacuating, inFlight } = new Fixture()
+  const { evacuationController, inFlight } = new Fixture()
   const withdrawn: string[] = []
   for (const id of ['a1', 'b1']) inFlight.begin(id, 'm', { withdrawn: why => { withdrawn.push(`${id}: ${why}`) } })
-  evacuating.take({ revision: 1, dataCentres: ['a'] })
+  evacuationController.take({ revision: 1, dataCentres: ['a'] })
   t.deepEqual(withdrawn, ['a1: its data centre is evacuated'])
 })
 
 test('running streams move in the second half of the time, oldest first; streams that cannot move stay and delay no other', t => {
-  const { clock, evacuating, inFlight } = new Fixture()
+  const { clock, evacuationController, inFlight } = new Fixture()
   const moved: Array<{ name: string, at: number }> = []
   const begin = (name: string, id: string, canMove = true): void => {
     const request = inFlight.begin(id, 'm', {
@@ -121,26 +121,26 @@
   inFlight.begin('a1', '')
   for (let index = 0; index < 40; index++) begin(`s${index}`, 'a1')
   begin('elsewhere', 'b1')
-  evacuating.take({ revision: 1, dataCentres: ['a'] })
+  evacuationController.take({ revision: 1, dataCentres: ['a'] })
   const begunAt = clock.now()
-  t.is(evacuating.running, 42)
+  t.is(evacuationController.running, 42)
   clock.advance(span)
   t.deepEqual(moved.map(each => each.name), Array.from({ length: 40 }, (_each, index) => `s${index}`))
   t.true(moved[0].at - begunAt >= span / 2)
   const largest = Math.max(...moved.map(({ at }) => moved.filter(each => each.at === at).length))
   t.true(largest <= 4, `${largest} at once`)
-  t.is(evacuating.moved, 40)
-  t.is(evacuating.running, 2)
-  evacuating.stop()
+  t.is(evacuationController.moved, 40)
+  t.is(evacuationController.running, 2)
+  evacuationController.stop()
 })
 
 test('an evacuation that is revoked before its streams have moved moves none', t => {
-  const { clock, evacuating, inFlight } = new Fixture()
+  const { clock, evacuationController, inFlight } = new Fixture()
   inFlight.begin('a1', 'm', { moved: () => t.fail() as unknown as boolean })
-  evacuating.take({ revision: 1, dataCentres: ['a'] })
+  evacuationController.take({ revision: 1, dataCentres: ['a'] })
   clock.advance(1000)
-  evacuating.take({ revision: 2, dataCentres: [] })
+  evacuationController.take({ revision: 2, dataCentres: [] })
   clock.advance(span)
-  t.is(evacuating.running, 0)
-  evacuating.stop()
+  t.is(evacuationController.running, 0)
+  evacuationController.stop()
 })
--- a/packages/gateway/test/fleet.ts
+++ b/packages/gateway/test/fleet.ts
@@ -13,7 +13,7 @@
 import { Err, Ok, type Result } from 'ts-results-es'
 import { gatewayBoard, type GatewayBoard } from '../src/facts.js'
 import { Leadership } from '../src/leadership.js'
-import { Leaders, nobody, type Leader } from '../src/leaders.js'
+import { Leaders, noLeader, type Leader } from '../src/leaders.js'
 import { ModelDatagrams, Network } from './network.js'
 
 /** The service that the gateways plan. */
@@ -89,14 +89,14 @@
 
   async read (service: string): Promise<Result<Leader, string>> {
     await this.#call()
-    return this.#canReach() ? Ok(this.#records.get(service) ?? nobody) : Err('not reached')
+    return this.#canReach() ? Ok(this.#records.get(service) ?? noLeader) : Err('not reached')
   }
 
   async elect (service: string, id: string, { id: currentLeader, term }: Leader): Promise<Result<number, WriteFailure>> {
     await this.#call()
     if (!this.#canReach()) return Err('unknown')
     if (currentLeader === id) return Ok(term)
-    if ((this.#records.get(service) ?? nobody).term !== term) return Err('conflict')
+    if ((this.#records.get(service) ?? noLeader).term !== term) return Err('conflict')
     this.#records.set(service, { id, term: term + 1 })
     return Ok(term + 1)
   }
@@ -157,7 +157,7 @@
     let leadership: Leadership
     clock.after(after, () => {
       peers = new Peers({ clock, id, address: `${id}:1`, datagrams, heartbeat, interval: 250, timeout: 1000, urgent: () => leadership.isUrgent })
-      leadership = new Leadership({ clock, log, board, outage, pauses, peers, id, firstStart: first, leaders: new ModelLeaders(clock, this.#leaders, () => this.reachesStore(id)) })
+      leadership = new Leadership({ clock, log, board, outage, pauses, peers, id, isFirstStart: first, leaders: new ModelLeaders(clock, this.#leaders, () => this.reachesStore(id)) })
       pauses.start()
       this.members.set(id, { id, dataCentre: Number(id.slice(1)) % dataCentres, board, outage, peers, leadership, listedAt: -Infinity })
       peers.start().catch(error => { throw error })
@@ -216,7 +216,7 @@
   }
 
   planners (): string[] {
-    return [...this.members.values()].filter(each => each.leadership.plans(service)).map(each => each.id)
+    return [...this.members.values()].filter(each => each.leadership.isPlanning(service)).map(each => each.id)
   }
 
   watchers (): string[] {
@@ -224,7 +224,7 @@
   }
 
   followers (): string[] {
-    return [...this.members.values()].filter(each => each.leadership.follows).map(each => each.id)
+    return [...this.members.values()].filter(each => each.leadership.isFollowing).map(each => each.id)
   }
 
   /** Whether one gateway plans, two watch the store, and every other one follows a gateway that watches. */
@@ -251,7 +251,7 @@
     if (!reached) outage.recordFailure(this.clock.now())
     board.write('store', reached)
     if (!reached) return
-    if (leadership.follows) {
+    if (leadership.isFollowing) {
       board.write('followed', true)
       board.write('upstreamsFrom', 'peer')
       if (leadership.sources.some(each => this.members.has(each.id))) board.write('upstreamsAt', this.clock.now())
--- a/packages/gateway/test/limitfleet.ts
+++ b/packages/gateway/test/limitfleet.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates many gateways that share one upstream with a limit, and compares strategies of sharing it. Each strategy
  * gets the same callers, kills and partitions. Time and network are modelled. The strategy in use, `tokens`, runs with
- * the real `Peers`, `Limiting`, `Availability` and `Queue`; the others run with the real `Issuer`.
+ * the real `Peers`, `UpstreamLimits`, `Availability` and `Queue`; the others run with the real `Issuer`.
  */
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
 import { ranked } from '@eiderwind/hash'
@@ -201,7 +201,7 @@
   }
 
   override learnLimit (gateway: string): void {
-    this.#members.get(gateway)?.limiting.named(upstream, this.#environment.scenario.limit)
+    this.#members.get(gateway)?.upstreamLimits.recordLimit(upstream, this.#environment.scenario.limit)
   }
 }
 
--- a/packages/gateway/test/limitmember.ts
+++ b/packages/gateway/test/limitmember.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway of a simulated fleet, reduced to the parts that enforce limits. It runs the real `Peers`, `Limiting`,
+ * A gateway of a simulated fleet, reduced to the parts that enforce limits. It runs the real `Peers`, `UpstreamLimits`,
  * `Availability` and `Queue` over a simulated network.
  */
 import { type Clock, type Random } from '@eiderwind/clock'
@@ -9,7 +9,7 @@
 import { Peers, type Heartbeat, type PeerAddress } from '@eiderwind/peers'
 import { Roster, type Upstream } from '@eiderwind/roster'
 import { type Service } from '@eiderwind/traffic'
-import { Limiting, type ColdBound } from '../src/limiting.js'
+import { UpstreamLimits, type ColdBound } from '../src/upstreamlimits.js'
 import { ModelDatagrams, type Network } from './network.js'
 import { queuedRequest } from './queuedrequest.js'
 
@@ -35,7 +35,7 @@
 export class Member {
   readonly roster: Roster
   readonly peers: Peers
-  readonly limiting: Limiting
+  readonly upstreamLimits: UpstreamLimits
   readonly #clock: Clock
   readonly #availability: Availability
   readonly #queue: Queue
@@ -50,18 +50,18 @@
       id,
       address,
       datagrams: new ModelDatagrams(network, address),
-      heartbeat: (): Heartbeat => ({ id, revision: 1, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: true, loads: {}, ...this.limiting.news }),
-      received: each => this.limiting.hear(each),
+      heartbeat: (): Heartbeat => ({ id, revision: 1, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: true, loads: {}, ...this.upstreamLimits.heartbeatFields }),
+      received: each => this.upstreamLimits.receiveHeartbeat(each),
       receivedOther: (datagram, from) => {
         onTokenDatagram()
-        this.limiting.receive(datagram, from)
+        this.upstreamLimits.receive(datagram, from)
       },
       interval: heartbeatInterval,
       timeout: heartbeatTimeout
     })
     const log = { write: () => {} } as unknown as Log
-    this.limiting = new Limiting({ clock, log, id, roster: this.roster, peers: this.peers, inFlight: new InFlight(clock, () => {}), queue: this.#queue, random, coldBound, service: () => service })
-    this.#availability = new Availability({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }), tokens: this.limiting.tokens })
+    this.upstreamLimits = new UpstreamLimits({ clock, log, id, roster: this.roster, peers: this.peers, inFlight: new InFlight(clock, () => {}), queue: this.#queue, random, coldBound, service: () => service })
+    this.#availability = new Availability({ clock, rests: new Rests({ clock, begun: () => {}, ended: () => {} }), tokens: this.upstreamLimits.tokens })
   }
 
   /**
--- a/packages/gateway/test/membership.test.ts
+++ b/packages/gateway/test/membership.test.ts
@@ -81,7 +81,7 @@
   fleet.network.isCut = (from, to) => inside(from) !== inside(to)
   await fleet.run(2500)
   const outside = ([...fleet.members.values()]).filter(each => each.dataCentre !== 0)
-  t.is(outside.filter(each => each.leadership.plans(service)).length, 1)
+  t.is(outside.filter(each => each.leadership.isPlanning(service)).length, 1)
   t.is(outside.filter(each => each.leadership.isFollowed).length, 2)
   fleet.network.isCut = () => false
   await fleet.run(2500)
--- a/packages/gateway/test/overload.ts
+++ b/packages/gateway/test/overload.ts
@@ -210,7 +210,7 @@
       queue.wake()
     })
     const suspects = new Suspects(clock, roster)
-    const heartbeat = (): Heartbeat => ({ id, revision: 1, canPlan: false, inFlight: inFlight.counts, suspects: [], offeredByModel: {}, served: true, loads: {}, ...rooms?.news })
+    const heartbeat = (): Heartbeat => ({ id, revision: 1, canPlan: false, inFlight: inFlight.counts, suspects: [], offeredByModel: {}, served: true, loads: {}, ...rooms?.heartbeatFields })
     const interval = this.#scenario.roomSearch === 'fresher counts' ? 25 : 250
     const peers = new Peers({
       clock,
@@ -218,13 +218,13 @@
       address,
       datagrams: new ModelDatagrams(network, address),
       heartbeat,
-      received: (heartbeat, from) => rooms?.hear(heartbeat, from),
+      received: (heartbeat, from) => rooms?.receiveHeartbeat(heartbeat, from),
       receivedOther: (datagram, from) => rooms?.receive(datagram, from),
       interval,
       timeout: 1000
     })
     const log = { write: () => {} } as unknown as Log
-    const conditions = new Conditions({ clock, log, roster, inFlight, queue, tell: () => {}, limited: () => {}, cold: () => {}, rested: () => {} })
+    const conditions = new Conditions({ clock, log, roster, inFlight, queue, announce: () => {}, limited: () => {}, cold: () => {}, rested: () => {} })
     const availability = new Availability({ clock, rests: conditions.rests })
     const choice = new (this.#scenario.roomSearch === 'two choices' ? this.#twoChoices : Choice)({ roster, inFlight, peers, suspects, availability, dataCentre: 'dc', random })
     const rooms: Rooms | undefined = this.#scenario.roomSearch === 'issued' ? new Rooms({ clock, log, id, dataCentre: 'dc', roster, peers, inFlight, rests: conditions.rests, queue, choice, availability, engine: () => engine, random }) : undefined
--- a/packages/gateway/test/readiness.test.ts
+++ b/packages/gateway/test/readiness.test.ts
@@ -44,10 +44,10 @@
   t.is(fixture.readiness.cause, undefined)
   fixture.run(4, 200)
   t.is(fixture.readiness.cause, 'processor')
-  t.deepEqual(fixture.readiness.news, { away: true })
+  t.deepEqual(fixture.readiness.heartbeatFields, { away: true })
   fixture.run(3)
   t.is(fixture.readiness.cause, undefined)
-  t.deepEqual(fixture.readiness.news, {})
+  t.deepEqual(fixture.readiness.heartbeatFields, {})
   t.deepEqual(fixture.lines.map(({ name, away, cause }) => [name, away, cause]), [['gateway-strained', true, 'processor'], ['gateway-strained', false, 'processor']])
 })
 
--- a/packages/gateway/test/rooms.test.ts
+++ b/packages/gateway/test/rooms.test.ts
@@ -47,7 +47,7 @@
 
   /** Simulates a heartbeat of the other gateway. */
   receiveHeartbeat (heartbeat: Partial<Heartbeat> = {}): void {
-    this.rooms.hear({ id: this.#peer, revision: 1, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: true, loads: {}, ...heartbeat }, { id: this.#peer, address: `${this.#peer}:1` })
+    this.rooms.receiveHeartbeat({ id: this.#peer, revision: 1, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: true, loads: {}, ...heartbeat }, { id: this.#peer, address: `${this.#peer}:1` })
   }
 
   begin (): InFlightRequest {
@@ -71,7 +71,7 @@
   second.inFlight.end(second.begin())
   t.is(rooms.placeClient.find(rooms.placeClient.claim(second.requirements())).kind, 'alone')
   t.deepEqual([...newMessages, ...fixture.posted, ...second.newMessages], [])
-  t.deepEqual(rooms.news, { contended: [], grants: {} })
+  t.deepEqual(rooms.heartbeatFields, { contended: [], grants: {} })
 })
 
 test('when the counts of all gateways show almost full heads, a request asks the issuer, and the end of each request is reported to it', t => {
@@ -96,7 +96,7 @@
   const fixture = new Fixture(other)
   fixture.rooms.answered(head('a'), { status: 503, headers: {}, refused: true, sentAt: 0 })
   t.deepEqual(fixture.newMessages, [`${issuer} {"place":"count","service":"s","model":"m","upstream":"a","count":0,"seen":0}`])
-  t.deepEqual(fixture.rooms.news.contended, [room.key])
+  t.deepEqual(fixture.rooms.heartbeatFields.contended, [room.key])
   fixture.rests.recordRequest('a', 700)
   fixture.rooms.answered(head('a'), { status: 503, headers: {}, refused: true, sentAt: 0 })
   t.true(fixture.newMessages[0].endsWith('"shut":700}'))
@@ -124,7 +124,7 @@
   fixture.rooms.placeClient.find(claim)
   fixture.rooms.receive(Buffer.from(encodeMessage({ place: 'grant', number: 1, upstream: 'a', order: 77 })), `${issuer}:1`)
   t.deepEqual(fixture.rooms.placeClient.find(claim), { kind: 'place', upstream: 'a' })
-  t.deepEqual(fixture.rooms.news.grants, { [issuer]: 77 })
+  t.deepEqual(fixture.rooms.heartbeatFields.grants, { [issuer]: 77 })
 })
 
 test('room of a service without engines or a model without heads is never contended', t => {
--- a/packages/gateway/test/suspended.test.ts
+++ b/packages/gateway/test/suspended.test.ts
@@ -5,23 +5,23 @@
 import { Outage, Roster, type Upstream } from '@eiderwind/roster'
 import test from 'ava'
 import { Callers, type CallersOptions } from '../src/callers.js'
-import { confirm, gatewayBoard } from '../src/facts.js'
+import { recordConfirmation, gatewayBoard } from '../src/facts.js'
 
 test('keys are served only with a confirmation that was requested after the suspension', t => {
   const clock = new ManualClock()
   const board = gatewayBoard()
-  const callers = new Callers({ context: { clock } as unknown as Context, board, freshness: 3800, strictKeys: true } as unknown as CallersOptions)
+  const callers = new Callers({ context: { clock } as unknown as Context, board, maxConfirmationAge: 3800, strictKeys: true } as unknown as CallersOptions)
   const requestedAt = clock.bootNow()
   clock.advance(1000)
-  confirm(board, requestedAt)
+  recordConfirmation(board, requestedAt)
   t.true(callers.servesKeys)
   clock.suspend(6000)
   t.is(clock.now(), 1000)
   t.false(callers.servesKeys)
   // The answer to a request from before the suspension arrives.
-  confirm(board, requestedAt + 1000)
+  recordConfirmation(board, requestedAt + 1000)
   t.false(callers.servesKeys)
-  confirm(board, clock.bootNow())
+  recordConfirmation(board, clock.bootNow())
   t.true(callers.servesKeys)
 })
 
--- a/packages/gateway/test/upstreamfeed.test.ts
+++ b/packages/gateway/test/upstreamfeed.test.ts
@@ -57,7 +57,7 @@
   const platform = { setFollowing } as unknown as Platform
   const pauses = new Pauses(clock, time => { state.pausedTime += time })
   const connections = new Connections({ connectTime: 500 })
-  const feed = new UpstreamFeed({ clock, board, roster, platform, connections, patience: maxAge, sources: () => [{ id: 'source', address: `127.0.0.1:${port}` }], failed: error => { throw error } })
+  const feed = new UpstreamFeed({ clock, board, roster, platform, connections, maxListAge: maxAge, sources: () => [{ id: 'source', address: `127.0.0.1:${port}` }], failed: error => { throw error } })
   feed.start()
   pauses.start()
   try {
--- a/packages/gateway/test/limiting.test.ts
+++ b/packages/gateway/test/upstreamlimits.test.ts
@@ -8,7 +8,7 @@
 import { type Log } from '@eiderwind/log'
 import { type Heartbeat, type Peers } from '@eiderwind/peers'
 import { Roster, type Upstream } from '@eiderwind/roster'
-import { Limiting } from '../src/limiting.js'
+import { UpstreamLimits } from '../src/upstreamlimits.js'
 import { queuedRequest } from './queuedrequest.js'
 
 function upstream (id: string): Upstream {
@@ -27,7 +27,7 @@
   heartbeatsSent = 0
   /** Ids of the other live gateways. */
   readonly others: string[] = []
-  readonly limiting: Limiting
+  readonly upstreamLimits: UpstreamLimits
 
   constructor (id = 'g1') {
     const others = this.others
@@ -39,7 +39,7 @@
       send: () => { this.heartbeatsSent++ },
       post: (to: string, message: string) => { this.posted.push(`${to} ${message}`) }
     }
-    this.limiting = new Limiting({
+    this.upstreamLimits = new UpstreamLimits({
       clock: this.clock,
       log: { write: (name: string, { upstream, limit, from }: Record<string, unknown>) => this.lines.push([name, upstream, limit, from].filter(each => each !== undefined).join(' ')) } as unknown as Log,
       id,
@@ -54,19 +54,19 @@
 
   /** The heartbeat that the other gateways receive. */
   get heartbeat (): Heartbeat {
-    return { id: 'g1', revision: 0, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: false, loads: {}, ...this.limiting.news }
+    return { id: 'g1', revision: 0, canPlan: false, inFlight: {}, suspects: [], offeredByModel: {}, served: false, loads: {}, ...this.upstreamLimits.heartbeatFields }
   }
 }
 
 test('a new limit, a changed one and its end are each logged once, and at most once a second', t => {
-  const { clock, limiting, lines } = new Fixture()
-  for (const limit of [3, 3, 1.6]) limiting.named('a', limit)
+  const { clock, upstreamLimits, lines } = new Fixture()
+  for (const limit of [3, 3, 1.6]) upstreamLimits.recordLimit('a', limit)
   t.deepEqual(lines, ['upstream-limited a 3'])
   clock.advance(1000)
-  for (const limit of [1.6, 1.5]) limiting.named('a', limit)
+  for (const limit of [1.6, 1.5]) upstreamLimits.recordLimit('a', limit)
   clock.advance(1000)
-  for (const limit of [Infinity, Infinity]) limiting.named('a', limit)
-  limiting.named('b', Infinity)
+  for (const limit of [Infinity, Infinity]) upstreamLimits.recordLimit('a', limit)
+  upstreamLimits.recordLimit('b', Infinity)
   t.deepEqual(lines, ['upstream-limited a 3', 'upstream-limited a 1.5', 'upstream-limited a'])
 })
 
@@ -77,18 +77,18 @@
   second.others.push('g1')
   const exchange = (): number => {
     second.clock.advance(first.clock.now() - second.clock.now())
-    second.limiting.hear(first.heartbeat)
-    return second.limiting.limits.rate('a')
+    second.upstreamLimits.receiveHeartbeat(first.heartbeat)
+    return second.upstreamLimits.limits.rate('a')
   }
-  first.limiting.named('a', 3)
+  first.upstreamLimits.recordLimit('a', 3)
   t.is(first.heartbeatsSent, 1)
   t.is(exchange(), 3)
   first.clock.advance(10)
-  first.limiting.named('a', 2)
+  first.upstreamLimits.recordLimit('a', 2)
   t.is(first.heartbeatsSent, 1)
   t.is(exchange(), 2)
   first.clock.advance(10)
-  first.limiting.named('a', Infinity)
+  first.upstreamLimits.recordLimit('a', Infinity)
   t.is(exchange(), Infinity)
   t.is(second.lines[0], 'upstream-limited a 3 g1')
   t.deepEqual(second.heartbeat.limits, { a: [null, 0] })
@@ -96,20 +96,20 @@
 })
 
 test('unsent requests to an upstream are withdrawn when it first names a limit, and waiting requests search again', async t => {
-  const { clock, limiting, inFlight, queue } = new Fixture()
+  const { clock, upstreamLimits, inFlight, queue } = new Fixture()
   const withdrawn: string[] = []
   inFlight.begin('a', '', { withdrawn: why => { withdrawn.push(why) } })
   inFlight.begin('b', '', { withdrawn: () => t.fail() })
-  const foundAt = queue.wait(queuedRequest(clock.now(), clock.now() + 5000), () => limiting.limits.isLimited('a') ? clock.now() : undefined)
-  limiting.named('a', 3)
-  limiting.named('a', 2)
+  const foundAt = queue.wait(queuedRequest(clock.now(), clock.now() + 5000), () => upstreamLimits.limits.isLimited('a') ? clock.now() : undefined)
+  upstreamLimits.recordLimit('a', 3)
+  upstreamLimits.recordLimit('a', 2)
   t.deepEqual(withdrawn, ['the upstream named a limit'])
   t.is(await foundAt, 0)
 })
 
 test('a token request is answered by the issuer of the tokens, which learns the limit from it', t => {
-  const { clock, limiting, posted, others } = new Fixture()
-  const ask = (upstream: string, number: number): void => limiting.receive(Buffer.from(encodeMessage({ token: 'ask', upstream, number, priority: 1, patience: 1000, limit: [10, 50] })), 'g2:1')
+  const { clock, upstreamLimits, posted, others } = new Fixture()
+  const ask = (upstream: string, number: number): void => upstreamLimits.receive(Buffer.from(encodeMessage({ token: 'ask', upstream, number, priority: 1, patience: 1000, limit: [10, 50] })), 'g2:1')
   ask('a', 7)
   t.deepEqual(posted, ['g2:1 {"token":"later","number":7,"due":100}'])
   clock.advance(100)
@@ -118,12 +118,12 @@
   clock.advance(100)
   ask('b', 8)
   t.is(posted.length, 2)
-  t.is(limiting.limits.rate('b'), 10)
+  t.is(upstreamLimits.limits.rate('b'), 10)
 })
 
 test('a gateway that takes over as issuer issues no token for one second', t => {
-  const { clock, limiting, posted } = new Fixture()
-  limiting.receive(Buffer.from(encodeMessage({ token: 'ask', upstream: 'a', number: 7, priority: 1, patience: 3000, limit: [100, 5000] })), 'g2:1')
+  const { clock, upstreamLimits, posted } = new Fixture()
+  upstreamLimits.receive(Buffer.from(encodeMessage({ token: 'ask', upstream: 'a', number: 7, priority: 1, patience: 3000, limit: [100, 5000] })), 'g2:1')
   t.deepEqual(posted, ['g2:1 {"token":"later","number":7,"due":1000}'])
   clock.advance(999)
   t.is(posted.length, 1)
@@ -132,7 +132,7 @@
 })
 
 test('a datagram that is not a valid message is ignored', t => {
-  const { limiting, posted } = new Fixture()
-  for (const each of ['', 'x', '{"token":"grant"}', '{"token":"drop","upstream":"a","number":3}']) limiting.receive(Buffer.from(each), 'g2:1')
+  const { upstreamLimits, posted } = new Fixture()
+  for (const each of ['', 'x', '{"token":"grant"}', '{"token":"drop","upstream":"a","number":3}']) upstreamLimits.receive(Buffer.from(each), 'g2:1')
   t.deepEqual(posted, [])
 })
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -679,7 +679,7 @@
     name: 'limit-kept-alone',
     point: 3,
     rule: 'all gateways together keep a limit, not each for itself (LIMIT)',
-    file: 'packages/gateway/dist/src/limiting.js',
+    file: 'packages/gateway/dist/src/upstreamlimits.js',
     find: 'return owner === this.#options.id ? undefined : owner',
     replace: 'return undefined',
     test: 'packages/gateway/dist/test/limitfleet.test.js',
@@ -699,7 +699,7 @@
     name: 'evacuation-not-told',
     point: 3,
     rule: 'a gateway without the store learns from others what is evacuated (EVAC)',
-    file: 'packages/gateway/dist/src/evacuating.js',
+    file: 'packages/gateway/dist/src/evacuationcontroller.js',
     find: 'evacuation !== undefined && isAnnounced ? { evacuation } : {}',
     replace: '{}',
     test: 'platform/dist/test/evacuation.test.js',
@@ -708,11 +708,11 @@
   {
     name: 'evacuation-older',
     point: 3,
-    rule: 'nothing older replaces what is known of evacuations',
-    file: 'packages/gateway/dist/src/evacuating.js',
+    rule: 'an older set of evacuations does not replace a newer one',
+    file: 'packages/gateway/dist/src/evacuationcontroller.js',
     find: 'evacuation.revision <= known.revision',
     replace: 'false',
-    test: 'packages/gateway/dist/test/evacuating.test.js',
+    test: 'packages/gateway/dist/test/evacuationcontroller.test.js',
     title: 'the latest revision is applied*'
   },
   {
@@ -738,8 +738,8 @@
   {
     name: 'cold-not-reported',
     point: 3,
-    rule: 'a gateway without the store hears from the others that an upstream is cold (FAILBACK)',
-    file: 'packages/gateway/dist/src/limiting.js',
+    rule: 'a gateway without the store is notified by the others that an upstream is cold (FAILBACK)',
+    file: 'packages/gateway/dist/src/upstreamlimits.js',
     find: 'cold: this.cold.reports(isIssuedHere)',
     replace: 'cold: {}',
     test: 'packages/gateway/dist/test/coldfleet.test.js',
