--- a/packages/dispatch/src/availability.ts
+++ b/packages/dispatch/src/availability.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether an upstream takes a request now. Each path checks it before it sends. A resting upstream takes no
- * request. An upstream with a limit takes one request per token. Owns no state; relies on `Rests` and `TokenClient`.
- * Any further restriction that upstreams announce belongs here too.
+ * Decides whether an upstream takes a request now. Must be checked before each request is sent. A resting upstream
+ * takes no request. An upstream with a limit takes one request per token. Owns no state; relies on `Rests` and
+ * `TokenClient`. Any further restriction that upstreams announce belongs here too.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Rests } from '@eiderwind/detect'
@@ -48,7 +48,7 @@
     return this.#options.tokens?.isLimited(id) === true
   }
 
-  /** Records a request that is about to be sent to an upstream. It takes a token if the upstream has a limit. */
+  /** Takes a token for a request that is about to be sent to an upstream. No effect if the upstream has no limit. */
   take (id: string, claim: Claim | undefined): void {
     this.#options.tokens?.take(id, claim)
   }
--- a/packages/dispatch/src/budget.ts
+++ b/packages/dispatch/src/budget.ts
@@ -50,7 +50,10 @@
     return this.#sum(bucket => bucket.retries, bucketCount + 1)
   }
 
-  /** Retries that are allowed now. Counts requests over one bucket less than a window has, so never too many. */
+  /**
+   * Retries that are allowed now. Counts requests over one bucket less than a window has, so that no request from
+   * before the window counts.
+   */
   get left (): number {
     const { ratio, slack, gateways } = this.#options
     const allowed = ratio * this.#sum(bucket => bucket.requests, bucketCount - 1) + slack / Math.max(1, gateways())
--- a/packages/dispatch/src/choice.ts
+++ b/packages/dispatch/src/choice.ts
@@ -53,11 +53,11 @@
 
   /**
    * The head with most room for a request of a model. Undefined if none has room.
-   * @param avoided ids of excluded heads
+   * @param excluded ids of excluded heads
    */
-  head (service: string, model: string, engine: Engine, avoided: ReadonlySet<string>): Upstream | undefined {
+  head (service: string, model: string, engine: Engine, excluded: ReadonlySet<string>): Upstream | undefined {
     const { peers } = this.#options
-    const heads = this.heads(service, model).filter(({ id }) => !avoided.has(id))
+    const heads = this.heads(service, model).filter(({ id }) => !excluded.has(id))
     const heartbeats = peers.live
     const load = ({ id }: Upstream): number => this.#load(id, heartbeats)
     const ordered = this.#byCost(heads, load).filter(each => load(each) < capacity(engine))
@@ -72,9 +72,10 @@
   }
 
   /**
-   * The number of least loaded heads from which one is drawn at random: the number of requests that the other gateways
-   * have sent since their last heartbeats, at most half of the heads. If each gateway chose the least loaded head, all
-   * would choose the same one until the next heartbeats, and some requests would arrive at a head that is already full.
+   * The number of least loaded heads from which one is drawn at random. It is the estimated number of requests that the
+   * other gateways have sent since their last heartbeats, but at most half of the heads. If each gateway chose the
+   * least loaded head, all would choose the same one until the next heartbeats, and some requests would arrive at a
+   * head that is already full.
    */
   #candidateCount (model: string, headCount: number, peerCount: number): number {
     const { inFlight, peers } = this.#options
@@ -83,12 +84,12 @@
   }
 
   /**
-   * The upstream of a plain service with the shortest expected time. Undefined if all are avoided. `Suspects` is not
+   * The upstream of a plain service with the shortest expected time. Undefined if all are excluded. `Suspects` is not
    * used here, since failures already raise the cost of an upstream (`Observations`).
    */
-  plain (service: string, avoided: ReadonlySet<string>): Upstream | undefined {
+  plain (service: string, excluded: ReadonlySet<string>): Upstream | undefined {
     const { roster, inFlight, availability } = this.#options
-    const upstreams = roster.available(service).filter(({ id }) => !avoided.has(id) && availability.isAvailable(id))
+    const upstreams = roster.available(service).filter(({ id }) => !excluded.has(id) && availability.isAvailable(id))
     return this.#byCost(upstreams, ({ id }) => this.#observations.cost(id, inFlight.count(id)))[0]
   }
 
--- a/packages/dispatch/src/fairqueue.ts
+++ b/packages/dispatch/src/fairqueue.ts
@@ -61,7 +61,7 @@
   }
 
   /**
-   * Counts a found place as served and returns `found`. A string is not a place: it is the reason why waiting is
+   * Returns `found`, and counts the request as served if `found` is a place. A string is the reason why waiting is
    * useless.
    */
   #recordServed<Value> (request: QueuedRequest, found: Value | undefined): Value | undefined {
--- a/packages/dispatch/src/observations.ts
+++ b/packages/dispatch/src/observations.ts
@@ -6,7 +6,7 @@
 /** Weight of the newest observation in the averages. */
 const newestWeight = 0.2
 
-/** Factor by which the cost of an upstream rises if all its requests fail, less one. */
+/** The cost of an upstream is multiplied by 1 plus this value if all its requests fail. */
 const failureCost = 8
 
 /** Assumed response time of an upstream before its first observation, and the lower bound in all costs, in ms. */
--- a/packages/dispatch/src/queue.ts
+++ b/packages/dispatch/src/queue.ts
@@ -13,8 +13,8 @@
   /** Whether it was sent to an upstream before. */
   readonly offered: boolean
   /**
-   * Whether the queue for all gateways decides when it is served. If so, the requests in this queue do not determine
-   * its wait. Absent: no.
+   * Whether the queue shared by all gateways decides when it is served. If so, the requests in this queue do not
+   * determine its wait. Absent: no.
    */
   readonly orderedElsewhere?: boolean
 }
--- a/packages/dispatch/src/refusals.ts
+++ b/packages/dispatch/src/refusals.ts
@@ -4,8 +4,9 @@
  * a different one. `readBody` of `@eiderwind/wire` creates two more refusals: `too-large`, and `bad-request` for a
  * truncated body. Neither has a `Retry-After`.
  *
- * The values of `Retry-After` suit these callers: they accept it up to a third of their remaining time, and retry once
- * on a new connection. Their deadlines are 1 to 1.5 s for plain requests and 6 to 8 s for streams.
+ * The values of `Retry-After` are chosen for callers that wait as long as it says if that is at most a third of their
+ * remaining time, and then retry once on a new connection. Their deadlines are 1 to 1.5 s for plain requests and 6 to
+ * 8 s for streams.
  */
 import { Fault, kinds } from '@eiderwind/fault'
 
@@ -35,8 +36,8 @@
 const busyRetryS = 0.9
 
 /**
- * Spread of `Retry-After` of `busy` if all upstreams rest or are limited, in seconds. Retries are spread over this time
- * after the first upstream takes requests again, so that they do not all arrive at once.
+ * Spread of `Retry-After` of `busy` if all upstreams rest or are limited, or if the shared queue is too long, in
+ * seconds. Retries are spread over this time after room is expected, so that they do not all arrive at once.
  */
 const retrySpreadS = 0.5
 
@@ -87,7 +88,7 @@
   },
 
   /**
-   * All upstreams that could serve the request rest, and the one whose rest ends first asked for it.
+   * All upstreams that could serve the request rest. The upstream whose rest ends first asked for that rest itself.
    * @param time until the first rest ends, in ms
    * @param random in [0, 1)
    */
@@ -106,7 +107,7 @@
   },
 
   /**
-   * The queue for all gateways is too long for the request to be served within its wait.
+   * The queue shared by all gateways is too long for the request to be served within its wait.
    * @param time until the requests that wait now are served, in ms
    * @param random in [0, 1)
    */
@@ -132,8 +133,8 @@
   },
 
   /**
-   * The deadline of the caller or the time limit of the route has passed. `Retry-After` is the default of the code, 1
-   * s.
+   * The deadline of the caller or the time limit of the route has passed. `Retry-After` is the default of the code,
+   * 1 s.
    * @param mayHaveRun whether an upstream may have begun to run the request
    */
   deadline (mayHaveRun: boolean): Fault {
@@ -143,8 +144,8 @@
 }
 
 /**
- * `Retry-After` in seconds: `time` and a random part of the spread.
- * @param time until an upstream takes requests again, in ms
+ * `Retry-After` in seconds: `time` plus a random part of `retrySpreadS`.
+ * @param time until room is expected, in ms
  */
 function spreadRetryAfter (time: number, random: number): number {
   return Math.ceil(time + random * retrySpreadS * 1000) / 1000
--- a/packages/dispatch/src/result.ts
+++ b/packages/dispatch/src/result.ts
@@ -19,7 +19,8 @@
   /** The complete answer was forwarded to the caller while it arrived. */
   | { readonly kind: 'passed' }
   /**
-   * The request certainly did not run. `sent`: false if nothing left this process, true if the upstream reported it.
+   * The request certainly did not run. `sent`: false if nothing left this process, true if the upstream received the
+   * request and reported that it did not run it.
    */
   | { readonly kind: 'not-run', readonly why: string, readonly sent: boolean }
   /**
@@ -40,8 +41,9 @@
 }
 
 /**
- * The result that the caller of a plain request gets: that of the earlier attempts or that of the latest one. An answer
- * is preferred to none. A latest attempt that did not run must not hide that an earlier one may have run.
+ * The result that the caller of a plain request gets: the result of the earlier attempts or the latest one. An answer
+ * is preferred to any other result. If the latest attempt did not run, it must not hide that an earlier one may have
+ * run.
  */
 export function preferredResult (before: AttemptResult | undefined, latest: AttemptResult): AttemptResult {
   if (before === undefined || latest.kind === 'answered') return latest
--- a/packages/dispatch/src/retry.ts
+++ b/packages/dispatch/src/retry.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a request is sent to one more upstream, and whether a stalled stream is moved. This is the place that
- * guarantees at-most-once: a request that may have run is sent again only if its route allows it to run more than once.
+ * Decides whether a request is sent to one more upstream, and whether a stalled stream is moved. This module guarantees
+ * at-most-once: a request that may have run is sent again only if its route allows it to run more than once.
  * Pure; relies only on its inputs. `RetryBudget` holds the retry budget.
  */
 import { isSuccess, type AttemptResult } from './result.js'
--- a/packages/dispatch/src/waiting.ts
+++ b/packages/dispatch/src/waiting.ts
@@ -10,8 +10,9 @@
 const firstWaitShare = 0.22
 
 /**
- * The same with one queue for all gateways. That queue refuses a request at once if it could not be served in time. A
- * waiting request is therefore likely to be served. The rest of the objective is enough for its first event.
+ * Maximum wait before the first attempt if all gateways share one queue, as a share of the route's latency objective.
+ * That queue refuses a request at once if it could not be served in time. A waiting request is therefore likely to be
+ * served. The remaining part of the objective is enough for its first event.
  */
 const sharedWaitShare = 0.4
 
@@ -36,14 +37,14 @@
   readonly objective: number
   /** Time until the request's deadline. */
   readonly timeLeft: number
-  /** Whether the request waits in a queue for all gateways. Absent: no. */
+  /** Whether the request waits in the queue shared by all gateways. Absent: no. */
   readonly shared?: boolean
 }
 
 /**
  * Maximum wait for an upstream with room, in ms. It is 0 in three cases:
- * - No upstream serves the service or model before the first attempt. None can appear within so short a wait, so the
- *   caller is refused at once with a `Retry-After`.
+ * - The request was not sent before, and no upstream serves the service or model. No upstream can appear within the
+ *   short first wait, so the caller is refused at once with a `Retry-After`.
  * - A plain request was sent before. If no other upstream has room now, its caller gets the result of the attempts at
  *   once.
  * - All upstreams rest or are limited for longer than the wait.
--- a/packages/dispatch/test/fairqueue.test.ts
+++ b/packages/dispatch/test/fairqueue.test.ts
@@ -39,7 +39,7 @@
   }
 }
 
-test('waiting requests are served by the rules, and one that is not served gets the deciding rule', async t => {
+test('waiting requests are served by the rules, and for a request that is not served the deciding rule is reported', async t => {
   const fixture = new Fixture()
   const all = [fixture.wait('late', { inTimeUntil: -1 }), fixture.wait('less urgent', { priority: 2 }), fixture.wait('again', { again: true }), fixture.wait('urgent')]
   fixture.release(2)
