--- a/packages/admit/src/queue.ts
+++ b/packages/admit/src/queue.ts
@@ -87,7 +87,10 @@
     return this.#waiting
   }
 
-  /** Sets new bounds and priorities. Running and waiting requests are not refused by this. */
+  /**
+   * Sets new bounds and priorities. Running and waiting requests are not refused by this.
+   * @param priorities weight of each team; a team with a higher value gets more places, and one without a value has 1
+   */
   configure (bounds: Bounds, priorities: ReadonlyMap<string, number>): void {
     this.#bounds = bounds
     this.#priorities = priorities
--- a/packages/admit/test/queue.test.ts
+++ b/packages/admit/test/queue.test.ts
@@ -134,7 +134,7 @@
   })
 }
 
-test('a request of a team with a small share is refused at once if its team has too many waiting requests, while another team still waits', async t => {
+test('a request of a team with a small share is refused at once if its team has too many waiting requests, while a request of another team still waits', async t => {
   const fixture = await busy(0, { large: 9, small: 1, a: 1 })
   for (let index = 0; index < 5; index++) enter(fixture, 'large')
   for (let index = 0; index < 5; index++) enter(fixture, 'small')
--- a/packages/fairness/src/baseline.ts
+++ b/packages/fairness/src/baseline.ts
@@ -1,6 +1,7 @@
 /**
- * The usual demand of each team. The newest requests are left out, so that a surge does not count as usual while it
- * lasts. Owns its sums and snapshots, in memory only. Times are on `Clock.now`, in ms.
+ * The baseline demand of each team, that is, how much work it usually requests. The newest requests are left out, so
+ * that a surge does not count as usual while it lasts. Owns its sums and snapshots, in memory only. Times are on
+ * `Clock.now`, in ms.
  */
 import { DecayingSums, effectiveWindow } from './decaying.js'
 
@@ -11,8 +12,8 @@
 const halfLife = 600_000
 
 /**
- * Time until the first snapshot, and the longest interval between two snapshots, in ms. The interval doubles in
- * between.
+ * Time until the first snapshot, and the longest interval between two snapshots, in ms. The interval doubles with each
+ * snapshot up to that maximum.
  */
 const firstIntervalMs = 1000
 const maxIntervalMs = 30_000
@@ -23,11 +24,11 @@
   readonly takenAt: number
 }
 
-/** Demand by team, without the newest requests. */
+/** The baseline demand by team, without the newest requests. */
 export class BaselineDemand {
   readonly #requested: DecayingSums<string>
   #startedAt: number | undefined
-  /** The snapshot that counts, and the one that replaces it at the next snapshot. */
+  /** The snapshot in use, and the newer one that replaces it when the next snapshot is taken. */
   #baseline: Snapshot | undefined
   #pending: Snapshot | undefined
   #nextSnapshotAt = 0
--- a/packages/fairness/src/decaying.ts
+++ b/packages/fairness/src/decaying.ts
@@ -76,7 +76,7 @@
   }
 }
 
-/** The length of the window that a decaying sum covers `time` ms after its start. A sum over this gives a rate. */
+/** The length of the window that a decaying sum covers `time` ms after its start. The sum divided by it is a rate. */
 export function effectiveWindow (halfLife: number, time: number): number {
   return halfLife / Math.LN2 * (1 - 2 ** (-time / halfLife))
 }
--- a/packages/fairness/src/expectation.ts
+++ b/packages/fairness/src/expectation.ts
@@ -7,8 +7,8 @@
 import { type TeamUsage } from './usage.js'
 
 /**
- * The expected wait of a request that arrives now, in ms, if `rate` places become free per second. Infinity if the wait
- * of the request ends before that.
+ * The expected wait of a request that arrives now, in ms, if `rate` places become free per second. Infinity if the
+ * request is not served before its wait ends.
  */
 export function expectedWait (request: WaitingRequest, waiting: readonly WaitingRequest[], usage: TeamUsage, rate: number, now: number): number {
   for (const { served, time } of simulateServing([...waiting.filter(each => each !== request), request], usage, rate, now)) {
--- a/packages/fairness/src/order.ts
+++ b/packages/fairness/src/order.ts
@@ -13,7 +13,7 @@
   readonly priority: number
   /** Empty if callers need no key. */
   readonly team: string
-  /** In units of the mean request of its service. 1 if unknown. */
+  /** The cost of the request, in units of the mean request of its service. 1 if unknown. */
   readonly work: number
   readonly arrivedAt: number
   /** The latest start at which its first event is still in time. */
@@ -27,8 +27,8 @@
 }
 
 /**
- * Minimum share of the room of each kind of requests while requests of that kind wait, as a part of the kind's share of
- * the waiting requests. The order cannot starve a kind completely.
+ * Minimum share of each kind of requests in the recent usage, as a part of the kind's share of the waiting requests. A
+ * kind below it is served first, so that the order cannot starve a kind completely.
  */
 export const minShare = 0.05
 
@@ -76,7 +76,7 @@
   return compare(sortKey(a, usage, now), sortKey(b, usage, now))
 }
 
-/** The rule by which a request is served after `ahead`. Undefined if it is not. */
+/** The rule by which a request is served after `ahead`. Undefined if it is not served after `ahead`. */
 export function decidingRule (request: WaitingRequest, ahead: WaitingRequest, usage: TeamUsage, now: number): Rule | undefined {
   const a = sortKey(request, usage, now)
   const b = sortKey(ahead, usage, now)
@@ -106,7 +106,9 @@
   return 0
 }
 
-/** The sort keys of the requests whose wait has not ended. The keys of a team are computed once. */
+/**
+ * The sort keys of the requests whose wait has not ended. The parts that depend on the team are computed once per team.
+ */
 function sortKeys<Each extends WaitingRequest> (waiting: readonly Each[], usage: TeamUsage, now: number): Array<SortKey<Each>> {
   const teams = new Map<string, SortKey<Each>>()
   return waiting.filter(each => each.until >= now).map(request => {
--- a/packages/fairness/src/placerate.ts
+++ b/packages/fairness/src/placerate.ts
@@ -45,7 +45,10 @@
 /** The 95th percentile of the normal distribution, in standard deviations above the mean. */
 const z95 = 1.64
 
-/** Upper bound of the rate within a time: more places become free in only one case of twenty. @param time in ms */
+/**
+ * Upper bound of the rate within a time, in places per second. It is exceeded in only one case of twenty.
+ * @param time in ms
+ */
 export function maxRate (rate: number, time: number): number {
   const expected = rate * time / 1000
   return (expected + z95 * Math.sqrt(expected) + 1) * 1000 / time
--- a/packages/fairness/src/usage.ts
+++ b/packages/fairness/src/usage.ts
@@ -17,7 +17,10 @@
  */
 const minWeight = 0.25
 
-/** Standard deviations of a count by which a team may exceed its share by chance. Above that it is above its share. */
+/**
+ * A team is above its share only if its usage exceeds the share by more than this many standard deviations of a count
+ * of that size. Smaller differences may be due to chance.
+ */
 const toleratedDeviations = 2
 
 /** Recent usage and usual demand by team. */
--- a/packages/fairness/src/waitingqueue.ts
+++ b/packages/fairness/src/waitingqueue.ts
@@ -15,7 +15,7 @@
 /** Requests that differ only in their times, sorted by the time left. Late requests therefore come first. */
 type Group<Each> = Array<Entry<Each>>
 
-/** The first of the requests of a group that are of one kind now, and the number of those requests. */
+/** The requests of a group that are of one kind now: the first of them and their number. */
 interface Candidate<Each> {
   readonly kind: string
   readonly count: number
@@ -94,8 +94,8 @@
   }
 
   /**
-   * The request that gets the next place; the result is that of `nextServed`. Requests whose wait has ended must have
-   * been removed before.
+   * The request that gets the next place, the same one that `nextServed` returns. Requests whose wait has ended must
+   * have been removed before.
    * @param excluded requests that cannot use the place
    */
   next (usage: TeamUsage, now: number, excluded: ReadonlySet<Each> = noneExcluded): Each | undefined {
--- a/packages/fairness/test/waitingqueue.test.ts
+++ b/packages/fairness/test/waitingqueue.test.ts
@@ -14,7 +14,7 @@
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('pass' as const), time: fc.integer({ min: 1, max: 60 }) }) }
 ), { minLength: 1, maxLength: 120 })
 
-test('the next request is that of `nextServed` after any sequence of arrivals, departures, served requests and ended waits', t => {
+test('the queue and `nextServed` agree on the next request after any sequence of arrivals, departures, served requests and ended waits', t => {
   t.notThrows(() => fc.assert(fc.property(steps, all => {
     const queue = new WaitingQueue<WaitingRequest>()
     const usage = new TeamUsage()
