--- a/packages/places/src/backlogs.ts
+++ b/packages/places/src/backlogs.ts
@@ -2,7 +2,7 @@
  * The rates at which groups of requests get places while some of each group always wait. A group is the requests that
  * differ only in time: same team, priority and retry state. Owns these rates. Times are on `Clock.now`, in ms.
  * While some of a group always wait, its rate is not limited by the group's own demand. The next requests of the
- * group can therefore expect the same rate, whatever arrives later and goes first.
+ * group can therefore expect the same rate, even if later arrivals overtake them.
  */
 import { Rate } from './rate.js'
 
@@ -11,7 +11,7 @@
 const maxGap = 100
 
 interface Backlog {
-  /** Of the places granted since some always wait. */
+  /** The rate of the places that the group got since `since`. */
   rate: Rate
   since: number
   lastWaitedAt: number
--- a/packages/places/src/claim.ts
+++ b/packages/places/src/claim.ts
@@ -8,7 +8,7 @@
 /** What a request needs. Times are on `Clock.now`, in ms. */
 export interface PlaceRequirements extends WaitingRequest {
   readonly room: Room
-  /** When the request stops waiting if it searches for room alone. */
+  /** When the request stops waiting if it searches for room alone, that is, without the shared queue. */
   readonly aloneUntil: number
   /** The time within which the caller should have an answer, in ms. */
   readonly objective: number
@@ -16,6 +16,10 @@
   readonly besides: () => readonly string[]
 }
 
+/**
+ * `none`: no place is requested or held. `asking`: a place request is pending. `placed`: the request holds a place.
+ * `refused`: the issuer refused it. `alone`: it searches without the shared queue, or no longer searches.
+ */
 type State = 'none' | 'asking' | 'placed' | 'refused' | 'alone'
 
 /** A request that may need a place. */
@@ -25,14 +29,14 @@
   /** The number of the pending place request. */
   number = 0
   /**
-   * The upstream of the place, the grant's number, the gateway that granted or refused it, and when the place
-   * expires.
+   * The upstream of the place, the number of the grant, the gateway that granted or refused the place (undefined: this
+   * gateway), and when the place expires.
    */
   upstream = ''
   order = 0
   issuer: string | undefined
   until = 0
-  /** When the caller of a refused request should retry, in ms; 0 for the delay of any other refusal. */
+  /** The time after which the caller of a refused request should retry, in ms; 0 for the usual `Retry-After`. */
   due = 0
   /** Places that could not be used. */
   unusedPlaces = 0
@@ -44,7 +48,7 @@
 
 /**
  * What a request should do: search for room alone, wait, go to an upstream, or be refused. A refused caller should
- * retry after `due` ms; 0 stands for the delay of any other refusal.
+ * retry after `due` ms; 0 stands for the usual `Retry-After`. `by`: the gateway that refused.
  */
 export type PlaceDecision =
   | { readonly kind: 'alone' }
--- a/packages/places/src/freeplaces.ts
+++ b/packages/places/src/freeplaces.ts
@@ -16,7 +16,7 @@
   readonly dataCentre: string
   /** The number of requests up to which the head has room. */
   readonly capacity: number
-  /** How long the head takes no requests, according to this gateway, in ms. */
+  /** How long the head takes no requests, according to this gateway, in ms; 0 if it takes requests now. */
   readonly closedFor: number
 }
 
@@ -24,8 +24,8 @@
 export interface FreePlacesOptions {
   readonly clock: Clock
   /**
-   * The heads of a room that take requests now, or later as announced by the head itself, whether they are full or
-   * not.
+   * The heads of a room: those that take requests now, including full ones, and those that are closed for a known time
+   * (`Head.closedFor`).
    */
   readonly heads: (room: Room) => readonly Head[]
   /** Requests in flight at an upstream from this gateway. */
@@ -36,7 +36,7 @@
 }
 
 /** Added to the cost of a head in another data centre. It equals half a request in flight. */
-const remoteCost = 0.5
+const distanceCost = 0.5
 
 /** Upper bound of the random part of a cost. It makes equal heads take turns. */
 const maxTieBreak = 0.1
@@ -75,7 +75,7 @@
     let lowestCost = Infinity
     for (const head of heads) {
       if (besides.includes(head.id)) continue
-      const cost = this.#load(head.id) + (head.dataCentre === near ? 0 : remoteCost) + random() * maxTieBreak
+      const cost = this.#load(head.id) + (head.dataCentre === near ? 0 : distanceCost) + random() * maxTieBreak
       if (cost >= lowestCost) continue
       best = head
       lowestCost = cost
--- a/packages/places/src/grants.ts
+++ b/packages/places/src/grants.ts
@@ -12,7 +12,10 @@
  */
 const grantLifetime = 2 * placeLifetime
 
-/** Grant numbers start from the wall time of the process start, so that numbers of a later process are higher. */
+/**
+ * Grant numbers start at the wall clock time of the process start, in ms, times this value. Numbers of a later process
+ * are therefore higher.
+ */
 const grantsPerMillisecond = 1000
 
 interface Grant {
@@ -58,7 +61,7 @@
     this.#endWhere(gateway, grant => this.#isAcknowledged(grant, seen))
   }
 
-  /** Does the same for the gateway's count at one upstream. */
+  /** Ends the grants at one upstream that the newest count of a gateway there includes, and those that have expired. */
   acknowledgeAt (gateway: string, upstream: string, seen: number): void {
     this.#endWhere(gateway, grant => grant.upstream === upstream && this.#isAcknowledged(grant, seen))
   }
--- a/packages/places/src/inflightcounts.ts
+++ b/packages/places/src/inflightcounts.ts
@@ -1,6 +1,6 @@
 /**
- * Requests in flight at upstreams from the other gateways, by the newest heartbeat of each and its reports about
- * single upstreams since. Owns these counts. Keeps their sums, because each choice of an upstream reads them. Relies
+ * Requests in flight at upstreams from the other gateways, as of the newest heartbeat of each and its later reports
+ * about single upstreams. Owns these counts. Keeps their sums, because each choice of an upstream reads them. Relies
  * on periodic calls of `keepOnly`, so that the counts of a gateway that ended are removed.
  */
 
--- a/packages/places/src/issuer.ts
+++ b/packages/places/src/issuer.ts
@@ -1,7 +1,7 @@
 /**
  * Issues the places at the heads of the rooms that this gateway owns. The next request in a room's queue gets the
  * next free place. Owns the queues, in memory only. A gateway that takes over knows the load from the last
- * heartbeats; requests that waited here request a place again or search alone.
+ * heartbeats; requests that waited at the former issuer request a place again or search alone.
  * Relies on `FreePlaces` for free places, on `Grants` for places that are granted but not yet counted, and on
  * `RoomQueue` for the order of requests.
  */
@@ -48,7 +48,7 @@
 
   /** Requests that wait in the queues. */
   get waiting (): number {
-    return [...this.#queues.values()].reduce((sum, { line }) => sum + line.size, 0)
+    return [...this.#queues.values()].reduce((sum, { waiting }) => sum + waiting.size, 0)
   }
 
   /**
@@ -62,7 +62,7 @@
     this.received++
     queue.add(request, now)
     this.#serve(queue)
-    if (!queue.line.has(request)) return
+    if (!queue.waiting.has(request)) return
     const wait = Math.max(this.#freePlaces.closedFor(room), queue.expectedWait(request, now))
     if (now + wait < request.until) return deliver(request.from, { place: 'wait', number: request.number })
     queue.drop(request.from, request.number)
@@ -98,10 +98,10 @@
   /** Grants the free places to waiting requests. Must be called after each change. */
   serve ({ key }: Room): void {
     const queue = this.#queues.get(key)
-    if (queue !== undefined && queue.line.size > 0) this.#serve(queue)
+    if (queue !== undefined && queue.waiting.size > 0) this.#serve(queue)
   }
 
-  /** Does the same for all rooms. */
+  /** Grants the free places of all rooms. */
   serveAll (): void {
     for (const { room } of this.#queues.values()) this.serve(room)
   }
@@ -135,18 +135,18 @@
     const now = this.#options.clock.now()
     for (const request of queue.takeExpired(now)) this.#refuse(queue, request, now)
     const open = this.#freePlaces.open(queue.room)
-    const unfit = new Set<PlaceRequest>()
+    const excluded = new Set<PlaceRequest>()
     for (let free = this.#freePlaces.free(open); free.length > 0; free = this.#freePlaces.free(free)) {
-      const next = queue.next(unfit, now)
+      const next = queue.next(excluded, now)
       if (next === undefined) break
       const head = this.#freePlaces.best(free, next)
-      if (head === undefined) unfit.add(next)
+      if (head === undefined) excluded.add(next)
       else this.#grant(queue, next, head, now)
     }
     queue.recordWaiting(now)
   }
 
-  /** Refuses the requests that have waited as long as they would wait alone and would get no place in time. */
+  /** Refuses the requests whose review is due and that would get no place in time. */
   #review (queue: RoomQueue): void {
     const now = this.#options.clock.now()
     for (const request of queue.review(now)) this.#refuse(queue, request, now)
@@ -169,7 +169,7 @@
   }
 
   #schedule (queue: RoomQueue): void {
-    if (queue.line.size === 0) {
+    if (queue.waiting.size === 0) {
       queue.timer?.cancel()
       queue.timer = undefined
       return
--- a/packages/places/src/messages.ts
+++ b/packages/places/src/messages.ts
@@ -15,7 +15,7 @@
 
 const PlaceMessage = z.discriminatedUnion('place', [
   /**
-   * A request waits for a place. It arrived `age` ms ago and starts in time within the next `timely` ms (negative: it
+   * A request waits for a place. It arrived `age` ms ago and must start within `timely` ms to be in time (negative: it
    * is already late). It waits for `patience` ms, but after `review` ms only if it is expected to be served in time.
    * It cannot be sent to the upstreams in `besides`; `near` is its preferred data centre. `again`: its caller retries
    * after a refusal. `early`: its caller retries sooner than the refusal asked for.
@@ -28,8 +28,7 @@
   /** The request has a place at an upstream. `order` is the number of the grant; the numbers of one sender increase. */
   z.object({ place: z.literal('grant'), number, upstream: z.string(), order: number }),
   /**
-   * The request gets no place in time. Its caller should retry in `due` ms; 0 stands for the delay of any other
-   * refusal.
+   * The request gets no place in time. Its caller should retry in `due` ms; 0 stands for the usual `Retry-After`.
    */
   z.object({ place: z.literal('later'), number, due: time }),
   /**
--- a/packages/places/src/placeclient.ts
+++ b/packages/places/src/placeclient.ts
@@ -46,7 +46,10 @@
 /** Time subtracted from a request's wait for the transit of its place request and of the reply, in ms. */
 const transitTime = 5
 
-/** Places that a request may fail to use, because it cannot be sent there, before it searches alone. */
+/**
+ * Number of unused places after which a request searches alone. A place stays unused if the request cannot be sent
+ * there.
+ */
 const maxUnusedPlaces = 2
 
 /** Upper bound for the number of the first place request. */
@@ -277,7 +280,7 @@
   }
 
   /**
-   * Handles a place that came too late. A grant of another gateway ends with the next heartbeat, which reports the
+   * Handles a reply that came too late. A late grant of another gateway ends with the next heartbeat, which reports the
    * grant as seen.
    */
   #handleLateReply (from: string | undefined, reply: Reply): void {
--- a/packages/places/src/placecoordinator.ts
+++ b/packages/places/src/placecoordinator.ts
@@ -1,7 +1,7 @@
 /**
- * The participation of one gateway in the shared queues. Owns the counts of the other gateways, the issuer of places,
- * the place client, and the messages between them. Relies on its owner for the heads, for this gateway's requests
- * in flight, for the issuer of each room, and for sending messages.
+ * Connects one gateway to the shared queues. Owns the counts of the other gateways, the issuer of places, the place
+ * client, and the messages between them. Relies on its options for the heads, for this gateway's requests in flight,
+ * for the issuer of each room, and for sending messages.
  */
 import { type Clock, type Random } from '@eiderwind/clock'
 import { localSender } from './request.js'
@@ -20,8 +20,8 @@
   readonly id: string
   readonly dataCentre: string
   /**
-   * The heads of a room that take requests now, or later as announced by the head itself, whether they are full or
-   * not.
+   * The heads of a room: those that take requests now, including full ones, and those that are closed for a known time
+   * (`Head.closedFor`).
    */
   readonly heads: (room: Room) => readonly Head[]
   /**
@@ -45,7 +45,7 @@
 
 /** The heartbeat fields about places. */
 export interface PlaceHeartbeatFields {
-  /** Rooms in which the sender has met a shortage. */
+  /** The keys of the rooms in which the sender has met a shortage. */
   readonly contended?: readonly string[] | undefined
   /** The last grant that the sender received from each gateway. */
   readonly grants?: Readonly<Record<string, number>> | undefined
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Issues a place, whether or not this gateway considers itself the issuer. Two gateways may issue for one room
-   * until they agree on the live gateways. The next heartbeats show each of them the other's grants.
+   * Passes a place request to the issuer, whether or not this gateway considers itself responsible. Two gateways may
+   * issue for one room until they agree on the live gateways. The next heartbeats show each of them the other's grants.
    */
   #handleRequest (message: RequestMessage, from: string): void {
     const room = roomOf(message.service, message.model)
--- a/packages/places/src/request.ts
+++ b/packages/places/src/request.ts
@@ -8,8 +8,8 @@
   /** Identifies the request to its sender. */
   readonly number: number
   /**
-   * When the request is refused unless it is expected to be served in time. If absent, the request waits until its
-   * end.
+   * When the request is reviewed: it is refused then unless it is expected to be served in time. If absent, the request
+   * waits until `until`.
    */
   readonly reviewAt?: number
   /** Upstreams that the request must not be sent to. */
@@ -21,7 +21,7 @@
 /** The value of `PlaceRequest.from` for requests of this gateway. */
 export const localSender = ''
 
-/** The reply to a place request. */
+/** The reply to a place request. `messages.ts` describes the kinds. */
 export type Reply =
   | { readonly place: 'wait', readonly number: number }
   | { readonly place: 'grant', readonly number: number, readonly upstream: string, readonly order: number }
--- a/packages/places/src/room.ts
+++ b/packages/places/src/room.ts
@@ -9,7 +9,6 @@
   readonly key: string
 }
 
-/** Returns the room of a model. */
 export function roomOf (service: string, model: string): Room {
   return { service, model, key: `${service}/${model}` }
 }
--- a/packages/places/src/roomqueue.ts
+++ b/packages/places/src/roomqueue.ts
@@ -14,7 +14,7 @@
 /** The queue of a room. Times are on `Clock.now`, in ms. */
 export class RoomQueue {
   readonly room: Room
-  readonly line = new WaitingQueue<PlaceRequest>()
+  readonly waiting = new WaitingQueue<PlaceRequest>()
   /** The next check of the queue, if nothing else happens in it. */
   timer: Subscription | undefined
   readonly #requests = new Map<string, PlaceRequest>()
@@ -33,7 +33,7 @@
     this.#usedAt = now
     if (!this.drop(request.from, request.number)) this.#usage.recordRequest(request.team, request.work, now)
     this.#requests.set(keyOf(request.from, request.number), request)
-    this.line.add(request)
+    this.waiting.add(request)
     if (request.reviewAt !== undefined) this.#awaitingReview.add(request)
   }
 
@@ -42,14 +42,14 @@
     const key = keyOf(from, number)
     const request = this.#requests.get(key)
     if (request === undefined) return false
-    this.line.remove(request)
+    this.waiting.remove(request)
     this.#remove(request)
     return true
   }
 
   /** Removes and returns the requests that have waited as long as they can. */
   takeExpired (now: number): PlaceRequest[] {
-    const ended = this.line.takeExpired(now)
+    const ended = this.waiting.takeExpired(now)
     for (const each of ended) this.#remove(each)
     return ended
   }
@@ -58,22 +58,22 @@
   review (now: number): PlaceRequest[] {
     const dueForReview = [...this.#awaitingReview].filter(({ reviewAt = Infinity }) => reviewAt <= now)
     for (const each of dueForReview) this.#awaitingReview.delete(each)
-    const rejected = this.#waitEstimator.notServedInTime(dueForReview, this.line, this.#usage, now)
+    const rejected = this.#waitEstimator.notServedInTime(dueForReview, this.waiting, this.#usage, now)
     for (const { from, number } of rejected) this.drop(from, number)
     return rejected
   }
 
-  /** When the next review is due or the wait of a request ends; Infinity if none waits. */
+  /** When the next review is due or the next wait ends, whichever is earlier; Infinity if no request waits. */
   get nextCheckAt (): number {
-    return [...this.#awaitingReview].reduce((first, { reviewAt = Infinity }) => Math.min(first, reviewAt), this.line.minUntil)
+    return [...this.#awaitingReview].reduce((first, { reviewAt = Infinity }) => Math.min(first, reviewAt), this.waiting.minUntil)
   }
 
   /**
    * The request that gets the next place.
-   * @param besides requests that cannot use it
+   * @param excluded requests that cannot use it
    */
-  next (besides: ReadonlySet<PlaceRequest>, now: number): PlaceRequest | undefined {
-    return this.line.next(this.#usage, now, besides)
+  next (excluded: ReadonlySet<PlaceRequest>, now: number): PlaceRequest | undefined {
+    return this.waiting.next(this.#usage, now, excluded)
   }
 
   /** Records that a place is granted to a request, and removes the request. */
@@ -85,17 +85,17 @@
 
   /** Records which requests still wait after all free places were granted. */
   recordWaiting (now: number): void {
-    this.#waitEstimator.recordWaiting(this.line, now)
+    this.#waitEstimator.recordWaiting(this.waiting, now)
   }
 
   /** The time after which a request that has just arrived is expected to be served, in ms. */
   expectedWait (request: PlaceRequest, now: number): number {
-    return this.#waitEstimator.expectedWait(request, this.line, this.#usage, now)
+    return this.#waitEstimator.expectedWait(request, this.waiting, this.#usage, now)
   }
 
-  /** The time after which a refused caller should retry, in ms; 0 stands for the delay of any other refusal. */
+  /** The time after which a refused caller should retry, in ms; 0 stands for the usual `Retry-After`. */
   retryDelay (now: number): number {
-    return this.#waitEstimator.retryDelay(this.line.size, now)
+    return this.#waitEstimator.retryDelay(this.waiting.size, now)
   }
 
   /** Removes expired state. */
@@ -103,9 +103,9 @@
     this.#waitEstimator.forget(now)
   }
 
-  /** Whether the queue need not be retained. */
+  /** Whether the queue can be removed: it is empty and has not been used for long. */
   isExpired (now: number): boolean {
-    return this.line.size === 0 && now - this.#usedAt > idleRetention
+    return this.waiting.size === 0 && now - this.#usedAt > idleRetention
   }
 
   #remove (request: PlaceRequest): void {
--- a/packages/places/src/waitestimator.ts
+++ b/packages/places/src/waitestimator.ts
@@ -14,7 +14,7 @@
  */
 const minBusyTime = 500
 
-/** Upper bound of the requests from which an expected wait is computed. A sample represents a longer queue. */
+/** Maximum number of requests from which an expected wait is computed. A longer queue is represented by a sample. */
 const maxSample = 64
 
 /** How long an estimate is valid for similar requests, and by how much their remaining waits may differ, in ms. */
@@ -27,7 +27,7 @@
  */
 const minRetryDelay = 900
 
-/** The expected wait for requests of one kind at one time, and how many of that kind have arrived since. */
+/** The expected wait of similar requests, when it was computed, and how many of them have arrived since. */
 interface Estimate {
   readonly wait: number
   readonly at: number
@@ -40,7 +40,7 @@
   readonly #rates = new Map<number, Rate>()
   readonly #backlogs = new Backlogs()
   readonly #estimates = new Map<string, Estimate>()
-  /** Since when the queue has never been empty. */
+  /** Since when requests have waited without a break. Undefined if none waits. */
   #busySince: number | undefined
 
   /** Counts a granted place. */
@@ -66,14 +66,14 @@
   expectedWait (request: PlaceRequest, waiting: WaitingQueue<PlaceRequest>, usage: TeamUsage, now: number): number {
     const rate = this.#rate(request.priority, now)
     if (rate === undefined || this.#busySince === undefined || now - this.#busySince < minBusyTime) return 0
-    const kind = `${kindOf(request, now)} ${Math.round((request.until - now) / waitStep)} ${request.team}`
-    const known = this.#estimates.get(kind)
+    const key = `${kindOf(request, now)} ${Math.round((request.until - now) / waitStep)} ${request.team}`
+    const known = this.#estimates.get(key)
     if (known !== undefined && now - known.at < estimateLifetime) return known.wait + ++known.arrivals / rate * 1000
     const rivals = [...waiting].filter(each => each.priority >= request.priority)
     const step = Math.ceil(rivals.length / maxSample)
-    const part = step === 1 ? rivals : rivals.filter((_request, index) => index % step === 0)
-    const wait = expectedWait(request, part, usage, rate / step, now)
-    this.#estimates.set(kind, { wait, at: now, arrivals: 0 })
+    const sample = step === 1 ? rivals : rivals.filter((_request, index) => index % step === 0)
+    const wait = expectedWait(request, sample, usage, rate / step, now)
+    this.#estimates.set(key, { wait, at: now, arrivals: 0 })
     return wait
   }
 
--- a/packages/places/test/issuer.test.ts
+++ b/packages/places/test/issuer.test.ts
@@ -8,15 +8,15 @@
 class Fixture {
   readonly clock = new ManualClock()
   readonly counts = new InFlightCounts()
-  readonly answers: string[] = []
+  readonly replies: string[] = []
   heads: Head[] = [head('a', 1), head('b', 1)]
-  readonly own = new Map<string, number>()
+  readonly localInFlight = new Map<string, number>()
   readonly issuer = new Issuer({
     clock: this.clock,
     heads: () => this.heads,
-    inFlight: upstream => this.own.get(upstream) ?? 0,
+    inFlight: upstream => this.localInFlight.get(upstream) ?? 0,
     counts: this.counts,
-    deliver: (to, reply) => { this.answers.push(`${to}${reply.number} ${reply.place}${reply.place === 'grant' ? ` ${reply.upstream}` : ''}`) },
+    deliver: (to, reply) => { this.replies.push(`${to}${reply.number} ${reply.place}${reply.place === 'grant' ? ` ${reply.upstream}` : ''}`) },
     random: () => 0
   })
 
@@ -26,8 +26,8 @@
   }
 
   /** The replies since the last call. */
-  get newAnswers (): string[] {
-    return this.answers.splice(0)
+  get newReplies (): string[] {
+    return this.replies.splice(0)
   }
 }
 
@@ -39,7 +39,7 @@
   const fixture = new Fixture()
   fixture.counts.set('y', 'a', 1)
   for (const number of [1, 2]) fixture.request('x', number)
-  t.deepEqual(fixture.newAnswers, ['x1 grant b', 'x2 wait'])
+  t.deepEqual(fixture.newReplies, ['x1 grant b', 'x2 wait'])
   t.is(fixture.issuer.waiting, 1)
 })
 
@@ -47,7 +47,7 @@
   const fixture = new Fixture()
   fixture.heads = [head('a', 2, 'far'), head('b', 2)]
   for (const number of [1, 2, 3]) fixture.request('x', number)
-  t.deepEqual(fixture.newAnswers, ['x1 grant b', 'x2 grant a', 'x3 grant b'])
+  t.deepEqual(fixture.newReplies, ['x1 grant b', 'x2 grant a', 'x3 grant b'])
 })
 
 test('a place that becomes free goes to the most urgent request at once', t => {
@@ -56,11 +56,11 @@
   fixture.counts.set('y', 'b', 1)
   fixture.request('x', 1)
   fixture.request('z', 2, { priority: 0 })
-  t.deepEqual(fixture.newAnswers, ['x1 wait', 'z2 wait'])
+  t.deepEqual(fixture.newReplies, ['x1 wait', 'z2 wait'])
   fixture.issuer.receiveCount(room, 'y', { upstream: 'a', count: 0, seen: 0 })
-  t.deepEqual(fixture.newAnswers, ['z2 grant a'])
+  t.deepEqual(fixture.newReplies, ['z2 grant a'])
   fixture.issuer.receiveCount(room, 'y', { upstream: 'b', count: 0, seen: 0 })
-  t.deepEqual(fixture.newAnswers, ['x1 grant b'])
+  t.deepEqual(fixture.newReplies, ['x1 grant b'])
 })
 
 test('a request that must not be sent to the free head leaves the place to the next one and keeps its turn', t => {
@@ -71,7 +71,7 @@
   fixture.request('z', 2)
   fixture.issuer.receiveCount(room, 'y', { upstream: 'a', count: 0, seen: 0 })
   fixture.issuer.receiveCount(room, 'y', { upstream: 'b', count: 0, seen: 0 })
-  t.deepEqual(fixture.newAnswers, ['x1 wait', 'z2 wait', 'z2 grant a', 'x1 grant b'])
+  t.deepEqual(fixture.newReplies, ['x1 wait', 'z2 wait', 'z2 grant a', 'x1 grant b'])
 })
 
 test('a grant counts until a report of its gateway includes it, and no longer', t => {
@@ -79,19 +79,19 @@
   fixture.heads = [head('a', 1)]
   fixture.request('x', 1)
   fixture.request('z', 2)
-  t.deepEqual(fixture.newAnswers, ['x1 grant a', 'z2 wait'])
+  t.deepEqual(fixture.newReplies, ['x1 grant a', 'z2 wait'])
   // Sent before the gateway received the grant.
   fixture.counts.replace('x', {})
   fixture.issuer.acknowledgeGrants('x', undefined)
   fixture.issuer.serveAll()
-  t.deepEqual(fixture.newAnswers, [])
+  t.deepEqual(fixture.newReplies, [])
   // The place is in use.
   fixture.counts.replace('x', { a: 1 })
   fixture.issuer.acknowledgeGrants('x', Number.MAX_SAFE_INTEGER)
   fixture.issuer.serveAll()
-  t.deepEqual(fixture.newAnswers, [])
+  t.deepEqual(fixture.newReplies, [])
   fixture.issuer.receiveCount(room, 'x', { upstream: 'a', count: 0, seen: Number.MAX_SAFE_INTEGER })
-  t.deepEqual(fixture.newAnswers, ['z2 grant a'])
+  t.deepEqual(fixture.newReplies, ['z2 grant a'])
 })
 
 test('a lost grant ends with the first heartbeat after it has expired; a report about another head ends no grant', t => {
@@ -103,10 +103,10 @@
   fixture.issuer.acknowledgeGrants('x', undefined)
   fixture.clock.advance(1)
   fixture.issuer.receiveCount(room, 'x', { upstream: 'b', count: 0, seen: 0 })
-  t.deepEqual(fixture.newAnswers, ['x1 grant a', 'z2 wait'])
+  t.deepEqual(fixture.newReplies, ['x1 grant a', 'z2 wait'])
   fixture.issuer.acknowledgeGrants('x', undefined)
   fixture.issuer.serveAll()
-  t.deepEqual(fixture.newAnswers, ['z2 grant a'])
+  t.deepEqual(fixture.newReplies, ['z2 grant a'])
 })
 
 test('the place of a gateway that is no longer live is free', t => {
@@ -118,7 +118,7 @@
   fixture.counts.keepOnly(() => false)
   fixture.issuer.forget(id => id !== 'x')
   fixture.clock.advance(20)
-  t.deepEqual(fixture.newAnswers, ['x1 grant a', 'z2 wait', 'z2 grant a'])
+  t.deepEqual(fixture.newReplies, ['x1 grant a', 'z2 wait', 'z2 grant a'])
 })
 
 test('a grant to this gateway ends when it is used or not needed', t => {
@@ -141,9 +141,9 @@
   fixture.issuer.receiveCount(room, 'x', { upstream: 'a', count: 0, seen: 0, shut: 100 })
   fixture.request('z', 1)
   fixture.clock.advance(99)
-  t.deepEqual(fixture.newAnswers, ['z1 wait'])
+  t.deepEqual(fixture.newReplies, ['z1 wait'])
   fixture.clock.advance(21)
-  t.deepEqual(fixture.newAnswers, ['z1 grant a'])
+  t.deepEqual(fixture.newReplies, ['z1 grant a'])
 })
 
 test('if all heads are closed for longer than a request waits, it is refused at once with the time until the first opens', t => {
@@ -164,7 +164,7 @@
   fixture.request('x', 2)
   fixture.issuer.drop(room, 'x', 2)
   fixture.clock.advance(420)
-  t.deepEqual(fixture.newAnswers, ['x1 wait', 'x2 wait', 'x1 later'])
+  t.deepEqual(fixture.newReplies, ['x1 wait', 'x2 wait', 'x1 later'])
   t.is(fixture.issuer.waiting, 0)
 })
 
@@ -210,10 +210,10 @@
     fixture.clock.advance(1000)
     fixture.issuer.receiveCount(room, 'x', { upstream: 'a', count: 0, seen: Number.MAX_SAFE_INTEGER })
   }
-  t.deepEqual(fixture.newAnswers, Array.from({ length: 10 }, (_each, number) => `x${number} grant a`))
+  t.deepEqual(fixture.newReplies, Array.from({ length: 10 }, (_each, number) => `x${number} grant a`))
   fixture.counts.set('y', 'a', 1)
   fixture.request('x', 10)
-  t.deepEqual(fixture.newAnswers, ['x10 wait'])
+  t.deepEqual(fixture.newReplies, ['x10 wait'])
 })
 
 test('less urgent requests are refused at once if more urgent ones get all places', t => {
@@ -240,35 +240,35 @@
  * A head whose place becomes free every `interval` ms for a second, so that the rate of free places is known.
  * Requests wait all the time.
  */
-function withSteadyPlaces (interval: number): { fixture: Fixture, pass: (time: number) => void } {
+function withSteadyPlaces (interval: number): { fixture: Fixture, advance: (time: number) => void } {
   const fixture = new Fixture()
   fixture.heads = [head('a', 1)]
-  const pass = (time: number): void => {
+  const advance = (time: number): void => {
     for (let passed = 0; passed < time; passed++) {
       fixture.clock.advance(1)
       if (fixture.clock.now() % interval === 0) fixture.issuer.receiveCount(room, 'x', { upstream: 'a', count: 0, seen: Number.MAX_SAFE_INTEGER })
     }
   }
   for (let number = 0; number < 1000 / interval + 1; number++) fixture.request('x', number, { until: Infinity })
-  pass(1000)
-  return { fixture, pass }
+  advance(1000)
+  return { fixture, advance }
 }
 
 test('at its review a request continues to wait if it would be served in time, and is refused otherwise', t => {
-  const { fixture, pass } = withSteadyPlaces(50)
+  const { fixture, advance } = withSteadyPlaces(50)
   const now = fixture.clock.now()
   t.is(fixture.issuer.waiting, 0)
-  fixture.answers.length = 0
+  fixture.replies.length = 0
   for (let number = 100; number < 112; number++) fixture.request('x', number, { arrivedAt: now + number, until: now + 400, reviewAt: now + 110 })
   // The rate of the past lets the first requests wait.
-  pass(45)
+  advance(45)
   for (let number = 112; number < 118; number++) fixture.request('x', number, { arrivedAt: now + number, until: now + 400, reviewAt: now + 110 })
-  fixture.answers.length = 0
-  pass(70)
-  const refused = fixture.newAnswers.filter(each => each.endsWith('later'))
+  fixture.replies.length = 0
+  advance(70)
+  const refused = fixture.newReplies.filter(each => each.endsWith('later'))
   t.true(refused.length >= 8 && refused.length <= 11, refused.join())
-  pass(400)
-  const later = fixture.newAnswers
+  advance(400)
+  const later = fixture.newReplies
   t.true(later.filter(each => each.endsWith('later')).length <= 1, later.join())
 })
 
@@ -278,9 +278,9 @@
   fixture.request('x', 1, { reviewAt: fixture.clock.now() + 110 })
   fixture.request('x', 2)
   fixture.clock.advance(105)
-  t.deepEqual(fixture.newAnswers, ['x1 wait', 'x2 wait'])
+  t.deepEqual(fixture.newReplies, ['x1 wait', 'x2 wait'])
   fixture.clock.advance(6)
-  t.deepEqual(fixture.newAnswers, ['x1 later'])
+  t.deepEqual(fixture.newReplies, ['x1 later'])
 })
 
 test('a request that later arrivals overtake is refused at its review', t => {
--- a/packages/places/test/schedules.test.ts
+++ b/packages/places/test/schedules.test.ts
@@ -18,7 +18,7 @@
 /** Upper bound of the duration of a search, in ms: its own wait and one step. */
 const maxSearchTime = 402
 
-async function play (seed: number, steps: ReadonlyArray<{ readonly gateway: number, readonly what: string, readonly span: number, readonly priority: number }>, loss: number): Promise<Simulation> {
+async function runSchedule (seed: number, steps: ReadonlyArray<{ readonly gateway: number, readonly what: string, readonly span: number, readonly priority: number }>, loss: number): Promise<Simulation> {
   const simulation = new Simulation({ gateways: 4, heads: 2, capacity: 3, seed, network: { loss, duplication: loss, delay: 4 } })
   for (const { gateway: index, what, span, priority } of steps) {
     const gateway = simulation.gateways[index]
@@ -61,7 +61,7 @@
 for (const loss of [0, 0.1]) {
   test(`with a share of ${loss} of the datagrams lost and duplicated, each search ends in time, no request waits for ever and no place is lost`, async t => {
     await t.notThrowsAsync(fc.assert(fc.asyncProperty(fc.nat(), fc.array(step, { maxLength: 60 }), async (seed, steps) => {
-      const simulation = await play(seed, steps, loss)
+      const simulation = await runSchedule(seed, steps, loss)
       await endAll(simulation)
       const living = simulation.requests.filter(each => !each.gateway.isDead)
       if (living.some(each => each.outcome === undefined || each.endedAt - each.claim.requirements.arrivedAt > maxSearchTime + 300)) return false
@@ -77,7 +77,7 @@
 
 test('with one issuer and no failure no head ever has more requests than places', async t => {
   await t.notThrowsAsync(fc.assert(fc.asyncProperty(fc.nat(), fc.array(step, { maxLength: 80 }), async (seed, steps) => {
-    const simulation = await play(seed, steps.filter(({ what }) => !['pause', 'owner', 'die'].includes(what)), 0)
+    const simulation = await runSchedule(seed, steps.filter(({ what }) => !['pause', 'owner', 'die'].includes(what)), 0)
     return simulation.maxExcess <= 0
   }), { seed: 8, numRuns: 60 }))
 })
--- a/packages/places/test/simulation.ts
+++ b/packages/places/test/simulation.ts
@@ -1,5 +1,5 @@
 /**
- * Simulates a fleet of gateways before a few heads, on a manual clock. It uses the real issuers and place clients.
+ * Simulates a fleet of gateways in front of a few heads, on a manual clock. It uses the real issuers and place clients.
  * Datagrams are delayed, lost and duplicated, and processes die or are paused.
  */
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
@@ -9,7 +9,7 @@
 export const room: Room = roomOf('s', 'm')
 
 const heartbeatInterval = 250
-/** Silence after which a gateway counts as gone, in ms. */
+/** Time without a heartbeat after which a gateway is no longer live, in ms. */
 const heartbeatTimeout = 1000
 
 /** The behaviour of the network. */
@@ -36,7 +36,7 @@
 export class Gateway {
   readonly id: string
   readonly inFlight = new Map<string, number>()
-  readonly #member: PlaceCoordinator
+  readonly #coordinator: PlaceCoordinator
   /** The gateway that this one considers the issuer. */
   owner: string
   isDead = false
@@ -52,7 +52,7 @@
     this.id = id
     this.owner = owner
     this.#simulation = simulation
-    this.#member = new PlaceCoordinator({
+    this.#coordinator = new PlaceCoordinator({
       clock,
       id,
       dataCentre: 'dc',
@@ -67,12 +67,12 @@
   }
 
   get placeClient (): PlaceClient {
-    return this.#member.placeClient
+    return this.#coordinator.placeClient
   }
 
   /** Requests that wait here for places. */
   get waiting (): number {
-    return this.#member.issuer.waiting
+    return this.#coordinator.issuer.waiting
   }
 
   count (upstream: string): number {
@@ -92,18 +92,18 @@
   }
 
   receive (from: string, message: PlaceMessage): void {
-    this.#member.receive(message, from)
+    this.#coordinator.receive(message, from)
   }
 
   /** Removes the gateways whose heartbeats have stopped. */
   forget (): void {
     const isLive = (id: string): boolean => this.#simulation.now - (this.#lastHeartbeatAt.get(id) ?? 0) <= heartbeatTimeout
-    this.#member.forget(isLive)
+    this.#coordinator.forget(isLive)
   }
 
   receiveHeartbeat (from: string, inFlight: Readonly<Record<string, number>>, grants: Readonly<Record<string, number>>): void {
     this.#lastHeartbeatAt.set(from, this.#simulation.now)
-    this.#member.receiveHeartbeat(from, inFlight, { grants })
+    this.#coordinator.receiveHeartbeat(from, inFlight, { grants })
   }
 }
 
@@ -197,15 +197,15 @@
   #search (request: Request): void {
     const { gateway, claim } = request
     if (gateway.isDead || request.outcome !== undefined) return
-    const finding = gateway.placeClient.find(claim)
-    if (finding.kind === 'wait') return
-    request.outcome = finding.kind === 'place' ? 'served' : finding.kind
+    const decision = gateway.placeClient.find(claim)
+    if (decision.kind === 'wait') return
+    request.outcome = decision.kind === 'place' ? 'served' : decision.kind
     request.endedAt = this.now
-    if (finding.kind !== 'place') return
-    request.upstream = finding.upstream
-    gateway.inFlight.set(finding.upstream, gateway.count(finding.upstream) + 1)
+    if (decision.kind !== 'place') return
+    request.upstream = decision.upstream
+    gateway.inFlight.set(decision.upstream, gateway.count(decision.upstream) + 1)
     gateway.placeClient.use(claim)
-    this.maxExcess = Math.max(this.maxExcess, this.load(finding.upstream) - this.options.capacity)
+    this.maxExcess = Math.max(this.maxExcess, this.load(decision.upstream) - this.options.capacity)
   }
 
   /** Refuses requests that have waited as long as they can, like the timer of a gateway's queue. */
