--- a/packages/limits/src/bucket.ts
+++ b/packages/limits/src/bucket.ts
@@ -1,12 +1,12 @@
 /**
- * A token bucket, which bounds how many requests a second are sent to one upstream. Pure; times are parameters, on
- * one steady clock. Its state is the one time of the generic cell rate algorithm (ITU-T I.371), so it needs neither a
- * timer nor a count.
+ * A token bucket, which bounds how many requests a second are sent to one upstream. Pure; times are parameters, in ms
+ * on one monotonic clock. Its state is the theoretical arrival time of the generic cell rate algorithm (ITU-T I.371),
+ * so it needs neither a timer nor a count.
  */
 
 /**
- * Tokens beyond the first that a full bucket holds, and the lower bound of these tokens as a time, in ms. A timer
- * that fires late must not cost a token.
+ * Tokens beyond the first that a full bucket holds. At high rates a full bucket holds more: what accrues in
+ * `timerDelay` ms. A timer that fires late must not cost a token.
  */
 const extraTokens = 0.5
 const timerDelay = 2
@@ -20,14 +20,14 @@
 
   /**
    * @param rate tokens a second
-   * @param firstAt when the first token may be taken
+   * @param firstAt when the first token may be taken, in ms
    */
   constructor (rate: number, firstAt: number) {
     this.#interval = 1000 / rate
     this.#theoreticalArrival = firstAt + this.#tolerance
   }
 
-  /** Changes the rate. Tokens already taken in advance are converted by their number, not by their time. */
+  /** Changes the rate. The number of tokens that were taken in advance stays the same. */
   setRate (rate: number, now: number): void {
     const interval = 1000 / rate
     if (interval === this.#interval) return
--- a/packages/limits/src/cold.ts
+++ b/packages/limits/src/cold.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks which upstreams are cold, and how many requests a second each of them gets. A cold upstream has just
- * started, or says that it is cold, and fails at a load that it bears later. Owns this state, by the identity of an
- * upstream's process.
+ * started, or announces that it is cold, and fails at a load that it bears later. Owns this state, by the identity of
+ * an upstream's process.
  * The state is a remaining time, counted from when it was read. A record that is read late, a suspended process and a
  * delayed report therefore make an upstream count as cold for longer, never for shorter.
  */
@@ -38,7 +38,7 @@
 const reportTime = 600
 const maxReported = 64
 
-/** Requests that one gateway may issue at once beyond the rate. */
+/** Tokens that one gateway may issue at once beyond the rate. */
 const burst = 1.5
 
 /**
@@ -50,7 +50,7 @@
 const holdFactor = 1.1
 
 interface ColdState {
-  /** The end of the cold state, and the start of it without a break, on `Clock.now`. */
+  /** When the cold state ends, and since when it has lasted without a break, on `Clock.now`. */
   readonly until: number
   readonly since: number
   /** The lowest rate in the reports of other gateways; Infinity if there was none. */
--- a/packages/limits/src/limits.ts
+++ b/packages/limits/src/limits.ts
@@ -1,7 +1,8 @@
 /**
- * Tracks the limits of upstreams. A limit is named by the upstream or follows from its cold state, and the lower one
- * applies. Owns the rate, start and source of each named limit, by the identity of an upstream's process. The newest
- * limit applies, by the time at which any gateway read the head of the answer that names it.
+ * Tracks the limits of upstreams. An upstream has a limit if it names one in its answers, and while it is cold. If
+ * both, the lower one applies. Of several named limits the newest applies, by the time at which a gateway read the
+ * headers of the answer that names it. Owns the rate, start and source of each named limit, by the identity of an
+ * upstream's process.
  * A gateway that reads a change reports it to the others for a while. Afterwards only the gateway that issues the
  * upstream's tokens reports it, so that heartbeats stay short even if many upstreams are limited.
  */
@@ -119,9 +120,9 @@
     return [Number.isFinite(known.rate) ? known.rate : null, this.#clock.now() - known.readAt]
   }
 
-  /** Removes the upstreams that are no longer remembered. */
-  keepOnly (isRemembered: (id: string) => boolean): void {
-    for (const id of this.#known.keys()) if (!isRemembered(id)) this.#known.delete(id)
+  /** Removes the upstreams that are no longer known. */
+  keepOnly (isKnown: (id: string) => boolean): void {
+    for (const id of this.#known.keys()) if (!isKnown(id)) this.#known.delete(id)
   }
 
   #namedSince (id: string): number | undefined {
--- a/packages/limits/src/owners.ts
+++ b/packages/limits/src/owners.ts
@@ -48,7 +48,8 @@
   }
 
   /**
-   * The share of each limit that its owner issues: the number of live gateways divided by the number seen recently.
+   * The share of each limit that its owner issues: the number of gateways that have been live for `settleTime`, divided
+   * by the number seen recently.
    * If the fleet is partitioned, all partitions together issue no more than the whole fleet did.
    */
   get share (): number {
--- a/packages/limits/src/tokenclient.ts
+++ b/packages/limits/src/tokenclient.ts
@@ -37,8 +37,8 @@
   /** Called when a token request was not answered in time, so that waiting requests search again. */
   readonly unanswered: () => void
   /**
-   * Draws the upstream that is asked first, and the number of the first token request, so that replies to an earlier
-   * process of this gateway do not match.
+   * Breaks ties between upstreams with the same expected wait. Also draws the number of the first token request, so
+   * that replies to an earlier process of this gateway do not match.
    */
   readonly random: Random
 }
@@ -63,7 +63,7 @@
   claim: Claim | undefined
   readonly upstream: string
   readonly owner: string | undefined
-  /** How long the request can wait, as its owner was told, in ms. */
+  /** How long the request can wait, as sent to the owner, in ms. */
   readonly maxWait: number
   timer: Subscription
 }
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Takes a token for a request that is about to be sent. The first request in the queue gets the token, whichever
-   * request asked for it. The one that asked takes over the pending token request of the first.
+   * Takes a token for a request that is about to be sent. Requests use tokens in the order of the queue, so this token
+   * may have been requested for another request. That request then takes over the pending token request of this one.
    * @param claim of the request, if it waited
    */
   take (upstream: string, claim?: Claim): void {
@@ -136,9 +136,9 @@
 
   /** Time until an upstream has a token for a request, in ms; 0 if that time is not known. */
   expectedWait (upstream: string, priority: number): number {
-    const due = this.#nextTokens.get(upstream)
-    if (due === undefined || due.priority > priority) return 0
-    return Math.max(0, due.at - this.#options.clock.now())
+    const next = this.#nextTokens.get(upstream)
+    if (next === undefined || next.priority > priority) return 0
+    return Math.max(0, next.at - this.#options.clock.now())
   }
 
   /** Removes expired state. */
--- a/packages/limits/test/bucket.test.ts
+++ b/packages/limits/test/bucket.test.ts
@@ -22,7 +22,7 @@
   t.true(taken >= 999, String(taken))
 })
 
-test('after a change of the rate the tokens owed keep their number', t => {
+test('a change of the rate does not change the number of tokens that were taken in advance', t => {
   const bucket = new TokenBucket(1, 0)
   t.true(bucket.take(0))
   bucket.setRate(10, 0)
--- a/packages/limits/test/cold.test.ts
+++ b/packages/limits/test/cold.test.ts
@@ -74,10 +74,10 @@
   }
   t.is(Math.round(cold.remaining('a')), 1000)
   t.false(cold.receive('a', [32, 2000]))
-  t.is(Math.round(cold.remaining('a')), 2000, 'a later coldness holds')
+  t.is(Math.round(cold.remaining('a')), 2000, 'a report that exceeds the known time by more than 50 ms applies')
 })
 
-test('a gateway reports what it read within 600 ms, and the upstreams whose tokens it issues until they are warm', t => {
+test('a gateway reports what it read within the last 600 ms, and the upstreams whose tokens it issues while they are cold', t => {
   const { clock, cold } = coldUpstreams()
   cold.recordAnswer('a', 3000)
   cold.receive('b', [20, 3000])
@@ -121,7 +121,7 @@
   t.is(limits.since('a'), undefined)
 })
 
-test('the cold rate leaves room for bursts, tokens held over, and two gateways that issue at once', t => {
+test('the cold rate leaves room for bursts, for held tokens, and for two gateways that issue tokens at the same time', t => {
   for (const [rate, overshoot, slack] of [[32, 1.5, 5], [32, 1, 0], [10, 1, 5], [4, 1.5, 5], [2, 1, 1], [1000, 1.5, 5]]) {
     const given = coldRate(rate, overshoot, slack)
     t.true(given <= rate)
--- a/packages/limits/test/issuer.test.ts
+++ b/packages/limits/test/issuer.test.ts
@@ -5,14 +5,14 @@
 
 class Fixture {
   readonly clock = new ManualClock()
-  readonly answers: string[] = []
+  readonly replies: string[] = []
   rate = 10
   begin = 0
   readonly issuer = new Issuer({
     clock: this.clock,
     rate: () => this.rate,
     begin: () => this.begin,
-    deliver: (to, reply) => { this.answers.push(`${to}${reply.number} ${reply.token === 'grant' ? 'granted' : `in ${reply.due}`}`) }
+    deliver: (to, reply) => { this.replies.push(`${to}${reply.number} ${reply.token === 'grant' ? 'granted' : `in ${reply.due}`}`) }
   })
 
   request (from: string, number: number, fields: Partial<TokenRequest> = {}): void {
@@ -20,8 +20,8 @@
   }
 
   /** The replies since the last call. */
-  get newAnswers (): string[] {
-    return this.answers.splice(0)
+  get newReplies (): string[] {
+    return this.replies.splice(0)
   }
 }
 
@@ -31,20 +31,20 @@
   fixture.request('a', 1)
   fixture.request('b', 2)
   fixture.request('c', 3, { priority: 0 })
-  t.deepEqual(fixture.newAnswers, ['a1 in 100', 'b2 in 200', 'c3 in 100'])
+  t.deepEqual(fixture.newReplies, ['a1 in 100', 'b2 in 200', 'c3 in 100'])
   clock.advance(100)
-  t.deepEqual(fixture.newAnswers, ['c3 granted'])
+  t.deepEqual(fixture.newReplies, ['c3 granted'])
   clock.advance(200)
-  t.deepEqual(fixture.newAnswers, ['a1 granted', 'b2 granted'])
+  t.deepEqual(fixture.newReplies, ['a1 granted', 'b2 granted'])
 })
 
 test('a request whose token would come too late is not queued', t => {
   const fixture = new Fixture()
   fixture.request('a', 1, { patience: 99 })
   fixture.request('b', 2)
-  t.deepEqual(fixture.newAnswers, ['a1 in 100', 'b2 in 100'])
+  t.deepEqual(fixture.newReplies, ['a1 in 100', 'b2 in 100'])
   fixture.clock.advance(1000)
-  t.deepEqual(fixture.newAnswers, ['b2 granted'])
+  t.deepEqual(fixture.newReplies, ['b2 granted'])
 })
 
 test('a request that is dropped, or whose wait ends while others go first, leaves its token to the next', t => {
@@ -56,7 +56,7 @@
   fixture.issuer.drop('u', 'b', 2)
   fixture.issuer.drop('u', 'x', 4)
   fixture.clock.advance(200)
-  t.deepEqual(fixture.newAnswers.slice(4), ['c3 granted', 'd4 granted'])
+  t.deepEqual(fixture.newReplies.slice(4), ['c3 granted', 'd4 granted'])
 })
 
 test('a token for which no request waits is available to this gateway', t => {
@@ -66,18 +66,18 @@
   t.true(issuer.has('u'))
   issuer.take('u')
   t.false(issuer.has('u'))
-  t.deepEqual(fixture.answers, [])
+  t.deepEqual(fixture.replies, [])
 })
 
 test('the issuer begins with an empty bucket, and not before its start time', t => {
   const fixture = new Fixture()
   fixture.begin = 1000
   fixture.request('a', 1)
-  t.deepEqual(fixture.newAnswers, ['a1 in 1000'])
+  t.deepEqual(fixture.newReplies, ['a1 in 1000'])
   fixture.clock.advance(999)
-  t.deepEqual(fixture.newAnswers, [])
+  t.deepEqual(fixture.newReplies, [])
   fixture.clock.advance(1)
-  t.deepEqual(fixture.newAnswers, ['a1 granted'])
+  t.deepEqual(fixture.newReplies, ['a1 granted'])
 })
 
 test('when the limit ends, all waiting requests are granted at the next token', t => {
@@ -86,9 +86,9 @@
   fixture.request('b', 2)
   fixture.rate = Infinity
   fixture.clock.advance(100)
-  t.deepEqual(fixture.newAnswers.slice(2), ['a1 granted', 'b2 granted'])
+  t.deepEqual(fixture.newReplies.slice(2), ['a1 granted', 'b2 granted'])
   fixture.request('c', 3)
-  t.deepEqual(fixture.newAnswers, ['c3 granted'])
+  t.deepEqual(fixture.newReplies, ['c3 granted'])
   t.true(fixture.issuer.has('u'))
 })
 
@@ -98,19 +98,19 @@
   fixture.request('b', 2)
   fixture.rate = 2
   fixture.clock.advance(100)
-  t.deepEqual(fixture.newAnswers.slice(2), ['a1 granted'])
+  t.deepEqual(fixture.newReplies.slice(2), ['a1 granted'])
   fixture.clock.advance(499)
-  t.deepEqual(fixture.newAnswers, [])
+  t.deepEqual(fixture.newReplies, [])
   fixture.clock.advance(1)
-  t.deepEqual(fixture.newAnswers, ['b2 granted'])
+  t.deepEqual(fixture.newReplies, ['b2 granted'])
 })
 
-test('nothing more is issued for an upstream that another gateway owns', t => {
+test('no more tokens are issued for an upstream once another gateway owns its limit', t => {
   const fixture = new Fixture()
   fixture.request('a', 1)
   t.deepEqual(fixture.issuer.upstreams, ['u'])
   fixture.issuer.end('u')
   fixture.clock.advance(1000)
-  t.deepEqual(fixture.newAnswers, ['a1 in 100'])
+  t.deepEqual(fixture.newReplies, ['a1 in 100'])
   t.deepEqual(fixture.issuer.upstreams, [])
 })
--- a/packages/limits/test/limits.test.ts
+++ b/packages/limits/test/limits.test.ts
@@ -93,7 +93,7 @@
   t.deepEqual(limits.reports(issues), {})
 })
 
-test('the start of a limit is the first answer since which a limit was named without a break', t => {
+test('a limit starts with the first answer that names one, and a change of its rate does not restart it', t => {
   const clock = new ManualClock()
   const limits = new Limits(clock)
   clock.advance(100)
@@ -107,7 +107,7 @@
   t.is(limits.since('a'), 200)
 })
 
-test('upstreams that are no longer remembered are removed', t => {
+test('upstreams that are no longer known are removed', t => {
   const limits = new Limits(new ManualClock())
   limits.recordAnswer('a', 3)
   limits.recordAnswer('b', 3)
