--- a/experiments/variants.js
+++ b/experiments/variants.js
@@ -16,7 +16,7 @@
   'no spare in any domain': [{ file: `${forming}/targets.js`, find: 'const sparesPerDomain = 2', replace: 'const sparesPerDomain = 0' }],
   'three spares in each domain': [{ file: `${forming}/targets.js`, find: 'const sparesPerDomain = 2', replace: 'const sparesPerDomain = 3' }],
   'engines of others at two replicas too': [{ file: `${forming}/composition.js`, find: 'const scarceReplicas = 1', replace: 'const scarceReplicas = 2' }],
-  'engines without an entry are missing at once': [{ file: `${forming}/reconciler.js`, find: 'keep: options.keepUnlisted', replace: 'keep: 0' }],
+  'engines without an entry are missing at once': [{ file: `${forming}/reconciler.js`, find: 'retentionTime: options.keepUnlisted', replace: 'retentionTime: 0' }],
   'engines of others never': [{ file: `${forming}/composition.js`, find: 'const scarceReplicas = 1', replace: 'const scarceReplicas = -1' }],
   'no second model on serving engines': [{ file: `${forming}/staging.js`, find: 'return [...onSpares, ...stagingOnServing(pool, models[0])]', replace: 'return onSpares' }],
   'all loads for whatever comes first': [{ file: `${forming}/permits.js`, find: 'const repairShare = 0.5', replace: 'const repairShare = 0' }]
--- a/packages/detect/src/agreement.ts
+++ b/packages/detect/src/agreement.ts
@@ -4,8 +4,8 @@
  * gateways with streams there suspect it, it has stalled. Pure; the views of other gateways come from their heartbeats.
  *
  * The load that showed it: 35 gateways in front of 50 heads of 20 requests each. Within 22 s the gateways raised 1,970
- * suspicions of 69 heads, of which some 20 had died. 1,393 of 5,713 logged requests were moved, and the planning
- * gateway probed and closed working replicas.
+ * suspicions of 69 heads; only about 20 of these heads had died. 1,393 of 5,713 logged requests were moved, and the
+ * planning gateway probed and closed working replicas.
  */
 
 /** One gateway's view of the upstreams: the part of its heartbeat that stall detection reads. */
--- a/packages/detect/src/inflight.ts
+++ b/packages/detect/src/inflight.ts
@@ -174,8 +174,8 @@
 
   /**
    * Upstreams from which nothing was received for longer than `limit(upstream)` ms. The silence counts from the last
-   * received byte, or from the sending of the oldest request in flight that is read if that is later: an idle upstream
-   * has nothing to send.
+   * received byte or, if that is later, from the sending of the oldest request in flight: before, the upstream was idle
+   * and had nothing to send. Requests whose reading is paused do not count.
    */
   silentUpstreams (limit: (upstream: string) => number): string[] {
     const now = this.#clock.now()
--- a/packages/detect/src/liveness.ts
+++ b/packages/detect/src/liveness.ts
@@ -1,10 +1,12 @@
 /**
- * Decides which engines are unreachable and which heads are dead. An unreachable engine is only not used. The members
- * of a dead head are free for other replicas, so a head must not be declared dead while it may still serve. The README
- * draws the states of an engine and the transitions between them.
+ * Decides which engines are unreachable and which heads are dead. An unreachable engine is left unused until it answers
+ * again. The members of a dead head are free for other replicas, so a head must not be declared dead while it may still
+ * serve. The README draws the states of an engine and the transitions between them.
  *
- * Owns what is known of each engine in doubt, in memory only: all of it is found out again after a restart. Relies on
- * `Probes`, on the suspicions of all gateways, and on the reconciler to report the answers to its orders to close.
+ * An engine is in doubt if the head of its replica is suspected, if it missed its last probe, or if its entry is
+ * missing. Owns what is known of each engine in doubt, in memory only: all of it is found out again after a restart.
+ * Relies on `Probes`, on the suspicions of all gateways, and on the reconciler to report the answers to its orders to
+ * close.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Roster } from '@eiderwind/roster'
@@ -20,12 +22,12 @@
   readonly clock: Clock
   readonly roster: Roster
   readonly probes: Probes
-  /** Ids of the heads that any gateway suspects. */
+  /** Ids of the heads that a majority of the concerned gateways suspects (`agreement.ts`). */
   readonly suspects: () => ReadonlySet<string>
   /** Time between two heartbeats of an upstream. */
   readonly heartbeatInterval: number
-  /** Whether an engine is kept although it is not listed. `Unlisted` probes such an engine. */
-  readonly isKept: (id: string) => boolean
+  /** Whether an engine is retained although it is not listed. `Unlisted` probes such an engine. */
+  readonly isRetained: (id: string) => boolean
   /** When this process last resumed after a pause of its own, on `Clock.now`. */
   readonly resumedAt: () => number
   /** Called when a probe or a reading has ended and may have changed what is known of an engine. */
@@ -67,7 +69,7 @@
   readonly count: number | undefined
   /** When the count was first read with this value, on `Clock.now`. Infinity before the first answer. */
   readonly since: number
-  /** When the count was last requested. */
+  /** When the count was last requested, on `Clock.now`. */
   readonly requestedAt: number
 }
 
@@ -111,20 +113,20 @@
   }
 
   /** Records whether a head answered an order to close. */
-  closeAnswered (head: string, answered: boolean): void {
+  recordCloseAnswer (head: string, answered: boolean): void {
     this.#unanswered.set(head, answered ? 0 : (this.#unanswered.get(head) ?? 0) + 1)
   }
 
   /**
-   * Records that a head has left its replica, or that nothing listens at its address any more. If it is not listed
-   * either, it is dead.
+   * Records that a head has left its replica, or that nothing listens at its address any more. A head that is also not
+   * listed is dead then.
    */
-  left (head: string): void {
+  recordLeft (head: string): void {
     if (this.#options.roster.find(head) === undefined) this.#deadUnlisted.add(head)
   }
 
   /** Records that an unlisted engine left `missed` consecutive probes unanswered. */
-  foundSilent (id: string, missed: number): void {
+  recordSilence (id: string, missed: number): void {
     if (missed > 0) this.#missed.set(id, missed)
     if (missed >= missedProbesLimit) this.#unreachable.add(id)
   }
@@ -145,12 +147,12 @@
    * that are unreachable or whose entries have lapsed.
    */
   #probeDoubtful (replicas: readonly ReplicaNodes[], suspects: ReadonlySet<string>): void {
-    const { roster, isKept } = this.#options
-    const isAbsent = (id: string): boolean => roster.find(id) === undefined && !isKept(id)
+    const { roster, isRetained } = this.#options
+    const isAbsent = (id: string): boolean => roster.find(id) === undefined && !isRetained(id)
     for (const { members } of replicas) {
       const stalled = suspects.has(members[0].id)
       const doubtful = stalled || members.some(({ id }) => this.#unreachable.has(id) || this.#missed.has(id) || isAbsent(id))
-      if (doubtful) for (const each of members) if (stalled || !isKept(each.id)) this.#probe(each, stalled)
+      if (doubtful) for (const each of members) if (stalled || !isRetained(each.id)) this.#probe(each, stalled)
     }
     for (const id of [...this.#unreachable, ...roster.lapsed]) {
       const address = roster.find(id)?.address
@@ -202,8 +204,8 @@
     const known = this.#heartbeats.get(head)
     const requestedAt = clock.now()
     if (known !== undefined && requestedAt - known.requestedAt < stoppedIntervals * this.#options.heartbeatInterval / readingsPerTimeout) return
-    // A head that answers probes and orders is read only once, in case it falls silent later. Its replica is closed
-    // meanwhile.
+    // The count of a head that answers probes and orders is read only once, as a first reading in case the head falls
+    // silent later. Its replica is closed meanwhile.
     if (known !== undefined && !this.#unreachable.has(head) && (this.#unanswered.get(head) ?? 0) === 0) return
     this.#heartbeats.set(head, { count: known?.count, since: known?.since ?? Infinity, requestedAt })
     probes.heartbeatOf(head).then(count => {
--- a/packages/detect/src/rests.ts
+++ b/packages/detect/src/rests.ts
@@ -36,7 +36,7 @@
 
 /**
  * The rests of upstreams, by upstream id. They are timed by the monotonic clock, which stands still while the machine
- * is suspended and is unaffected by steps of the time of day. A rest can therefore last longer here than requested, but
+ * is suspended and is unaffected by steps of the wall clock. A rest can therefore last longer here than requested, but
  * never shorter.
  */
 export class Rests {
@@ -48,9 +48,9 @@
   }
 
   /**
-   * Records that an upstream asks for a rest of `time` ms from now. Of several rests the one that ends last holds, in
-   * whatever order they arrive. Returns whether a requested rest begins: another request within a requested rest, as
-   * from requests that were on their way, gives little new information.
+   * Records that an upstream asks for a rest of `time` ms from now. If rests overlap, the one that ends last holds, in
+   * whatever order they arrive. Returns whether a requested rest begins. If the upstream asks again within a requested
+   * rest, as in answers to requests that were on their way, that gives little new information and begins none.
    */
   recordRequest (id: string, time: number): boolean {
     const isNew = time > 0 && this.of(id)?.requested !== true
@@ -79,7 +79,7 @@
     return this.#rests.size
   }
 
-  /** The rest of an upstream. Undefined if it has ended, also while its timer has not fired yet. */
+  /** The rest of an upstream. Undefined once it has ended, even if its timer has not fired yet. */
   of (id: string): Rest | undefined {
     const rest = this.#rests.get(id)
     return rest !== undefined && rest.end > this.#options.clock.now() ? rest : undefined
--- a/packages/detect/src/strain.ts
+++ b/packages/detect/src/strain.ts
@@ -2,8 +2,8 @@
  * Decides whether a gateway that runs short of processor, memory or descriptors is "away": the balancer sends new
  * callers to other gateways for a while. Pure; the caller passes the time and the usage.
  *
- * The load behind it: gateways of different sizes get callers at random, and one gets more than it can serve while
- * others have room. The gateway acts before events are forwarded late.
+ * Callers reach gateways of different sizes at random, so one gateway may get more than it can serve while others have
+ * room. It goes away before it forwards events late.
  */
 
 /** What a gateway uses of each resource. */
@@ -20,11 +20,13 @@
 export type Resource = keyof Usage
 
 /**
- * Usage from which on a resource is short, and up to which there is enough again. The bounds are so far apart that only
- * fewer callers make the difference.
+ * The bounds of the usage of one resource, in the unit of the resource. They are so far apart that usage falls from one
+ * to the other only because callers were sent elsewhere.
  */
 export interface StrainBounds {
+  /** At this usage or above, the resource is short. */
   readonly short: number
+  /** At this usage or below, there is enough of it again. */
   readonly enough: number
 }
 
@@ -62,7 +64,7 @@
   /**
    * Takes a sample, one each second.
    * @param others the other gateways: how many are live, and how many of them are away
-   * @param now in ms
+   * @param now the time of the sample, in ms
    */
   sample (usage: Usage, others: { readonly live: number, readonly away: number }, now: number): void {
     for (const each of resources) this.#shortSamples[each] = usage[each] >= this.#bounds[each].short ? this.#shortSamples[each] + 1 : 0
--- a/packages/detect/src/unlisted.ts
+++ b/packages/detect/src/unlisted.ts
@@ -1,11 +1,12 @@
 /**
- * Unlisted engines: engines that the list no longer names although they still run. Their entries lapsed because they
- * could not write to the store, or were removed before an end that they did not announce. Owns the last report of each
- * such engine and the rule for how long the engine is kept. Relies on `Roster` for departures, on `Probes` for reports,
- * and on the reconciler to call `check` at each of its passes.
+ * Retains unlisted engines: engines that the list no longer names although they still run. Their entries lapsed because
+ * they could not write to the store, or were removed because the engines are ending without having announced it. A
+ * retained engine counts as a member of its replica as if it were listed. Owns the last report of each such engine and
+ * the rule for how long it is retained. Relies on `Roster` for departures, on `Probes` for reports, and on the
+ * reconciler to call `check` at each of its passes.
  *
- * The load behind it: many engines lose the store at once and continue to work. Dissolving their replicas would leave
- * callers only part of the capacity.
+ * Many engines may lose the store at once and continue to work. Dissolving their replicas would leave callers only part
+ * of the capacity.
  */
 import { isDeepStrictEqual } from 'node:util'
 import { type Clock } from '@eiderwind/clock'
@@ -17,24 +18,28 @@
   readonly clock: Clock
   readonly roster: Roster
   readonly probes: Probes
-  /** How long an engine that answers is kept after its entry was removed. With 0 none is kept. */
-  readonly keep: number
+  /** How long an engine that answers is retained after its entry was removed. With 0 none is retained. */
+  readonly retentionTime: number
   /** When this process last resumed after a pause of its own, on `Clock.now`. */
   readonly resumedAt: () => number
   /** Whether an engine was found unreachable. */
   readonly isUnreachable: (id: string) => boolean
-  /** Called with an engine that is no longer kept because it left `missed` consecutive probes unanswered. */
+  /** Called with an engine that is no longer retained because it left `missed` consecutive probes unanswered. */
   readonly silent: (id: string, missed: number) => void
   /** Called after a report or a missed probe has changed what is known of an engine. */
   readonly changed: () => void
-  /** Called when an engine begins to be kept, and when it is no longer kept, with the cause. */
-  readonly kept: (upstream: Upstream) => void
+  /** Called when an engine begins to be retained, and when it is no longer retained, with the cause. */
+  readonly retained: (upstream: Upstream) => void
   readonly ended: (upstream: Upstream, how: UnlistedEnd) => void
   /** Called with an error that nothing else handles. */
   readonly failed: (error: unknown) => void
 }
 
-/** Why an engine is no longer kept. */
+/**
+ * Why an engine is no longer retained. `listed`: it is listed again. `silent`: it left its probes unanswered, or its
+ * address is listed for another upstream. `leaving`: several answers in a row hinted at its end. `expired`: it was
+ * retained for `retentionTime`, its end became certain, or the roster no longer knows it.
+ */
 export type UnlistedEnd = 'listed' | 'silent' | 'leaving' | 'expired'
 
 /**
@@ -63,7 +68,7 @@
  */
 const maxReportAge = 1000
 
-/** An engine that is not listed, and is kept or expired. */
+/** An engine that is not listed, and is retained or expired. */
 interface UnlistedEngine {
   /** Its last record, updated from its reports. */
   upstream: Upstream
@@ -71,7 +76,7 @@
   readonly at: number
   probedAt: number
   isExpired: boolean
-  /** Whether it has answered since then, and how many consecutive probes it has missed. */
+  /** Whether it has answered since its entry was removed, and how many consecutive probes it has missed. */
   hasAnswered: boolean
   missed: number
   /** Consecutive answers that hinted at its end. */
@@ -80,36 +85,36 @@
   left: { readonly replica: string, readonly at: number } | undefined
 }
 
-/** The engines that are kept although they are not listed. */
+/** The engines that are retained although they are not listed. */
 export class Unlisted {
   readonly #options: UnlistedOptions
   readonly #engines = new Map<string, UnlistedEngine>()
-  /** When the entries of the engines that are no longer kept were removed, on `Clock.now`, by engine id. */
+  /** When the entries of the engines that are no longer retained were removed, on `Clock.now`, by engine id. */
   readonly #endedDepartures = new Map<string, number>()
 
   constructor (options: UnlistedOptions) {
     this.#options = options
   }
 
-  /** The engines that are kept or expired, as last reported, in the order in which their entries were removed. */
+  /** The engines that are retained or expired, as last reported, in the order in which their entries were removed. */
   get engines (): Upstream[] {
     return [...this.#engines.values()].map(each => each.upstream)
   }
 
-  /** Ids of the engines that are kept or expired. */
+  /** Ids of the engines that are retained or expired. */
   get ids (): ReadonlySet<string> {
     return new Set(this.#engines.keys())
   }
 
   /**
-   * Ids of the engines that are no longer kept and still answer. They do not count as capacity. One that leads an open
-   * replica must still be dealt with, since its members are not free.
+   * Ids of the engines that are no longer retained and still answer. They do not count as available. One that leads an
+   * open replica must still be dealt with, since its members are not free.
    */
   get expired (): string[] {
     return [...this.#engines.values()].filter(each => each.isExpired).map(each => each.upstream.id)
   }
 
-  /** Ids of the engines that are kept and have not answered since their entries were removed. */
+  /** Ids of the engines that are retained and have not answered since their entries were removed. */
   get unresponsive (): string[] {
     return [...this.#engines.values()].filter(each => !each.hasAnswered).map(each => each.upstream.id)
   }
@@ -119,17 +124,18 @@
   }
 
   /**
-   * Adds engines whose entries were removed, probes the engines that are kept, and drops those that are no longer kept.
+   * Adds engines whose entries were removed, probes the engines that are retained, and drops those that are no
+   * longer retained.
    */
   check (): void {
-    if (this.#options.keep === 0) return
+    if (this.#options.retentionTime === 0) return
     this.#drop()
     for (const departure of this.#options.roster.gone) this.#retain(departure)
     for (const each of this.#engines.values()) this.#probe(each)
   }
 
   /** Records that an engine has left a replica. */
-  left (id: string, replica: string): void {
+  recordLeft (id: string, replica: string): void {
     const engine = this.#engines.get(id)
     if (engine === undefined) return
     engine.left = { replica, at: this.#options.clock.now() }
@@ -137,24 +143,24 @@
   }
 
   #retain ({ upstream, at }: Departure): void {
-    const { clock, keep, roster, isUnreachable, kept } = this.#options
+    const { clock, retentionTime, roster, isUnreachable, retained } = this.#options
     const { id } = upstream
     if (this.#engines.has(id) || this.#endedDepartures.get(id) === at) return
-    if (upstream.domain === undefined || upstream.leaving || clock.now() - at >= keep || isUnreachable(id) || roster.hasEnded(id)) return
+    if (upstream.domain === undefined || upstream.leaving || clock.now() - at >= retentionTime || isUnreachable(id) || roster.hasEnded(id)) return
     this.#engines.set(id, { upstream, at, probedAt: -Infinity, isExpired: false, hasAnswered: false, missed: 0, hints: 0, left: undefined })
-    kept(upstream)
+    retained(upstream)
   }
 
   #drop (): void {
-    const { clock, keep, roster, isUnreachable } = this.#options
+    const { clock, retentionTime, roster, isUnreachable } = this.#options
     const listed = this.#engines.size === 0 ? new Set() : new Set(roster.upstreams.map(each => each.address))
     for (const engine of [...this.#engines.values()]) {
       const { id, address } = engine.upstream
       if (roster.find(id) !== undefined) this.#end(engine, 'listed')
-      // Its address has been given to another upstream, whose answers would be taken for its own.
+      // If its address is listed for another upstream, answers from there would be taken for its own.
       else if (isUnreachable(id) || listed.has(address)) this.#end(engine, 'silent')
       else if (roster.hasEnded(id) || !roster.isKnown(id)) this.#end(engine, 'expired')
-      else if (!engine.isExpired && clock.now() - engine.at >= keep) this.#expire(engine)
+      else if (!engine.isExpired && clock.now() - engine.at >= retentionTime) this.#expire(engine)
     }
     for (const id of [...this.#endedDepartures.keys()]) if (!roster.isKnown(id)) this.#endedDepartures.delete(id)
   }
--- a/packages/detect/test/rests.test.ts
+++ b/packages/detect/test/rests.test.ts
@@ -90,7 +90,7 @@
   t.is(rests.left('b'), 3_600_000)
 })
 
-test('neither a suspension of the machine nor a step of the time of day ends a rest early', t => {
+test('neither a suspension of the machine nor a step of the wall clock ends a rest early', t => {
   const clock = new ManualClock()
   const { rests } = recordedRests(clock)
   rests.recordRequest('a', 3000)
--- a/packages/detect/test/unlisted.test.ts
+++ b/packages/detect/test/unlisted.test.ts
@@ -1,6 +1,6 @@
 /**
- * How long engines are kept after their entries were removed, depending on their answers, missed probes and hints at an
- * end.
+ * How long engines are retained after their entries were removed, depending on their answers, missed probes and hints
+ * at an end.
  */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
@@ -40,18 +40,18 @@
   resumedAt = -Infinity
   readonly unlisted: Unlisted
 
-  constructor (keep = 8000) {
+  constructor (retentionTime = 8000) {
     const { clock, roster, probes } = this
     this.unlisted = new Unlisted({
       clock,
       roster,
       probes,
-      keep,
+      retentionTime,
       resumedAt: () => this.resumedAt,
       isUnreachable: id => this.unreachable.has(id),
       silent: (id, missed) => this.silent.push(`${id} ${missed}`),
       changed: () => {},
-      kept: () => {},
+      retained: () => {},
       ended: (_engine, how) => this.ends.push(how),
       failed: error => { throw error }
     })
@@ -59,7 +59,7 @@
   }
 
   /** Lets time pass with a check every 100 ms. */
-  async pass (time: number): Promise<void> {
+  async advance (time: number): Promise<void> {
     for (let gone = 0; gone < time; gone += 100) {
       this.unlisted.check()
       await new Promise(resolve => setImmediate(resolve))
@@ -72,41 +72,41 @@
   }
 }
 
-test('an engine whose entry was removed is probed at once and kept as it reports itself; a plain upstream is not', async t => {
+test('an engine whose entry was removed is probed at once and retained as it reports itself; a plain upstream is not', async t => {
   const fixture = new Fixture()
   fixture.lapse()
   fixture.unlisted.check()
   t.is(fixture.probes.requestCount, 1)
   t.deepEqual(fixture.unlisted.unresponsive, ['a'])
   fixture.probes.response = { loaded: [], staged: ['n'], membership: undefined, leaving: false }
-  await fixture.pass(700)
+  await fixture.advance(700)
   t.deepEqual(fixture.unlisted.engines, [{ ...engine, loaded: [], staged: ['n'], membership: undefined }])
   t.deepEqual(fixture.unlisted.unresponsive, [])
 })
 
-test('with a keep time of 0 no engine is probed or kept', async t => {
+test('with a retention time of 0 no engine is probed or retained', async t => {
   const fixture = new Fixture(0)
   fixture.lapse()
-  await fixture.pass(1000)
+  await fixture.advance(1000)
   t.is(fixture.probes.requestCount, 0)
   t.deepEqual(fixture.unlisted.engines, [])
 })
 
-test('an engine that leaves two probes unanswered is silent, and is not kept again before it is listed', async t => {
+test('an engine that leaves two probes unanswered is silent, and is not retained again before it is listed', async t => {
   const fixture = new Fixture()
   fixture.lapse()
-  await fixture.pass(100)
+  await fixture.advance(100)
   fixture.probes.response = undefined
-  await fixture.pass(500)
+  await fixture.advance(500)
   t.is(fixture.probes.requestCount, 3)
   t.deepEqual([fixture.ends, fixture.silent], [['silent'], ['a 2']])
   fixture.probes.response = { loaded: [], staged: [], membership: undefined, leaving: false }
-  await fixture.pass(2000)
+  await fixture.advance(2000)
   t.deepEqual(fixture.unlisted.engines, [])
   fixture.roster.apply([{ upstream: engine }])
-  await fixture.pass(100)
+  await fixture.advance(100)
   fixture.lapse()
-  await fixture.pass(100)
+  await fixture.advance(100)
   t.true(fixture.unlisted.has('a'))
 })
 
@@ -114,7 +114,7 @@
   const fixture = new Fixture()
   fixture.probes.response = undefined
   fixture.lapse()
-  await fixture.pass(100)
+  await fixture.advance(100)
   t.deepEqual([fixture.probes.requestCount, fixture.ends, fixture.silent], [1, ['silent'], ['a 1']])
 })
 
@@ -123,24 +123,24 @@
   fixture.lapse()
   fixture.probes.response = undefined
   fixture.resumedAt = Infinity
-  await fixture.pass(2000)
+  await fixture.advance(2000)
   t.true(fixture.unlisted.has('a'))
 })
 
-test('an engine that is unreachable, was leaving or has begun a later incarnation is not kept', async t => {
+test('an engine that is unreachable, was leaving or has begun a later incarnation is not retained', async t => {
   const unreachable = new Fixture()
   unreachable.unreachable.add('a')
   unreachable.lapse()
-  await unreachable.pass(100)
+  await unreachable.advance(100)
   t.false(unreachable.unlisted.has('a'))
   const leaving = new Fixture()
   leaving.roster.apply([{ upstream: { ...engine, leaving: true } }])
   leaving.lapse()
-  await leaving.pass(100)
+  await leaving.advance(100)
   t.false(leaving.unlisted.has('a'))
   const later = new Fixture()
   later.roster.apply([{ upstream: { ...engine, id: 'a@2', name: 'a', born: 2 } }])
-  await later.pass(100)
+  await later.advance(100)
   t.deepEqual(later.unlisted.engines, [])
 })
 
@@ -150,56 +150,56 @@
   fixture.lapse()
   for (let times = 0; times < 3; times++) {
     fixture.probes.response = { ...stays, leaving: true }
-    await fixture.pass(300)
+    await fixture.advance(300)
     fixture.probes.response = stays
-    await fixture.pass(300)
+    await fixture.advance(300)
   }
   t.deepEqual(fixture.ends, [])
   fixture.probes.response = { ...stays, leaving: true }
-  await fixture.pass(600)
+  await fixture.advance(600)
   t.deepEqual(fixture.ends, ['leaving'])
 })
 
-test('an engine that answers for longer than it is kept is reported as expired until it is listed again', async t => {
+test('an engine that still answers after the retention time is reported as expired until it is listed again', async t => {
   const fixture = new Fixture()
   fixture.lapse()
-  await fixture.pass(8100)
+  await fixture.advance(8100)
   t.deepEqual([fixture.ends, fixture.unlisted.expired], [['expired'], ['a']])
   t.is(fixture.unlisted.engines.length, 1)
   fixture.roster.apply([{ upstream: engine }])
-  await fixture.pass(100)
+  await fixture.advance(100)
   t.deepEqual([fixture.ends, fixture.unlisted.engines], [['expired'], []])
 })
 
-test('an engine that left its replica by an order and reports no weights keeps those that it had in use', async t => {
+test('an engine that left its replica by an order and reports no weights retains those that it had in use', async t => {
   const fixture = new Fixture()
   fixture.lapse()
-  await fixture.pass(100)
-  fixture.unlisted.left('a', 's.d.1')
+  await fixture.advance(100)
+  fixture.unlisted.recordLeft('a', 's.d.1')
   fixture.probes.response = { loaded: [], staged: ['n'], membership: undefined, leaving: false }
-  await fixture.pass(1000)
+  await fixture.advance(1000)
   t.deepEqual(fixture.unlisted.engines.map(({ loaded, staged, membership }) => ({ loaded, staged, membership })), [{ loaded: ['m'], staged: ['n'], membership: undefined }])
 })
 
 test('a report that names a replica which the engine has just left is outdated; a second later it means that the engine has joined again', async t => {
   const fixture = new Fixture()
   fixture.lapse()
-  await fixture.pass(100)
-  fixture.unlisted.left('a', 's.d.1')
+  await fixture.advance(100)
+  fixture.unlisted.recordLeft('a', 's.d.1')
   t.is(fixture.unlisted.engines[0].membership, undefined)
-  await fixture.pass(700)
+  await fixture.advance(700)
   t.is(fixture.unlisted.engines[0].membership, undefined)
-  await fixture.pass(900)
+  await fixture.advance(900)
   t.is(fixture.unlisted.engines[0].membership?.replica, 's.d.1')
 })
 
-test('an engine whose address is listed for another one is no longer kept, whatever answers there', async t => {
+test('an engine whose address is listed for another one is no longer retained, whatever answers there', async t => {
   const fixture = new Fixture()
   fixture.lapse()
-  await fixture.pass(500)
+  await fixture.advance(500)
   t.deepEqual([...fixture.unlisted.ids], ['a'])
   fixture.roster.apply([{ upstream: { ...engine, id: 'b' } }])
-  await fixture.pass(200)
+  await fixture.advance(200)
   t.deepEqual([...fixture.unlisted.ids], [])
   t.deepEqual(fixture.ends, ['silent'])
 })
--- a/packages/forming/src/activity.ts
+++ b/packages/forming/src/activity.ts
@@ -1,8 +1,8 @@
 /**
  * Tracks which domains need to be planned now. Planning a fleet of 20 domains costs about 6 ms of a core, most of it in
  * domains without any change. When changes of single engines arrive 20 times a second, a planner would spend its time
- * on these domains. Owns the changes in each domain since it was last planned. Pure bookkeeping: planning a domain
- * without need only costs time.
+ * on these domains. Owns the changes in each domain since it was last planned. No decision depends on it: planning a
+ * domain without need only costs time.
  */
 import { type Clock } from '@eiderwind/clock'
 
--- a/packages/forming/src/composition.ts
+++ b/packages/forming/src/composition.ts
@@ -44,7 +44,8 @@
 /**
  * Serving replicas of other models that give up their engines, as few as possible, so that `model` is served without a
  * load from the weight store. Only a scarce model receives engines, from models that are not scarce and have a lower
- * need. A domain makes only one such exchange at a time. Empty if the exchange is not allowed or would not suffice.
+ * need. A domain makes only one such exchange at a time. If these replicas would not suffice, returns those that
+ * `surplusFor` finds. Empty if the exchange is not allowed.
  */
 export function donorsFor (model: Model, pool: Pool): PlannedReplica[] {
   const { placement, snapshot } = pool.draft
--- a/packages/forming/src/engines.ts
+++ b/packages/forming/src/engines.ts
@@ -1,4 +1,4 @@
-/** What a single engine holds and can do, according to its record in the roster. Pure; relies on nothing else. */
+/** Reads from an engine's record which weights it holds, whether it is available and how soon it can serve. Pure. */
 import { type Upstream } from '@eiderwind/roster'
 
 /**
--- a/packages/forming/src/facts.ts
+++ b/packages/forming/src/facts.ts
@@ -36,7 +36,10 @@
    * breaks ties between engines.
    */
   readonly upstreams: readonly Upstream[]
-  /** Ids of engines that did not answer their last probe, listed or not. */
+  /**
+   * Ids of engines, listed or not, that count as unreachable: they left their last probes unanswered, or are no longer
+   * retained.
+   */
   readonly unreachable: ReadonlySet<string>
   /**
    * Ids of engines that are retained although they are not listed. They may be members of a replica but cannot be its
@@ -44,8 +47,8 @@
    */
   readonly unlisted: ReadonlySet<string>
   /**
-   * Ids of engines whose entries are missing, so that they may have ended. They stay in their replica and are put into
-   * no new one.
+   * Ids of engines that may have ended: their entries lapsed in an outage of the store, or they have not answered since
+   * their entries were removed. They stay in their replica and are put into no new one.
    */
   readonly lapsed: ReadonlySet<string>
   /** Ids of engines in evacuated data centres. They stay in their replica and are put into no new one. */
--- a/packages/forming/src/fleet.ts
+++ b/packages/forming/src/fleet.ts
@@ -57,10 +57,10 @@
 }
 
 /**
- * Detects domains that were dark and whose engines are still appearing. Their targets must not rise yet: targets for
- * the first few engines would be replicas of the smaller models, and they persist, so the engines of a large replica
- * would stay idle. A domain with room for any replica does not wait for single new engines, because each would keep the
- * others idle for a while.
+ * Detects domains whose engines are still appearing after a dark time. A domain is dark while it has fewer engines than
+ * a replica of the largest model needs. Its targets must not rise yet: targets for the first few engines would be
+ * replicas of the smaller models, and targets persist, so the engines for a large replica would stay idle. A domain
+ * that is not dark does not wait for single new engines, because each would keep the others idle for a while.
  */
 export class Appearances {
   readonly #clock: Clock
@@ -73,7 +73,7 @@
   /**
    * Whether engines are still appearing in a domain that was dark. A domain that is seen for the first time counts as
    * complete.
-   * @param maxReplicaSize engines in a replica of the largest model. A domain that had as many was not dark
+   * @param maxReplicaSize engines in a replica of the largest model
    */
   isUnderWay ({ key, upstreams }: Pick<Domain, 'key' | 'upstreams'>, maxReplicaSize: number): boolean {
     const now = this.#clock.now()
--- a/packages/forming/src/history.ts
+++ b/packages/forming/src/history.ts
@@ -36,13 +36,13 @@
    * and replica.
    */
   readonly #mayServeUntil = new Map<string, number>()
-  /** When heads have left a replica, by node and replica. They never open it. */
+  /** When heads have left a replica, by node and replica. No earlier order can make them open it. */
   readonly #left = new Map<string, number>()
   /**
    * When heads were ordered to leave a replica, by node and replica. A later order to join or open the replica removes
    * the entry.
    */
-  readonly #leaving = new Map<string, number>()
+  readonly #leaveOrderedAt = new Map<string, number>()
 
   constructor (clock: Clock) {
     this.#clock = clock
@@ -61,9 +61,9 @@
    */
   recordSent (order: Order): void {
     const key = headKey(order.node, order.replica)
-    if (order.kind === 'leave') this.#leaving.set(key, this.#clock.now())
+    if (order.kind === 'leave') this.#leaveOrderedAt.set(key, this.#clock.now())
     if (order.kind === 'join' || order.kind === 'open') {
-      this.#leaving.delete(key)
+      this.#leaveOrderedAt.delete(key)
       this.#left.delete(key)
     }
     this.#entries.set(orderKey(order), { sentAt: this.#clock.now(), result: undefined })
@@ -79,7 +79,7 @@
     // open. It does not end the effect of an unanswered open, which may be carried out after it.
     if (order.kind === 'open' && result === 'taken') this.#mayServeUntil.set(key, this.#clock.now() + listingDelay)
     if (order.kind === 'close') this.#mayServeUntil.delete(key)
-    if (order.kind === 'leave' && this.#leaving.has(key)) this.#left.set(key, this.#clock.now())
+    if (order.kind === 'leave' && this.#leaveOrderedAt.has(key)) this.#left.set(key, this.#clock.now())
   }
 
   /** Whether an engine answered an order, with any result. */
@@ -111,8 +111,8 @@
   /**
    * Whether a head was ordered to leave a replica. The order may not have been carried out yet, or may never arrive.
    */
-  isLeaving (node: string, replica: string): boolean {
-    return this.#leaving.has(headKey(node, replica))
+  wasOrderedToLeave (node: string, replica: string): boolean {
+    return this.#leaveOrderedAt.has(headKey(node, replica))
   }
 
   /** Whether a head has left a replica, so that no earlier order can make it open the replica. */
@@ -124,7 +124,7 @@
   sweep (): void {
     const before = this.#clock.now() - entryRetention
     for (const [key, { sentAt }] of this.#entries) if (sentAt < before) this.#entries.delete(key)
-    for (const times of [this.#mayServeUntil, this.#leaving, this.#left]) {
+    for (const times of [this.#mayServeUntil, this.#leaveOrderedAt, this.#left]) {
       for (const [key, at] of times) if (at < before) times.delete(key)
     }
   }
--- a/packages/forming/src/lifecycle.ts
+++ b/packages/forming/src/lifecycle.ts
@@ -34,15 +34,17 @@
 }
 
 /**
- * Whether a replica must end although no member is missing. This is the case when its head was a member and has left,
- * on an order of this planner or of another one. A head of another process's replica that has never joined looks the
- * same. If the head joined again, it could break an assumption of another planner: a head that has left never serves
- * this replica again. A planner whose orders are delayed by lack of processor time would have it serve while its
- * engines are ordered into another replica.
+ * Whether a replica must end although no member is missing, because its head was ordered to leave it, by this planner
+ * or by another one. If another process planned the replica, its head may also never have joined; this planner cannot
+ * tell the two cases apart.
+ *
+ * The head must not join again: other planners rely on it that a head that has left never serves this replica again. A
+ * planner whose orders are delayed by lack of processor time could otherwise have it serve while its engines are
+ * ordered into another replica.
  */
 function isAbandoned (replica: PlannedReplica, snapshot: Snapshot, history: OrderHistory): boolean {
   const { id } = replica.members[0]
-  if (history.isLeaving(id, replica.name)) return true
+  if (history.wasOrderedToLeave(id, replica.name)) return true
   return !snapshot.isIn(replica, id) && !snapshot.facts.unjoined.has(replica.name)
 }
 
@@ -67,8 +69,9 @@
 }
 
 /**
- * Closes, then dissolves a replica that lacks a member or is about to. Requests in flight are completed only if all of
- * its missing members leave as announced. Otherwise these requests have stalled, so they are cut and resumed elsewhere.
+ * Closes, then dissolves a replica that lacks a member or will lack one soon. Requests in flight are completed only if
+ * all of its missing members leave as announced. Otherwise these requests have stalled, so they are cut and resumed
+ * elsewhere.
  */
 function nextForIncomplete (replica: PlannedReplica, snapshot: Snapshot, history: OrderHistory): ReplicaStep {
   const { id } = replica.members[0]
@@ -78,9 +81,9 @@
   const state = snapshot.headState(replica)
   if (state === 'open') return { orders: [closeOrder(replica, missing.every(each => snapshot.isLeaving(each)) ? 'finish' : 'cut')] }
   const close = closeOrder(replica, 'cut')
-  // A head that is not listed may continue to serve until it has left; then it counts as dead. A listed head may have
-  // opened since its last record.
+  // A head that is not listed may continue to serve until it has left. Then it counts as dead.
   if (snapshot.find(id) === undefined) return { orders: [history.hasAnswered(close) ? leaveOrder(replica) : close] }
+  // A listed head may have opened since its last record.
   if (state === 'closing' || history.mayServe(id, replica.name)) return { orders: [close] }
   return state === 'ready' ? dissolveOnceLeft(replica, dissolved, history) : { dissolved }
 }
--- a/packages/forming/src/placement.ts
+++ b/packages/forming/src/placement.ts
@@ -26,7 +26,7 @@
   readonly retiring?: boolean
 }
 
-/** The desired state of one domain. It is stored before any order that depends on it is given. */
+/** The desired state of one domain. It is stored before any order that depends on it is sent. */
 export interface Placement {
   /** The domain's key, `SERVICE.DOMAIN`. */
   readonly domain: string
--- a/packages/forming/src/reconciler.ts
+++ b/packages/forming/src/reconciler.ts
@@ -34,20 +34,23 @@
 const surveyInterval = 1000
 
 /** Dependencies of `Reconciler`. */
-export interface ReconcilerOptions extends Omit<LivenessOptions, 'changed' | 'isKept'> {
+export interface ReconcilerOptions extends Omit<LivenessOptions, 'changed' | 'isRetained'> {
   readonly orders: Orders
   readonly placements: Placements
   /** The services of the current configuration. */
   readonly services: () => readonly Service[]
   /** Whether this process is the leader of a service now. */
   readonly leads: (service: string) => boolean
-  /** Called when another process has changed a placement of a service. That process may be the leader now. */
+  /**
+   * Called when a placement of a service could not be written, or may no longer be the stored one. Another process may
+   * be the leader of the service now.
+   */
   readonly contested: (service: string) => void
   /** The share of the work that each model of a service has. */
   readonly demand: (service: string) => Demand
   /**
    * Loads that engines have begun on orders of other gateways: the model, by node. Includes the orders of gateways that
-   * stopped within the time of a load.
+   * stopped so recently that such a load may still be running.
    */
   readonly othersLoads: () => ReadonlyMap<string, string>
   /** Whether no gateway has ever served a caller. */
@@ -103,14 +106,14 @@
     this.#appearances = new Appearances(clock)
     this.#activity = new Activity(clock)
     this.#pace = new Pace({ clock, runPass: async () => await this.#runPass(), failed: options.failed })
-    this.#liveness = new Liveness({ ...options, isKept: id => this.#unlisted.has(id), changed: () => this.#livenessChanged() })
+    this.#liveness = new Liveness({ ...options, isRetained: id => this.#unlisted.has(id), changed: () => this.#livenessChanged() })
     this.#unlisted = new Unlisted({
       ...options,
-      keep: options.keepUnlisted,
+      retentionTime: options.keepUnlisted,
       isUnreachable: id => this.#liveness.unreachable.has(id),
-      silent: (id, missed) => this.#liveness.foundSilent(id, missed),
+      silent: (id, missed) => this.#liveness.recordSilence(id, missed),
       changed: () => this.#livenessChanged(),
-      kept: options.unlisted,
+      retained: options.unlisted,
       ended: options.unlistedEnded
     })
   }
@@ -168,7 +171,7 @@
   }
 
   /** Records which heads of the planned replicas have joined them. */
-  #noteJoined (domains: readonly Domain[]): void {
+  #recordJoined (domains: readonly Domain[]): void {
     if (this.#unjoined.size === 0) return
     for (const { upstreams } of domains) {
       for (const { membership } of upstreams) if (membership?.rank === 0) this.#unjoined.delete(membership.replica)
@@ -190,8 +193,8 @@
   }
 
   /**
-   * Plans one step in each domain of a service that needs one. All targets are set first, from the same facts. Nothing
-   * is awaited between the steps, so that every step is planned from the same facts.
+   * Plans one step in each domain of a service that needs one. The targets of all domains are set first. Nothing is
+   * awaited between the steps, so that the targets and every step are planned from the same facts.
    */
   async #reconcile (service: Service, engine: Engine): Promise<void> {
     this.#unlisted.check()
@@ -199,7 +202,7 @@
     const domains = await this.#domains.read(service)
     const { clock } = this.#options
     const begunAt = clock.now()
-    this.#noteJoined(domains)
+    this.#recordJoined(domains)
     this.#liveness.check(domains.flatMap(each => each.placement.replicas))
     const { dead } = this.#liveness
     const unreachable = this.#unreachable
@@ -275,7 +278,10 @@
     for (const note of notes) this.#options.decided(domain, note, placement.epoch)
   }
 
-  /** Engines that do not count as available, whatever their last record shows. */
+  /**
+   * Ids of the engines that do not count as available, whatever their last record shows: those that left their last
+   * probes unanswered, and those that are no longer retained.
+   */
   get #unreachable (): ReadonlySet<string> {
     return new Set([...this.#liveness.unreachable, ...this.#unlisted.expired])
   }
@@ -310,9 +316,9 @@
     return { ...fleet, engine, placement, upstreams, unreachable, dead, unlisted: this.#unlisted.ids, lapsed, evacuated, unjoined: this.#unjoined, targets }
   }
 
-  #noteLeft ({ node, replica }: Order): void {
-    this.#liveness.left(node)
-    this.#unlisted.left(node, replica)
+  #recordLeft ({ node, replica }: Order): void {
+    this.#liveness.recordLeft(node)
+    this.#unlisted.recordLeft(node, replica)
   }
 
   /** Sends an order without waiting for its end. Another pass follows the answer. */
@@ -321,8 +327,8 @@
     const sentAt = clock.now()
     orders.send(order).then(result => {
       this.#history.recordResult(order, result)
-      if (order.kind === 'close') this.#liveness.closeAnswered(order.node, result !== 'unanswered')
-      if (result === 'closed' || (order.kind === 'leave' && result !== 'unanswered')) this.#noteLeft(order)
+      if (order.kind === 'close') this.#liveness.recordCloseAnswer(order.node, result !== 'unanswered')
+      if (result === 'closed' || (order.kind === 'leave' && result !== 'unanswered')) this.#recordLeft(order)
       ordered(order, result, clock.now() - sentAt)
       this.#activity.recordChange(domain)
       this.wake()
--- a/packages/forming/src/snapshot.ts
+++ b/packages/forming/src/snapshot.ts
@@ -4,7 +4,7 @@
 import { isStaying } from './engines.js'
 import { type PlannedReplica } from './placement.js'
 
-/** The listed engines and replicas of a domain, evaluated with the facts. */
+/** The engines and replicas of a domain, as the facts show them. The engines are listed or retained. */
 export class Snapshot {
   readonly facts: DomainFacts
   readonly #upstreams: ReadonlyMap<string, Upstream>
@@ -36,7 +36,10 @@
     return this.facts.unlisted.has(id)
   }
 
-  /** Whether an engine leaves as announced, or is evacuated, and still answers. */
+  /**
+   * Whether an engine still answers and will stop serving soon: it leaves as announced, or is evacuated while other
+   * members of its replica are not.
+   */
   isLeaving (id: string): boolean {
     const leaves = this.find(id)?.leaving === true || this.#withdrawn.has(id)
     return leaves && !this.facts.unreachable.has(id)
@@ -59,7 +62,10 @@
     return membership?.replica === replica.name && membership.epoch === replica.epoch && replica.members[membership.rank]?.id === id
   }
 
-  /** The state of a replica that its head reports. Undefined if the head is not listed or not in the replica. */
+  /**
+   * The state of a replica that its head reports. Undefined if the head is neither listed nor retained, or not in the
+   * replica.
+   */
   headState (replica: PlannedReplica): Membership['state'] | undefined {
     const { id } = replica.members[0]
     return this.isIn(replica, id) ? this.find(id)?.membership?.state : undefined
--- a/packages/forming/src/targets.ts
+++ b/packages/forming/src/targets.ts
@@ -12,8 +12,8 @@
 export type Counts = Readonly<Record<string, number>>
 
 /**
- * Replicas of a model, over all domains, that have precedence over more replicas of any other model. With three, two
- * are left when one dies; a single one cannot serve a model.
+ * Number of replicas that each model should have in all domains together, before any model gets more. With three, two
+ * are left when one dies. A single replica does not suffice for a model.
  */
 const minReplicas = 3
 
@@ -130,7 +130,7 @@
   return false
 }
 
-/** Work for each replica and engine if there were `count` replicas, plus one for each replica below `minReplicas`. */
+/** Work per engine if a model had `count` replicas, plus 1 for each replica by which `count` is below `minReplicas`. */
 function needOf (model: Model, count: number, demand: Demand): number {
   return workOf(model, demand) / Math.max(count, replicasIfNone) / model.size + Math.max(0, minReplicas - count)
 }
--- a/packages/forming/test/domains.test.ts
+++ b/packages/forming/test/domains.test.ts
@@ -22,10 +22,10 @@
 
 /** Placements in a store that can be unavailable. */
 class UnavailablePlacements extends MemoryPlacements {
-  away = true
+  isUnavailable = true
 
   override async read (domain: string): Promise<Result<{ readonly placement: Placement, readonly version: number }, string>> {
-    return this.away ? Err('no answer') : await super.read(domain)
+    return this.isUnavailable ? Err('no answer') : await super.read(domain)
   }
 }
 
@@ -37,10 +37,10 @@
   t.deepEqual(await domains.read(service), [])
   t.deepEqual(await domains.read(service), [])
   t.deepEqual(reported, ['The placement of chat.d0 can\'t be read, so its domain is not planned: no answer'])
-  placements.away = false
+  placements.isUnavailable = false
   t.deepEqual((await domains.read(service))?.map(each => each.key), ['chat.d0'])
   domains.forget(service.name)
-  placements.away = true
+  placements.isUnavailable = true
   t.deepEqual(await domains.read(service), [])
   t.is(reported.length, 2)
 })
