--- a/packages/peers/src/datagrams.ts
+++ b/packages/peers/src/datagrams.ts
@@ -10,7 +10,7 @@
 
 /** Sends and receives datagrams at one address. */
 export abstract class Datagrams {
-  /** Rejects where the address cannot be bound. */
+  /** Rejects if the address cannot be bound. */
   abstract start (receive: Receiver): Promise<void>
   /** @param address `host:port` */
   abstract send (message: string, address: string): void
@@ -35,7 +35,8 @@
       socket.once('error', reject)
       socket.bind(port, host, resolve)
     })
-    // A lost datagram needs no handling: the next one follows soon, and liveness is decided by silence.
+    // Errors are ignored. A lost datagram needs no handling: the next one follows soon, and liveness is decided by
+    // silence.
     socket.on('error', () => {})
     socket.on('message', (message, { address, port }) => receive(message, `${address}:${port}`))
     this.#socket = socket
--- a/packages/peers/src/peers.ts
+++ b/packages/peers/src/peers.ts
@@ -3,11 +3,11 @@
  * heartbeat of each peer and the list of addresses. It relies on the caller for that list, which comes from the store,
  * and for the fields of the heartbeat. Heartbeats only steer choices: no decision that must be safe depends on them.
  *
- * Each gateway sends to all others, so that all have the same view except for short differences. The gateway that
- * watches the store is ranked over this view. In large fleets each gateway sends less often, so that the number of
- * heartbeats sent and received per second stays bounded. It also sends its interval, and the silence after which it
- * counts as gone grows by the same factor. The few gateways whose loss must be detected soon send at the full rate in
- * fleets of any size.
+ * Each gateway sends to all others, so that all have the same view except for short differences. The gateways in this
+ * view are ranked to choose the one that watches the store. In large fleets each gateway sends less often, so that the
+ * number of heartbeats sent and received per second stays bounded. It also sends its interval, and the silence after
+ * which it counts as gone grows by the same factor as its interval. The few gateways whose loss must be detected soon
+ * send at the full rate in fleets of any size.
  *
  * A gateway need not wait for regular heartbeats to learn which peers are live. When it finds unknown peers in the
  * list, it requests a reply from them, and they answer at once. A gateway that restarts while the store is unreachable
@@ -58,9 +58,9 @@
 const maxSendRate = 160
 
 /**
- * How long heartbeats are sent to a peer that is not listed after its last heartbeat, in time-outs: the list may have
- * been read before the peer was entered. A gateway that never got a list sends without this limit, since a peer that is
- * just restarting may receive from no other gateway.
+ * How long after its last heartbeat an unlisted peer is still sent heartbeats, as a multiple of `timeout`. The list may
+ * have been read before the peer was entered. A gateway that never got a list sends without this limit, since a peer
+ * that is just restarting may receive from no other gateway.
  */
 const unlistedRetention = 20
 
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Silence after which the sender of a heartbeat no longer counts as live, in ms: as many of its own intervals as
-   * `timeout` has of `interval`.
+   * Silence after which the sender of a heartbeat no longer counts as live, in ms. It grows in proportion to the
+   * interval that the sender announced: `timeout` for the configured `interval`, twice that for twice the interval.
    */
   #timeoutOf ({ interval = this.interval }: Heartbeat): number {
     return interval * this.#options.timeout / this.#options.interval
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Time in which a gateway that has begun to receive gets a heartbeat of every other one, in ms. Peers that it
-   * requests a reply from answer at once, and peers that must not be missed send at the full rate.
+   * Time within which a gateway that starts receives a heartbeat from every other one, in ms. Peers answer its request
+   * for a reply at once, and peers that must not be missed send at the full rate.
    */
   get settleTime (): number {
     return this.#options.timeout
@@ -223,16 +223,16 @@
 
   /**
    * Sends a message that is not a heartbeat. It may be lost.
-   * @param to the id of a gateway that is live, or the `host:port` from which one of its messages came
+   * @param to the id of a gateway from which a heartbeat was received, or the `host:port` from which a message came
    */
   post (to: string, message: string): void {
     this.#datagrams.send(message, this.#received.get(to)?.address ?? to)
   }
 
   /**
-   * Stores a heartbeat as its sender's newest. Any process may send to the port, so a datagram that does not fit the
-   * schema is passed on, and dropped without a log line if no other receiver can read it. A sender whose heartbeats
-   * never fit counts as not live, as if it sent none.
+   * Stores a heartbeat as its sender's newest. A datagram that does not fit the schema is passed to `receivedOther`. If
+   * it can't be read there either, it is dropped without a log line, since any process may send to the port. A sender
+   * whose heartbeats never fit counts as not live, as if it sent none.
    */
   #receive (message: Buffer, address: string): void {
     const heartbeat = decode(message)
--- a/packages/peers/test/peers.test.ts
+++ b/packages/peers/test/peers.test.ts
@@ -168,7 +168,7 @@
     const clock = new ManualClock()
     const peers = await startedPeers(t, clock)
     const other = await peer(t, 'other')
-    // No process listens at the other addresses: their port is that of the discard protocol.
+    // No process listens at the other addresses: they use the port of the discard protocol.
     peers.setAddresses([other, ...Array.from({ length: size - 1 }, (_each, index) => ({ id: `g${index}`, address: '127.0.0.1:9' }))])
     await until(() => other.received.length === 1)
     clock.advance(intervalFactor * interval - 1)
@@ -250,7 +250,7 @@
   t.deepEqual(peers.live, [])
 })
 
-test('own datagrams and those that are no heartbeats are dropped, and only live peers that may plan are planners', async t => {
+test('a gateway drops its own heartbeats and datagrams that are no heartbeats, and only live peers that may plan are planners', async t => {
   const peers = await startedPeers(t, new ManualClock())
   const other = await peer(t, 'other')
   peers.setAddresses([other])
--- a/packages/roster/src/condition.ts
+++ b/packages/roster/src/condition.ts
@@ -5,9 +5,9 @@
 
 /** The condition of an upstream, as reported by the upstream itself. */
 export interface Condition {
-  /** Whether it is about to stop. It should then receive no new request. */
+  /** Whether it is about to stop. If so, it should receive no new requests. */
   readonly leaving: boolean
-  /** How long it asks this gateway for no requests, in ms from the answer; 0 if it does not ask for that. */
+  /** How long this gateway should send it no requests, in ms from the answer; 0 if it asks for no rest. */
   readonly rest: number
   /**
    * Requests per second that it accepts from all gateways together. The limit holds as long as the upstream reports it.
--- a/packages/roster/src/outage.ts
+++ b/packages/roster/src/outage.ts
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Records that this process follows the list again from now on, after another process did so. If the gap is long
-   * enough for an unnoticed outage, an outage may just have ended, as at a start.
+   * Records that this process follows the list again from now on, after another process followed it for a while. If the
+   * gap between the two is long enough for an unnoticed outage, an outage may just have ended, as at a start.
    * @param knownUpTo the list includes everything that happened before this time, on `Clock.bootNow`
    */
   resume (knownUpTo: number): void {
--- a/packages/roster/src/roster.ts
+++ b/packages/roster/src/roster.ts
@@ -1,7 +1,8 @@
 /**
  * The gateway's view of the upstreams that the store lists: which take new requests, which lead open replicas, and when
  * each departed. `Roster` owns this view and every rule on it. It relies on the adapter for lists and changes in their
- * order, and on `Outage` for how far a missing record can be trusted. The README describes the states of a record.
+ * order, and on `Outage` to tell whether a missing record may only have lapsed. The README describes the states of a
+ * record.
  */
 import { isDeepStrictEqual } from 'node:util'
 import { type Clock } from '@eiderwind/clock'
@@ -11,13 +12,13 @@
 
 /**
  * A change of one upstream's record: its new content, or the name of a record that is no longer listed. `certain` means
- * that its entry now holds something else, so that no outage can be the reason.
+ * that the entry of this name now holds something else. Then the record is not missing because of an outage.
  */
 export type RosterChange = { readonly upstream: Upstream } | { readonly gone: string, readonly certain?: boolean | undefined }
 
 /**
- * How the absence of a record is treated. `judged`: an outage of the store may be the reason. `certain`: the upstream
- * is gone.
+ * How the absence of a record is treated. `judged`: an outage of the store may be the reason, and `Outage` decides
+ * whether the upstream is retained for a while. `certain`: the upstream is gone.
  */
 export type Absence = 'judged' | 'certain'
 
@@ -214,7 +215,7 @@
   #update (record: Upstream): boolean {
     const present = this.#incarnations.get(listedName(record))
     if (this.#ended.has(record.id) || (present !== undefined && isEarlier(record, present))) return false
-    if (present !== undefined && present.id !== record.id) this.#endLife(present)
+    if (present !== undefined && present.id !== record.id) this.#endIncarnation(present)
     this.#lapsed.delete(record.id)
     const leaving = record.leaving || this.#departures.get(record.id)?.upstream.leaving === true
     const completed = withWeightsInUse(record, this.#upstreams.get(record.id))
@@ -243,7 +244,7 @@
   }
 
   /** Records that an incarnation has ended because a later one began. */
-  #endLife (upstream: Upstream): void {
+  #endIncarnation (upstream: Upstream): void {
     this.#forget(upstream)
     this.#ended.set(upstream.id, this.#clock.now())
     this.#pendingEnds.push(upstream)
--- a/packages/roster/src/upstream.ts
+++ b/packages/roster/src/upstream.ts
@@ -67,6 +67,6 @@
  * weights until it loads others, although its record lists none. It can serve the same model again without a load.
  */
 export function withWeightsInUse (record: Upstream, before: Upstream | undefined): Upstream {
-  const isOut = record.membership === undefined && record.loaded.length === 0
-  return isOut && before !== undefined && before.loaded.length > 0 ? { ...record, loaded: before.loaded } : record
+  const isOutsideReplica = record.membership === undefined && record.loaded.length === 0
+  return isOutsideReplica && before !== undefined && before.loaded.length > 0 ? { ...record, loaded: before.loaded } : record
 }
--- a/packages/work/src/first.ts
+++ b/packages/work/src/first.ts
@@ -1,7 +1,7 @@
 /**
- * Computes when the first event of a request can be expected at a head. Pure. The load behind it: heads with equally
- * many requests, but different amounts of prompt tokens ahead. The time is computed from the configuration alone;
- * `forecast.ts` corrects it by measured times.
+ * Computes when the first event of a request can be expected at a head. Pure. Heads with equally many requests may have
+ * different amounts of prompt tokens to read first. The time is computed from the configuration and the state of the
+ * head alone; `forecast.ts` corrects it by measured times.
  */
 import { type Engine } from '@eiderwind/traffic'
 
@@ -34,7 +34,7 @@
 }
 
 /** The parameters of an engine that the time depends on. */
-type Figures = Pick<Engine, 'slots' | 'step' | 'stepPerRequest' | 'readRate' | 'answer'>
+type EngineParameters = Pick<Engine, 'slots' | 'step' | 'stepPerRequest' | 'readRate' | 'answer'>
 
 /**
  * Expected time from sending a request to its first event, in ms. It is the sum of three parts: the wait for a free
@@ -42,7 +42,7 @@
  * @param prompt tokens of its prompt
  * @param pace the model's factor on all times
  */
-export function expectedFirstEventTime (prompt: number, { inFlight, unread }: HeadState, engine: Figures, pace: number): number {
+export function expectedFirstEventTime (prompt: number, { inFlight, unread }: HeadState, engine: EngineParameters, pace: number): number {
   const { slots, readRate } = engine
   const waiting = Math.max(0, inFlight + 1 - slots)
   const step = stepTime(engine, Math.min(slots, inFlight + 1))
@@ -51,6 +51,6 @@
 }
 
 /** Time of a step that writes one token for each of `requests` requests, in ms. */
-function stepTime ({ step, stepPerRequest }: Figures, requests: number): number {
+function stepTime ({ step, stepPerRequest }: EngineParameters, requests: number): number {
   return step + stepPerRequest * requests
 }
--- a/packages/work/src/forecast.ts
+++ b/packages/work/src/forecast.ts
@@ -1,8 +1,8 @@
 /**
  * Forecasts the time of first events and corrects the forecasts by measured times. Owns the prompts that heads have not
- * read yet. For each model of a service it also owns the lag: how much later first events usually come than the
- * configuration predicts, which does not cover what a head does beside reading and writing. Pure; the caller reports
- * measured times. Each gateway learns for itself.
+ * read yet. For each model of a service it also owns the lag: how much later first events usually come than computed
+ * from the configuration, which covers only the time in which a head reads and writes. Uses no clock; the caller
+ * reports measured times. Each gateway learns for itself.
  */
 import { type Engine } from '@eiderwind/traffic'
 import { expectedFirstEventTime, type Expectation, type HeadState, type ModelRequest } from './first.js'
--- a/packages/work/src/median.ts
+++ b/packages/work/src/median.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Upper bound of the step at the first value, and the smallest value to which that bound shrinks, in units of the
- * values.
+ * Upper bound of the step by which a value moves the estimate, in units of the values. The bound is `initialStep` at
+ * the first value, shrinks in inverse proportion to the number of values, and stays at `minStep` from then on.
  */
 const initialStep = 120
 const minStep = 2
--- a/packages/work/test/work.test.ts
+++ b/packages/work/test/work.test.ts
@@ -53,7 +53,7 @@
   }
 })
 
-test('a prompt counts as unread until the function that ends it is called, and is subtracted once', t => {
+test('a prompt counts as unread until the returned function is called, and a second call subtracts nothing', t => {
   const unread = new Unread()
   const first = unread.add('a', 1000)
   const second = unread.add('a', 500)
