--- a/packages/crashes/src/crashes.ts
+++ b/packages/crashes/src/crashes.ts
@@ -73,7 +73,7 @@
     this.#reports = new Reports(clock)
   }
 
-  /** How a request may be sent. The check is free while no upstream has crashed. */
+  /** How a request may be sent. The check costs nothing while no upstream has crashed. */
   standing (request: RequestIdentity): Standing {
     return this.#history.isEmpty ? 'trusted' : this.#history.standing(request.fingerprint)
   }
@@ -97,14 +97,14 @@
   }
 
   /** Begins a trial: records that a suspect is sent to an upstream. */
-  sent ({ fingerprint }: RequestIdentity, upstream: string): Trial {
+  beginTrial ({ fingerprint }: RequestIdentity, upstream: string): Trial {
     return this.#trials.begin(fingerprint, upstream)
   }
 
   /** Records that a request has completed. */
   served (request: RequestIdentity): void {
     if (this.#history.isEmpty || !this.#history.clear(request.fingerprint)) return
-    this.#reports.cleared(request.fingerprint)
+    this.#reports.addClearance(request.fingerprint)
   }
 
   /** Records that the connection of a request to an upstream broke. */
@@ -157,7 +157,7 @@
     if (listens && !this.#options.hasEnded(upstream)) return this.#history.withdraw(upstream)
     const crash = { upstream, at, requests }
     this.#history.confirm(crash)
-    this.#reports.crashed(crash)
+    this.#reports.addCrash(crash)
     this.#options.crashed(crash)
     this.#options.announce()
   }
--- a/packages/crashes/src/history.ts
+++ b/packages/crashes/src/history.ts
@@ -1,7 +1,7 @@
 /**
  * Records which requests were in flight at upstreams that crashed, and decides which requests are suspected or blocked.
- * This module owns the records. It relies on its callers to report crashes seen by all gateways, and completed
- * requests.
+ * This module owns the records. It relies on its callers to report the crashes that any gateway has seen, and the
+ * requests that completed.
  *
  * A crash interrupts about 20 requests, and all but one of them only ran beside its cause. So a request is not blocked
  * just because it was in flight. After two crashes a request is suspected: it then runs only where no other suspect
@@ -51,8 +51,9 @@
  * several harmful requests may meet at one upstream, and because gateways learn of each other's trials too late.
  *
  * The value comes from a model of 3, 13 and 35 gateways with ten harmful requests at once (crashes/test/harm.test.ts).
- * With 4, 22, 35 and 35 engines crash, and 2 in 10,000 to 1 in 1,000 other requests are refused. With 5 it is 29, 41
- * and 42 engines, and as many other requests. With 3 it is 13, 21 and 27 engines, and up to 1 in 10 other requests.
+ * With a threshold of 4, the numbers of crashed engines in these fleets are 22, 35 and 35, and 2 in 10,000 to 1 in
+ * 1,000 other requests are refused. With 5 the numbers are 29, 41 and 42, and the refusals are the same. With 3 the
+ * numbers are 13, 21 and 27, and up to 1 in 10 other requests are refused.
  */
 const blockThreshold = 4
 
@@ -240,7 +241,10 @@
     this.#options.blocked(request, record.crashes.map(each => each.upstream))
   }
 
-  /** Evicts records that are too old, and the oldest ones if there are too many. Blocked requests are evicted last. */
+  /**
+   * Evicts records that are too old, and the oldest ones if there are too many. Suspected and blocked requests are
+   * evicted last.
+   */
   #evict (): void {
     const before = this.#options.clock.now() - suspicionRetentionMs
     for (const [upstream, { at }] of this.#crashes) if (at < before) this.#crashes.delete(upstream)
--- a/packages/crashes/src/reports.ts
+++ b/packages/crashes/src/reports.ts
@@ -1,7 +1,7 @@
 /**
- * Reports of recent crashes seen by this gateway, for the other gateways. It owns the reports. Each one is repeated in
- * the heartbeats for a while, since a datagram may be lost. Their number is bounded so that a heartbeat stays a small
- * datagram.
+ * Reports to the other gateways: recent crashes that this gateway has seen, and requests that completed after a crash.
+ * This module owns the reports. Each report is repeated in the heartbeats for a while, since a datagram may be lost.
+ * The number of reports is bounded, so that a heartbeat stays a small datagram.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Crash } from './history.js'
@@ -19,8 +19,8 @@
 const reportRetentionMs = 1000
 
 /**
- * Maximum number of crashes per heartbeat, and of requests per crash and of clearances. Together they take less than 6
- * kB.
+ * Maximum number of crashes in a heartbeat, and maximum number of requests of one crash and of cleared requests.
+ * Together they take less than 6 kB.
  */
 const maxCrashes = 4
 const maxRequests = 64
@@ -49,11 +49,11 @@
     return this.#cleared.map(({ request }) => request)
   }
 
-  crashed ({ upstream, at, requests }: Crash): void {
+  addCrash ({ upstream, at, requests }: Crash): void {
     this.#crashes = [{ upstream, at, requests: requests.slice(0, maxRequests) }, ...this.#crashes].slice(0, maxCrashes)
   }
 
-  cleared (request: string): void {
+  addClearance (request: string): void {
     this.#cleared = [{ request, at: this.#clock.now() }, ...this.#cleared].slice(0, maxRequests)
   }
 }
--- a/packages/crashes/src/trials.ts
+++ b/packages/crashes/src/trials.ts
@@ -34,14 +34,14 @@
     this.#onEnd = onEnd
   }
 
-  /** Records that a part of the answer arrived. */
+  /** Records that a part of the answer arrived. The trial ends `provingTimeMs` after the first part. */
   received (): void {
     if (this.#hasTimer) return
     this.#hasTimer = true
     this.#clock.after(provingTimeMs, () => this.#onEnd())
   }
 
-  /** Records that the attempt has ended. */
+  /** Records that the attempt has ended. This ends the trial. */
   end (): void {
     this.#onEnd()
   }
--- a/packages/crashes/test/fleet.ts
+++ b/packages/crashes/test/fleet.ts
@@ -11,7 +11,7 @@
   standing (request: RequestIdentity): Standing
   mayTry (request: RequestIdentity): boolean
   readonly underTrial: ReadonlySet<string>
-  sent (request: RequestIdentity, upstream: string): Trial | undefined
+  beginTrial (request: RequestIdentity, upstream: string): Trial | undefined
   broke (request: RequestIdentity, upstream: { readonly id: string, readonly address: string }): void
   served (request: RequestIdentity): void
 }
@@ -32,7 +32,7 @@
     return true
   }
 
-  sent (): undefined {}
+  beginTrial (): undefined {}
 
   broke ({ fingerprint }: RequestIdentity, { id }: { readonly id: string }): void {
     this.#crashes.set(fingerprint, (this.#crashes.get(fingerprint) ?? new Set()).add(id))
@@ -93,13 +93,13 @@
   gateway: CrashPolicy
 }
 
-/**
- * Time that an ordinary request runs, that a harmful one runs until its head crashes, until a crashed head is replaced,
- * and that a request waits at most.
- */
+/** Mean time that an ordinary request runs, in ms. */
 const runTimeMs = 700
+/** Time that a harmful request runs until its head crashes, in ms. */
 const crashTimeMs = 70
+/** Time until a crashed head is replaced, in ms. */
 const replaceTimeMs = 2000
+/** Maximum time that a request waits for a head, in ms. */
 const maxWaitMs = 1500
 /** Network delay between two gateways, in ms, and the ratio of datagrams that are lost. */
 const networkDelayMs = 3
@@ -230,7 +230,7 @@
     if (among.length === 0) return false
     const head = among[Math.floor(this.#random() * among.length)]
     const now = this.#clock.now()
-    const trial = standing === 'suspected' ? gateway.sent(request, head) : undefined
+    const trial = standing === 'suspected' ? gateway.beginTrial(request, head) : undefined
     request.attempts++
     this.#running.push({ request, gateway, head, trial, sentAt: now, endsAt: now + runTimeMs * (0.5 + this.#random()), crashesAt: request.harmful ? now + crashTimeMs : undefined, begun: false })
     return true
--- a/packages/crashes/test/harm.test.ts
+++ b/packages/crashes/test/harm.test.ts
@@ -1,7 +1,7 @@
 /**
- * Crashed engines and wrongly refused requests in fleets of 3, 13 and 35 gateways with harmful requests. The simple
- * rule, which blocks every request after three crashes, runs beside it for comparison: it refuses requests that only
- * ran beside a harmful one.
+ * Crashed engines and wrongly refused requests in fleets of 3, 13 and 35 gateways with harmful requests. For
+ * comparison, the second test of each fleet also runs the simple rule that blocks each request after three crashes.
+ * That rule refuses requests that only ran beside a harmful one.
  */
 import test from 'ava'
 import { CountingPolicy, simulate, type FleetOptions } from './fleet.js'
--- a/packages/forward/src/attempt.ts
+++ b/packages/forward/src/attempt.ts
@@ -19,7 +19,7 @@
 /** Error codes of a connection that was not established. The upstream is suspected after one of them. */
 const unreachableCodes = new Set(['UND_ERR_CONNECT_TIMEOUT', 'ECONNREFUSED', 'EHOSTUNREACH'])
 
-/** Maximum number of characters of an upstream's text in a log line. */
+/** Maximum number of characters of a header value of an upstream in a log line. */
 const maxLoggedChars = 40
 
 /** Options of an attempt. */
@@ -180,8 +180,8 @@
   }
 
   /**
-   * The `Retry-After` of the answer, for the log. The value is logged unparsed, since it decides what may be sent to
-   * the upstream.
+   * The `Retry-After` of the answer, for the log. The log shows the value as it arrived, since the value decides what
+   * may be sent to the upstream.
    */
   get #retryAfterNote (): string {
     const retryAfter = answerHeader(this.#headers, 'retry-after')
--- a/packages/forward/src/backlog.ts
+++ b/packages/forward/src/backlog.ts
@@ -34,7 +34,7 @@
 
 /**
  * Multiple of `total` above which callers are closed sooner. While upstreams are paused, the unread bytes grow only by
- * what each upstream had sent before, and by collected answers.
+ * bytes that the upstreams had already sent, and by collected answers.
  */
 const overloadRatio = 2
 
@@ -86,7 +86,7 @@
     if (entry.bytes === 0) this.#entries.delete(caller)
   }
 
-  /** Restarts the idle time of a caller, which could not read before now. @param now in ms */
+  /** Restarts the idle time of a caller that could not read until now. @param now in ms */
   restartIdleTime (caller: Caller, now: number): void {
     const entry = this.#entries.get(caller)
     if (entry !== undefined) entry.progressAt = now
--- a/packages/forward/src/context.ts
+++ b/packages/forward/src/context.ts
@@ -38,12 +38,12 @@
   readonly availability: Availability
   readonly crashes: Crashes
   readonly queue: Queue
-  /** Counts callers of a model that are refused for lack of room. Absent if the counts are not used. */
+  /** Counts the requests for a model that are refused for lack of room. Absent if the counts are not used. */
   readonly offered?: OfferedLoad
   /** Absent if first events are not forecast. */
   readonly forecast?: Forecast
   readonly random: Random
-  /** Requests places where room is contended. Absent if each gateway looks for room by itself. */
+  /** Requests places where room is contended. Absent if each gateway searches for room alone. */
   readonly places?: PlaceClient
   /** The retry budget of a service. */
   readonly retryBudget: (service: string) => RetryBudget
--- a/packages/forward/src/events.ts
+++ b/packages/forward/src/events.ts
@@ -12,7 +12,7 @@
 
 const lineFeed = 10
 const carriageReturn = 13
-/** The line feed that ends the previous line and an empty line, in both forms. */
+/** An empty line, preceded by the line feed of the line before it: with line ends LF and CRLF. */
 const emptyLine = '\n\n'
 const emptyLineCrlf = '\n\r\n'
 
--- a/packages/forward/src/path.ts
+++ b/packages/forward/src/path.ts
@@ -20,8 +20,8 @@
 const crashedUpstreamsReason = 'each upstream that began to run this request has crashed'
 
 /**
- * A caller that retries sooner than this did not wait for the time in its refusal, in ms. No refusal names a shorter
- * time.
+ * Shortest fixed `Retry-After` of a refusal, in ms (`otherGatewayRetryS` in `@eiderwind/dispatch`). A caller that
+ * retries sooner did not wait as it was told.
  */
 const minRetryDelayMs = 200
 
@@ -34,7 +34,7 @@
   protected readonly request: CallerRequest
   /** The trial that the next attempt belongs to, if the request is suspected of crashing its upstreams. */
   protected trial: Trial | undefined
-  /** Why the eligible upstreams took no request at the last search for one. */
+  /** Why no untried upstream took requests at the last search that found none. Undefined if one did. */
   #unavailability: Unavailability | undefined
   /** The current or last search for a place, where places may be issued. */
   #placeSearch: PlaceSearch | undefined
@@ -85,7 +85,7 @@
     return undefined
   }
 
-  /** The latest start that still brings the next event in time, on `Clock.now`. */
+  /** The latest time to start an attempt so that the next event arrives in time, on `Clock.now`. */
   protected get latestStart (): number {
     const { arrivedAt, spent, route: { objective } } = this.request
     return arrivedAt - spent + objective
@@ -113,7 +113,7 @@
     const { request } = this
     if (result?.kind === 'answered') return sendAnswer(request, result)
     if (result?.kind === 'lost') return request.refuse(refusals.lost(result.why))
-    request.refuse(this.#queuedRefusal() ?? this.#closedRefusal() ?? this.refusal(result))
+    request.refuse(this.#queuedRefusal() ?? this.#unavailableRefusal() ?? this.refusal(result))
   }
 
   /**
@@ -167,8 +167,8 @@
   }
 
   /**
-   * Begins a search that may request places. A suspected request has none: its upstream depends on this gateway's
-   * trials.
+   * Begins a search that may request places. Returns undefined if no places are issued for this request. A suspected
+   * request gets none, since its upstream depends on the trials.
    */
   #beginPlaceSearch (until: number): PlaceSearch | undefined {
     const { request, room, context: { clock, places, availability, suspects, crashes } } = this
@@ -192,11 +192,11 @@
   }
 
   /**
-   * Returns 'closed' if waiting until a time on `Clock.now` is pointless: no eligible upstream takes a request before
-   * then.
+   * Returns 'closed' if waiting until a time on `Clock.now` is pointless, because no untried upstream takes requests
+   * before then.
    */
   #closedPast (until: number): 'closed' | undefined {
-    this.#unavailability = this.#firstClosure
+    this.#unavailability = this.#shortestUnavailability
     const end = this.#unavailability?.end ?? -Infinity
     return end > until && end > this.context.clock.now() ? 'closed' : undefined
   }
@@ -206,22 +206,22 @@
    * time is not known.
    */
   get #timeUntilAvailable (): number {
-    const first = this.#firstClosure
+    const first = this.#shortestUnavailability
     return first === undefined ? 0 : first.end - this.context.clock.now()
   }
 
   /** Why none of the untried upstreams takes a request now, and until when. Undefined if one does. */
-  get #firstClosure (): Unavailability | undefined {
+  get #shortestUnavailability (): Unavailability | undefined {
     const { tried, priority } = this.request
     return this.context.availability.shortestUnavailability(this.upstreams, tried, priority)
   }
 
   /**
-   * The refusal if no upstream takes a request now, or if none did at the last search, since a token may have arrived
-   * after it. Undefined if the closure is a pause: it is not known when an upstream that only refused requests takes
-   * them again.
+   * The refusal if no upstream takes requests now, or if none did at the last search. That search counts too, since a
+   * token may have arrived after it. Undefined if the cause is a pause: an upstream that only refused requests has not
+   * said when it takes them again.
    */
-  #closedRefusal (): Fault | undefined {
+  #unavailableRefusal (): Fault | undefined {
     const { clock, availability, random } = this.context
     const first = availability.shortestUnavailability(this.upstreams, noUpstreams, this.request.priority) ?? this.#unavailability
     if (first === undefined || first.cause === 'pause') return undefined
@@ -258,8 +258,8 @@
   }
 
   /**
-   * Avoids upstreams that run a trial. A suspected request is never sent to one; any other request is if there is no
-   * alternative.
+   * Avoids upstreams that run a trial. A suspected request is never sent to one. Any other request is sent to one only
+   * if no other upstream has free capacity.
    */
   #chooseLocally (standing: 'trusted' | 'suspected'): Upstream | undefined {
     const { request: { tried }, context: { crashes: { underTrial } } } = this
@@ -270,7 +270,7 @@
 
   /** Begins the trial at once, so that no other waiting suspect is sent to the same upstream. */
   #beginTrial (upstream: Upstream | undefined): Upstream | undefined {
-    if (upstream !== undefined) this.trial = this.context.crashes.sent(this.request, upstream.id)
+    if (upstream !== undefined) this.trial = this.context.crashes.beginTrial(this.request, upstream.id)
     return upstream
   }
 
--- a/packages/forward/src/placesearch.ts
+++ b/packages/forward/src/placesearch.ts
@@ -1,7 +1,8 @@
 /**
  * The search of one request for an upstream where room may be contended. The request gets a place from the issuer of
- * the room. It chooses by itself while room is not contended, or if no issuer answers. This module owns the request's
- * claim during one wait, and relies on `PlaceClient` for places and on the path for the local choice.
+ * the room. While room is not contended, or if no issuer answers, the gateway chooses the upstream alone. This module
+ * owns the request's claim during one wait. It relies on `PlaceClient` for places and on `Path` for the choice without
+ * a place.
  */
 import { type PlaceClient, type Claim, type PlaceRequirements } from '@eiderwind/places'
 import { type Availability } from '@eiderwind/dispatch'
@@ -55,7 +56,7 @@
     }
   }
 
-  /** Records that the request is sent to the upstream that was found, and counts in flight there. */
+  /** Records that the request is sent to the upstream that was found. It counts as in flight there from now on. */
   recordUse (): void {
     this.#options.placeClient.use(this.#claim)
   }
--- a/packages/forward/src/plainpath.ts
+++ b/packages/forward/src/plainpath.ts
@@ -27,13 +27,13 @@
     const startedAt = clock.now()
     return new Promise(resolve => {
       const onEnd = (result: AttemptResult): void => {
-        // An upstream that asked for rest has named the end of the rest. Counted as a failure, it would be avoided for
-        // long after that.
+        // An upstream that asked for rest has named the end of the rest. If the refusal counted as a failure, the
+        // upstream would be avoided long after that end.
         if (!availability.isResting(upstream.id)) choice.observe(upstream.id, clock.now() - startedAt, !isSuccess(result))
         resolve(result)
       }
-      // An idle connection may break just when a request is sent on it. It would then be unknown whether the request
-      // ran.
+      // An idle connection may break just when a request is sent on it. The gateway could then not tell whether the
+      // request ran.
       const newConnection = !request.repeatable
       new CollectAttempt({ context, request, upstream, model: '', newConnection, trial, onEnd }).start()
     })
--- a/packages/forward/src/streampath.ts
+++ b/packages/forward/src/streampath.ts
@@ -15,7 +15,7 @@
 import { type CallerRequest } from './request.js'
 import { Progress, StreamAttempt } from './streamattempt.js'
 
-/** An idle head and the pace of a typical model. The latest start of a request is computed with these values. */
+/** The load of an idle head and the pace of a typical model. The latest start of a request is computed with them. */
 const idleHead = { inFlight: 0, unread: 0 }
 const usualModelPace = 1
 
--- a/packages/forward/src/timing.ts
+++ b/packages/forward/src/timing.ts
@@ -10,8 +10,8 @@
  * What made an answer late.
  *
  * `waiting`: the request waited for free capacity for most of the time until the first part. `attempts`: an earlier
- * attempt failed. `first`: the upstream took that long. `resume`: the answer paused while it was resumed at another
- * upstream. `pause`: the upstream paused.
+ * attempt failed. `first`: the upstream took most of the time. `resume`: the answer paused while it was resumed at
+ * another upstream. `pause`: the upstream paused.
  */
 export type Lateness = 'waiting' | 'attempts' | 'first' | 'resume' | 'pause'
 
--- a/packages/forward/test/attempt.test.ts
+++ b/packages/forward/test/attempt.test.ts
@@ -1,6 +1,6 @@
 /**
- * Attempts whose upstream asks for rest, answers for another request, or sends an endless event: what is sent, and
- * which parts of the answer count.
+ * Attempts whose upstream asks for rest, answers with the id of another request, or sends an event without end: whether
+ * the request is sent, and how the attempt ends.
  */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
--- a/packages/forward/test/limited.test.ts
+++ b/packages/forward/test/limited.test.ts
@@ -1,7 +1,7 @@
 /**
  * A plain request whose only upstream is limited must get a 429, not the 503 of a missing upstream. It got the 503 in
  * three cases: the gateway that issues the tokens did not answer in time, the announced time of the next token had just
- * passed, or the token came when the wait ended.
+ * passed, or the token arrived just as the wait ended.
  */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
