--- a/packages/gateway/src/blocklist.ts
+++ b/packages/gateway/src/blocklist.ts
@@ -3,7 +3,7 @@
  * report of a crash may have been lost. Each heartbeat carries a digest of the sender's list; if it differs from the
  * local digest, the sender's list is requested.
  * All gateways reach the same decisions. One of them stores each blocked request, in case all gateways are killed. Owns
- * the request in progress; `Crashes` holds the blocked requests.
+ * only the state of its request to another gateway; `Crashes` holds the blocked requests.
  */
 import { createHash } from 'node:crypto'
 import { type Clock } from '@eiderwind/clock'
--- a/packages/gateway/src/budgets.ts
+++ b/packages/gateway/src/budgets.ts
@@ -1,6 +1,6 @@
 /**
  * The retry budgets of all services. The budget of a service is created when it is first needed. Owns the budgets.
- * Relies on the list of gateways for how many share the slack.
+ * Relies on the list of gateways for the number that share the slack (`retrySlack`).
  */
 import { type Clock } from '@eiderwind/clock'
 import { RetryBudget } from '@eiderwind/dispatch'
--- a/packages/gateway/src/callers.ts
+++ b/packages/gateway/src/callers.ts
@@ -1,7 +1,8 @@
 /**
- * Serves callers: listens, reads each request with its body, admits or refuses it, and passes admitted requests to
- * their path. Owns the HTTP server and the set of requests that are not answered yet. Relies on the board for the
- * configuration in force. Admission is decided in `admission.ts`; everything after it in `forward` and `dispatch`.
+ * Serves callers: listens, reads each request with its body, admits or refuses it, and passes admitted requests to a
+ * `PlainPath` or `StreamPath`. Owns the HTTP server and the set of requests that are not answered yet. Relies on the
+ * board for the configuration in force. Admission is decided in `admission.ts`; everything after it in `forward` and
+ * `dispatch`.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { type Random } from '@eiderwind/clock'
@@ -27,7 +28,8 @@
   /** Chooses the service of a request if its route is split between several. */
   readonly random: Random
   /**
-   * How long callers of each route usually say they wait. Absent if it does not matter whether a caller has come back.
+   * The maximum waits that callers of each route usually name. Absent if it does not matter whether a request is a
+   * retry.
    */
   readonly usualMaxWaits: UsualMaxWaits | undefined
   /** Writes answers to callers as fast as they read. */
--- a/packages/gateway/src/changelog.ts
+++ b/packages/gateway/src/changelog.ts
@@ -27,7 +27,9 @@
   readonly maxWait: number
 }
 
-/** Number of retained changes: those of many seconds, so that only a follower that was away gets the whole list. */
+/**
+ * Number of retained changes. They span many seconds, so that only a follower that was unreachable gets the whole list.
+ */
 const maxChanges = 500
 
 interface NumberedChange {
--- a/packages/gateway/src/election.ts
+++ b/packages/gateway/src/election.ts
@@ -50,7 +50,7 @@
   readonly #options: ElectionOptions
   /** The term in which this gateway leads; undefined if it does not lead. */
   #term: number | undefined
-  /** The time since which this gateway has been allowed to stand, on `Clock.now`. */
+  /** When this gateway began to wait for its turn to stand, on `Clock.now`; undefined while it does not wait. */
   #vacantSince: number | undefined
   #isStanding = false
   #pausedUntil = -Infinity
--- a/packages/gateway/src/elections.ts
+++ b/packages/gateway/src/elections.ts
@@ -1,6 +1,6 @@
 /**
- * The elections of this gateway, one for each service whose replicas it may plan. Owns the elections, and for the log
- * the set of services that this gateway leads. Relies on `Leadership` for who may stand.
+ * The elections of this gateway, one for each service whose replicas it may plan. Owns the elections, and the set of
+ * services that this gateway leads, so that changes can be logged. Relies on `Leadership` for who may stand.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Log } from '@eiderwind/log'
@@ -37,12 +37,12 @@
   }
 
   /** Whether this gateway led any service at the last call of `leads`. */
-  get leading (): boolean {
+  get isLeadingAny (): boolean {
     return this.#ledServices.size > 0
   }
 
   /** Whether this gateway was elected for any service. */
-  get elected (): boolean {
+  get isElectedAny (): boolean {
     return [...this.#elections.values()].some(each => each.term !== undefined)
   }
 
--- a/packages/gateway/src/evacuationcontroller.ts
+++ b/packages/gateway/src/evacuationcontroller.ts
@@ -34,7 +34,7 @@
  */
 const endAnnouncementTime = 60_000
 
-/** Reason for the log, with which work in an evacuated data centre ends. */
+/** Reason in the log for withdrawing a request or moving a stream. */
 const reason = 'its data centre is evacuated'
 
 /** Empties evacuated data centres. */
@@ -65,12 +65,12 @@
     return this.#options.board.read('evacuation')?.dataCentres ?? []
   }
 
-  /** Streams that were moved out of evacuated data centres. */
+  /** Number of streams that were moved out of evacuated data centres. */
   get moved (): number {
     return this.#moved
   }
 
-  /** Requests in flight at upstreams of evacuated data centres. */
+  /** Number of requests in flight at upstreams of evacuated data centres. */
   get running (): number {
     return this.dataCentres.reduce((sum, each) => sum + this.#runningIn(each).length, 0)
   }
--- a/packages/gateway/src/facts.ts
+++ b/packages/gateway/src/facts.ts
@@ -21,8 +21,8 @@
 export interface GatewayState {
   readonly inForce: ConfigurationInForce | undefined
   /**
-   * When the valid confirmation was requested, on `Clock.bootNow`. Of all answered requests, the one that was sent last
-   * counts.
+   * When the newest confirmation was requested, on `Clock.bootNow`: of all answered requests, the one that was sent
+   * last counts.
    */
   readonly confirmedAt: number
   /** Whether the store answered the last call of a watch. */
--- a/packages/gateway/src/fleetview.ts
+++ b/packages/gateway/src/fleetview.ts
@@ -1,7 +1,7 @@
 /**
- * This gateway's view of the fleet by the heartbeats of the others: how many gateways there are, which lead, and which
- * could watch the store. Owns the ranking of possible watchers. The view is cached until the next heartbeat, since it
- * is read many times in between.
+ * This gateway's view of the fleet by the heartbeats of the others: how many gateways there are, which of them lead a
+ * service, and which could watch the store. Owns the ranking of possible watchers. The view is cached until the next
+ * heartbeat, since it is read many times in between.
  */
 import { Ranking } from '@eiderwind/hash'
 import { type Heartbeat, type Peers } from '@eiderwind/peers'
@@ -25,8 +25,8 @@
 }
 
 /**
- * How long a gateway still counts towards the size of the fleet after its last heartbeat, in ms. A fleet is not small
- * because many gateways restart, or because this process was paused.
+ * How long a gateway still counts towards the size of the fleet after its last heartbeat, in ms. Without it, a fleet
+ * would count as small while many of its gateways restart, or after a pause of this process.
  */
 const fleetRetention = 10_000
 
@@ -47,7 +47,7 @@
   }
 
   /** The current view. @param self id of this gateway if it could watch the store */
-  now (self: string | undefined): FleetState {
+  current (self: string | undefined): FleetState {
     const { live } = this.#peers
     if (this.#last?.of !== live || this.#last.self !== self) this.#last = { of: live, self, view: this.#compute(live, self) }
     return this.#last.view
--- a/packages/gateway/src/leaders.ts
+++ b/packages/gateway/src/leaders.ts
@@ -20,9 +20,6 @@
 export abstract class Leaders {
   /** Reads the leader. An error says why the record could not be read. */
   abstract read (service: string): Promise<Result<Leader, string>>
-  /**
-   * Makes a gateway the leader, provided that the record has not changed since it was read as `read`. Returns the new
-   * term.
-   */
+  /** Makes a gateway the leader, provided that the record still has the value `read`. Returns the new term. */
   abstract elect (service: string, id: string, read: Leader): Promise<Result<number, WriteFailure>>
 }
--- a/packages/gateway/src/leadership.ts
+++ b/packages/gateway/src/leadership.ts
@@ -34,9 +34,9 @@
 }
 
 /**
- * Margin added to `Peers.settleTime`, in ms. A gateway that has started, or resumed after a pause, plans only once both
- * are over and every other gateway has had time to send a heartbeat. Otherwise it would take the fleet for small, and
- * itself for the gateway that should watch.
+ * Margin added to `Peers.settleTime`, in ms. A gateway that has started, or resumed after a pause, plans only after
+ * both times, so that every other gateway has had time to send a heartbeat. Otherwise it would take the fleet for
+ * small, and itself for the gateway that should watch.
  */
 const settleMargin = 100
 
@@ -89,8 +89,9 @@
   get eligible (): boolean {
     const { board, outage, isFirstStart } = this.#options
     if (!board.read('store') || !board.read('listed') || board.read('stopping')) return false
-    // The gateway cannot know whether an outage of the store has just ended. Upstreams that lapsed may still be missing
-    // from its first list.
+    // A gateway that has just started cannot know whether an outage of the store has just ended. Upstreams that lapsed
+    // in the outage may still be missing from its first list. Only at the first start of the whole system is the first
+    // list trusted.
     const isFirstList = isFirstStart && !outage.resumed
     if (!isFirstList && !outage.listComplete) return false
     return this.#isSettled && !this.isFollowing
@@ -98,8 +99,8 @@
 
   /**
    * Whether this gateway could watch the store for others, as far as it knows. Other gateways read it in its heartbeat.
-   * It must not wait until it has received all heartbeats since its start. If each gateway announced itself only then,
-   * all would do so at the same moment, and each would take itself for the only one.
+   * This does not require that all other gateways have sent a heartbeat since this one started. If it did, all gateways
+   * would announce it at the same moment, and each would take itself for the only one.
    */
   get canWatch (): boolean {
     const { board, pauses } = this.#options
@@ -108,8 +109,7 @@
 
   /**
    * Whether this gateway takes the upstreams from the watchers although it can reach the store. A pause of this process
-   * does not end that. After a pause, only a gateway that watched, and may now be behind, leaves watching to the others
-   * for a while.
+   * does not end the following. A watcher that was paused may be behind, so it follows the other watchers for a while.
    */
   get isFollowing (): boolean {
     const { board, id } = this.#options
@@ -152,7 +152,7 @@
 
   /** Whether this gateway plans any service now. */
   get isPlanningAny (): boolean {
-    return this.#elections.leading
+    return this.#elections.isLeadingAny
   }
 
   /**
@@ -230,13 +230,13 @@
   get #watchCandidates (): readonly string[] {
     const { watchCandidates, leaders } = this.#view
     const leading = new Set(leaders.map(each => each.id))
-    if (this.#elections.elected) leading.add(this.#options.id)
+    if (this.#elections.isElectedAny) leading.add(this.#options.id)
     if (leading.size === 0) return watchCandidates
     return [...watchCandidates.filter(each => leading.has(each)), ...watchCandidates.filter(each => !leading.has(each))]
   }
 
   get #view (): FleetState {
-    return this.#fleetView.now(this.canWatch ? this.#options.id : undefined)
+    return this.#fleetView.current(this.canWatch ? this.#options.id : undefined)
   }
 
   /** Ids of the gateways that may plan, by the latest heartbeats, in the order of their ranking. */
--- a/packages/gateway/src/messages.ts
+++ b/packages/gateway/src/messages.ts
@@ -136,7 +136,7 @@
   return JSON.stringify(changes)
 }
 
-/** Throws if the text is not such a message. */
+/** Throws if the text is not an answer about upstreams. */
 export function decodeUpstreamChanges (text: string): UpstreamChanges {
   return UpstreamsMessage.parse(JSON.parse(text))
 }
--- a/packages/gateway/src/platform.ts
+++ b/packages/gateway/src/platform.ts
@@ -67,7 +67,7 @@
   readonly confirming: boolean
   /** Other gateways take the upstreams from it, so it must confirm often that nothing has changed. */
   readonly followed: boolean
-  /** Other gateways send it all changes. It calls the store only to check that it can reach it. */
+  /** Other gateways send it all changes. It calls the store only to check that the store can be reached. */
   readonly spared: boolean
   /** Number of live gateways. The more there are, the less often each spared gateway calls. */
   readonly fleet: number
--- a/packages/gateway/src/rooms.ts
+++ b/packages/gateway/src/rooms.ts
@@ -36,8 +36,9 @@
 }
 
 /**
- * Number of requests that may wait at a head beyond its slots. The head can start the next one without the delay of
- * issuing a free place. More requests would not be ordered there.
+ * Number of requests that may wait at a head beyond its slots. The head can then start the next request at once,
+ * instead of only after its free place was issued. A head does not order the requests that wait there, so no more may
+ * wait.
  */
 const queuedPerHead = 1
 
@@ -124,7 +125,7 @@
     this.#coordinator.recordEnd(roomOfHead(head), upstream)
   }
 
-  /** Takes the head of an upstream's answer to a request of this gateway. */
+  /** Takes the status and headers of an upstream's answer to a request of this gateway. */
   answered (upstream: Upstream, { refused }: AnswerHead): void {
     if (!refused || upstream.membership === undefined) return
     // A head that is merely full refuses one request and accepts the next.
--- a/packages/gateway/src/upstreamlimits.ts
+++ b/packages/gateway/src/upstreamlimits.ts
@@ -48,10 +48,10 @@
 const takeoverPause = 1000
 
 /**
- * How long a gateway keeps its part of each limit after its last heartbeat, in ms: it may only have been cut off. The
- * part of a gateway that has ended for good stays unused for that long.
+ * How long a gateway keeps its share of each limit after its last heartbeat, in ms: it may only have been cut off. The
+ * share of a gateway that has ended for good stays unused for that long.
  */
-const partRetention = 10_000
+const shareRetention = 10_000
 
 /** Minimum time between two log lines about the limit of one upstream, in ms: each answer may name another limit. */
 const logInterval = 1000
@@ -85,7 +85,7 @@
     this.#owners = new Owners({
       clock,
       live: () => [id, ...peers.live.map(each => each.id)],
-      fleet: () => peers.seenWithin(partRetention).length + 1,
+      fleet: () => peers.seenWithin(shareRetention).length + 1,
       settleTime: takeoverPause
     })
     this.#issuer = new Issuer({
@@ -144,9 +144,7 @@
     this.#receiveCold(cold)
   }
 
-  /**
-   * Takes a datagram that is not a heartbeat. A datagram that is no token message either is foreign, and is dropped.
-   */
+  /** Takes a datagram that is not a heartbeat. A datagram that is not a token message is foreign and is dropped. */
   receive (datagram: Buffer, from: string): void {
     const message = decodeMessage(datagram)
     if (message !== undefined) this.#receiveMessage(message, from)
