--- a/packages/gateway/test/coldfleet.test.ts
+++ b/packages/gateway/test/coldfleet.test.ts
@@ -8,8 +8,8 @@
 const seeds = [1, 2, 3, 4]
 
 /**
- * Minimum use of the rates of cold upstreams without faults. It is this low because as many requests find room at
- * upstreams that are not cold.
+ * Minimum use of the rates of cold upstreams without faults. It is this low because upstreams that are not cold take as
+ * many requests as the cold ones.
  */
 const minUsedShare = 0.4
 
--- a/packages/gateway/test/coldfleet.ts
+++ b/packages/gateway/test/coldfleet.ts
@@ -101,10 +101,10 @@
 
   async #advance (time: number): Promise<void> {
     const { rate, overshoot, slack, upstreams } = this.#scenario
-    const each = demand * upstreams * (rate * overshoot + slack) * step / 1000
+    const requestsPerStep = demand * upstreams * (rate * overshoot + slack) * step / 1000
     for (const end = this.#clock.now() + time; this.#clock.now() < end;) {
       this.#clock.advance(step)
-      for (let count = Math.floor(each + this.#random()); count > 0; count--) this.#arrive()
+      for (let count = Math.floor(requestsPerStep + this.#random()); count > 0; count--) this.#arrive()
       for (let turn = 0; turn < 3; turn++) await Promise.resolve()
     }
   }
--- a/packages/gateway/test/coldstarts.test.ts
+++ b/packages/gateway/test/coldstarts.test.ts
@@ -44,7 +44,7 @@
   t.deepEqual(fixture.began, ['a b c'])
 })
 
-test('a record that no longer has a cold time ends it; a record that never had one does not', t => {
+test('an upstream is no longer cold once its cold time is removed from its record, but stays cold if the record never had one', t => {
   const fixture = new Fixture()
   fixture.roster.replace([])
   fixture.list(upstream('a'), upstream('b', { cold: 2900 }))
--- a/packages/gateway/test/conditions.test.ts
+++ b/packages/gateway/test/conditions.test.ts
@@ -54,7 +54,7 @@
   }
 }
 
-test('a rest is logged and counted once, requests without a connection are withdrawn, and waiting requests search again at its end', async t => {
+test('a rest is logged and counted once, unsent requests to the upstream are withdrawn, and waiting requests search again at its end', async t => {
   const fixture = new Fixture()
   const { clock, conditions, inFlight, lines, queue } = fixture
   let withdrawn = 0
--- a/packages/gateway/test/digest.test.ts
+++ b/packages/gateway/test/digest.test.ts
@@ -40,7 +40,7 @@
   return new Peers({ clock, id: 'e', address: '127.0.0.1:1', heartbeat: () => heartbeat, interval: 250, timeout: 1000 })
 }
 
-test('choices among heads and plain upstreams are the same', t => {
+test('choices among heads and plain upstreams equal the recorded digest', t => {
   const random = seeded(41)
   const clock = new ManualClock()
   const roster = new Roster(clock)
@@ -103,7 +103,7 @@
   t.is(digest(lines), '83aa1e8479295bc7')
 })
 
-test('the retry budget admits the same retries', t => {
+test('the retries that the retry budget admits equal the recorded digest', t => {
   const random = seeded(44)
   const clock = new ManualClock()
   let gateways = 4
@@ -118,7 +118,7 @@
   t.is(digest(lines), '2eaa955264e39982')
 })
 
-test('waiting requests are served in the same order', async t => {
+test('the order in which waiting requests are served equals the recorded digest', async t => {
   const random = seeded(45)
   const clock = new ManualClock()
   const waiting = new Queue(clock)
@@ -138,7 +138,7 @@
   t.is(digest(lines), '44f1773ea00f5a22')
 })
 
-test('stalls, suspicions, trials and pauses of the process are detected the same way', t => {
+test('detected stalls, suspicions, trials and pauses of the process equal the recorded digest', t => {
   const random = seeded(46)
   const clock = new ManualClock()
   const roster = new Roster(clock)
--- a/packages/gateway/test/election.test.ts
+++ b/packages/gateway/test/election.test.ts
@@ -69,7 +69,7 @@
   t.deepEqual([fixture.record.reads, fixture.record.writes], [1, 1])
 })
 
-test('a later candidate waits, and does not stand if the first one has been elected meanwhile', async t => {
+test('a later candidate waits, and does not stand for election if the first one has been elected meanwhile', async t => {
   const fixture = new Fixture()
   fixture.rank = 2
   await fixture.run(150)
@@ -114,7 +114,7 @@
   t.deepEqual([fixture.record.reads, fixture.record.writes], [1, 1])
 })
 
-test('a gateway whose write lost its answer leads after it has read the record again, without another write', async t => {
+test('a gateway that gets no answer to its write leads after it has read the record again, without another write', async t => {
   const fixture = new Fixture()
   fixture.record.nextWrite = 'lost'
   await fixture.run(50)
@@ -148,7 +148,7 @@
   t.is(fixture.election.term, undefined)
 })
 
-test('a leader that has resigned does not stand again while it may not plan', async t => {
+test('a leader that has resigned does not stand for election again while it may not plan', async t => {
   const fixture = new Fixture()
   await fixture.run(50)
   fixture.eligible = false
--- a/packages/gateway/test/fleet.ts
+++ b/packages/gateway/test/fleet.ts
@@ -61,7 +61,7 @@
   listedAt: number
 }
 
-/** What has been observed of the planners since the last call of `observe`. */
+/** What has been observed of the planners since the last call of `resetObservations`. */
 export interface PlannerObservation {
   /** Maximum number of gateways that planned at the same time. */
   maxAtOnce: number
@@ -125,6 +125,7 @@
 
   /**
    * Starts gateways, each at a random time.
+   * @param first whether the whole system starts for the first time
    * @param spread time within which all have started, in ms
    */
   async start (ids: readonly string[], { first = false, spread = 300 } = {}): Promise<void> {
@@ -203,13 +204,15 @@
   }
 
   /** Resets what has been observed of the planners. */
-  observe (): void {
+  resetObservations (): void {
     this.observed = { maxAtOnce: 0, planners: new Set(), unsettledUntil: this.clock.now() }
   }
 
-  /** Runs the fleet and returns the time until there was exactly one planner to the end, in ms. */
-  async settled (span: number): Promise<number> {
-    this.observe()
+  /**
+   * Runs the fleet for `span` ms. Returns the time after which there was exactly one planner until the end, in ms.
+   */
+  async timeToSettle (span: number): Promise<number> {
+    this.resetObservations()
     const begun = this.clock.now()
     await this.run(span)
     return this.observed.unsettledUntil - begun
@@ -264,7 +267,7 @@
   }
 }
 
-/** Asserts that no two gateways have planned at once since `observe`, and the number of gateways that have planned. */
+/** Asserts that no two gateways have planned at once since `resetObservations`, and the number of gateways that have planned. */
 export function assertOnePlannerAtOnce (t: ExecutionContext, fleet: Fleet, planners: number): void {
   t.true(fleet.observed.maxAtOnce <= 1, `${fleet.observed.maxAtOnce} gateways planned at once`)
   t.is(fleet.observed.planners.size, planners)
--- a/packages/gateway/test/hundreds.test.ts
+++ b/packages/gateway/test/hundreds.test.ts
@@ -1,7 +1,7 @@
 /**
  * Agreement of a fleet of 300 gateways, in the simulation of `fleet.ts`. `membership.test.ts` has the smaller fleets.
- * The system is built for up to 390 gateways. The tests guard against several planners at once: with heartbeats every 2
- * s and a wait of 8 s for them, 283 of 300 gateways planned at once, and no model was served.
+ * The system is built for up to 390 gateways. The tests guard against several planners at once: with heartbeats every
+ * 2 s and a wait of 8 s for them, 283 of 300 gateways planned at once, and no model was served.
  */
 import test from 'ava'
 import { Fleet, maxFirstStartTime, assertOnePlannerAtOnce, maxRestartTime, maxTakeoverTime } from './fleet.js'
@@ -11,7 +11,7 @@
 test('of 300 gateways that start together, one plans within the bound and never a second one', async t => {
   const fleet = new Fleet(size)
   await fleet.start(Fleet.ids(size), { first: true })
-  t.true(await fleet.settled(5000) <= maxFirstStartTime)
+  t.true(await fleet.timeToSettle(5000) <= maxFirstStartTime)
   assertOnePlannerAtOnce(t, fleet, 1)
 })
 
@@ -20,7 +20,7 @@
   t.true(fleet.agrees())
   t.is(fleet.followers().length, size - 2)
   fleet.kill(fleet.planners()[0])
-  t.true(await fleet.settled(3000) <= maxTakeoverTime)
+  t.true(await fleet.timeToSettle(3000) <= maxTakeoverTime)
   assertOnePlannerAtOnce(t, fleet, 1)
   t.true(fleet.agrees())
 })
@@ -30,7 +30,7 @@
   for (const id of Fleet.ids(size)) fleet.kill(id)
   await fleet.run(1000)
   await fleet.start(Fleet.ids(size), { spread: 600 })
-  t.true(await fleet.settled(5500) <= maxRestartTime + 600)
+  t.true(await fleet.timeToSettle(5500) <= maxRestartTime + 600)
   assertOnePlannerAtOnce(t, fleet, 1)
 })
 
--- a/packages/gateway/test/limitfleet.test.ts
+++ b/packages/gateway/test/limitfleet.test.ts
@@ -30,7 +30,7 @@
 }
 
 for (const gateways of [1, 3, 13, 35]) {
-  test(`${gateways} gateways together keep and use a limit`, async t => {
+  test(`${gateways} gateways together keep to a limit and use almost all of it`, async t => {
     for (const limit of [1.6, 20]) t.true(await used(t, { gateways, limit, reachedShare: 1, event: 'none' }) >= minUsedShare)
   })
 }
--- a/packages/gateway/test/limitfleet.ts
+++ b/packages/gateway/test/limitfleet.ts
@@ -54,7 +54,7 @@
 /** Time from a request to its answer, which names the limit, in ms. */
 const answerTime = 20
 /** Time at which callers begin to send, so that answers name the limit, in ms. */
-const namedAt = 3000
+const arrivalsFrom = 3000
 /** Time from which requests count, in ms. */
 const countedFrom = 4000
 /** Beginning and end of the event, in ms. */
@@ -235,7 +235,7 @@
   let isOver = false
   const arrive = (): void => {
     const gateway = reached[Math.floor(arrivals() * reached.length)]
-    if (clock.now() < namedAt || !live.has(gateway)) return
+    if (clock.now() < arrivalsFrom || !live.has(gateway)) return
     requests++
     strategy.request(gateway, () => {
       sent.push(clock.now())
--- a/packages/gateway/test/limitmember.ts
+++ b/packages/gateway/test/limitmember.ts
@@ -97,7 +97,7 @@
   return { id, service: 's', address: `${id}:1`, dataCentre: 'dc', leaving: false, loaded: [], staged: [], ...cold > 0 ? { cold } : {} }
 }
 
-/** The largest number of the given times within any window. The times are sorted. */
+/** The maximum number of the given times that lie within `window` ms of each other. The times are sorted. */
 export function maxInWindow (times: readonly number[], window: number): number {
   let first = 0
   return times.reduce((greatest, time, index) => {
--- a/packages/gateway/test/membership.test.ts
+++ b/packages/gateway/test/membership.test.ts
@@ -15,7 +15,7 @@
   test(`of ${size} gateways that start together, one plans within the bound and never a second one`, async t => {
     const fleet = new Fleet(size)
     await fleet.start(Fleet.ids(size), { first: true })
-    t.true(await fleet.settled(observationTime) <= maxFirstStartTime)
+    t.true(await fleet.timeToSettle(observationTime) <= maxFirstStartTime)
     assertOnePlannerAtOnce(t, fleet, 1)
   })
 }
@@ -28,7 +28,7 @@
     for (const victim of [fleet.planners()[0], fleet.planners()[0], fleet.watchers().find(each => !fleet.planners().includes(each)) ?? '']) {
       const planned = fleet.planners().includes(victim)
       fleet.kill(victim)
-      t.true(await fleet.settled(3000) <= (planned ? maxTakeoverTime : 0))
+      t.true(await fleet.timeToSettle(3000) <= (planned ? maxTakeoverTime : 0))
       assertOnePlannerAtOnce(t, fleet, 1)
       t.true(fleet.agrees())
     }
@@ -41,7 +41,7 @@
     for (const id of Fleet.ids(size)) fleet.kill(id)
     await fleet.run(1000)
     await fleet.start(Fleet.ids(size), { spread: 600 })
-    t.true(await fleet.settled(observationTime) <= maxRestartTime + 600)
+    t.true(await fleet.timeToSettle(observationTime) <= maxRestartTime + 600)
     assertOnePlannerAtOnce(t, fleet, 1)
   })
 }
@@ -50,7 +50,7 @@
   const fleet = await Fleet.started(35, 3)
   for (const victim of [fleet.planners()[0], fleet.watchers()[0]]) {
     fleet.reachesStore = id => id !== victim
-    t.true(await fleet.settled(observationTime) <= 1500)
+    t.true(await fleet.timeToSettle(observationTime) <= 1500)
     assertOnePlannerAtOnce(t, fleet, 1)
     t.false(fleet.watchers().includes(victim))
     t.true((fleet.members.get(victim) as Member).leadership.sources.length > 0)
@@ -68,7 +68,7 @@
     const endedAt = fleet.clock.now()
     const ends = new Map(Fleet.ids(size).map((id, index) => [id, endedAt + (index * 37) % 400]))
     fleet.reachesStore = id => fleet.clock.now() >= (ends.get(id) as number)
-    fleet.observe()
+    fleet.resetObservations()
     await fleet.run(observationTime)
     assertOnePlannerAtOnce(t, fleet, 1)
     t.deepEqual(fleet.planners(), before)
@@ -93,7 +93,7 @@
   const fleet = await Fleet.started(35, 8)
   const [old] = fleet.planners()
   fleet.network.isCut = from => from === `${old}:1`
-  t.true(await fleet.settled(3000) <= maxTakeoverTime)
+  t.true(await fleet.timeToSettle(3000) <= maxTakeoverTime)
   t.false(fleet.planners().includes(old))
   assertOnePlannerAtOnce(t, fleet, 2)
 })
@@ -101,7 +101,7 @@
 test('after both watchers of the store have died at once, a follower plans as soon as it watches', async t => {
   const fleet = await Fleet.started(35, 9)
   for (const id of fleet.watchers()) fleet.kill(id)
-  t.true(await fleet.settled(observationTime) <= maxTakeoverTime + 200)
+  t.true(await fleet.timeToSettle(observationTime) <= maxTakeoverTime + 200)
   assertOnePlannerAtOnce(t, fleet, 1)
   t.true(fleet.agrees())
 })
@@ -112,7 +112,7 @@
   for (const id of restarted) fleet.kill(id)
   await fleet.run(500)
   await fleet.start(restarted)
-  t.true(await fleet.settled(observationTime) <= maxRestartTime)
+  t.true(await fleet.timeToSettle(observationTime) <= maxRestartTime)
   assertOnePlannerAtOnce(t, fleet, fleet.observed.planners.size)
   t.true(fleet.agrees())
 })
--- a/packages/gateway/test/overload.test.ts
+++ b/packages/gateway/test/overload.test.ts
@@ -6,8 +6,8 @@
 import { simulateOverload } from './overload.js'
 
 /**
- * Maximum number of requests that heads refuse, per caller. It is low because gateways do not choose a place that is
- * known to be taken.
+ * Maximum number of requests that heads refuse, per caller. It is low because gateways do not send to a head that they
+ * know to be full.
  */
 const maxHeadRefusals = 0.05
 
@@ -30,7 +30,7 @@
   for (const each of others) t.true(each >= 0.97, `${each} of the callers of another team answered`)
 })
 
-/** The same if one gateway issues the places. */
+/** The same maximum as `maxHeadRefusals` if one gateway issues the places. */
 const maxHeadRefusalsIssued = 0.02
 
 /** Minimum number of answers in time as a fraction of the capacity of the heads, at a load of 1. */
--- a/packages/gateway/test/overload.ts
+++ b/packages/gateway/test/overload.ts
@@ -32,7 +32,10 @@
   readonly slowShare: number
   /** Share of the callers that ignore `Retry-After` and retry early. */
   readonly impatientShare: number
-  /** Whether gateways rest a head after its refusal. If not, a refusal only says that the request did not run. */
+  /**
+   * Whether gateways send a head no requests for a while after it has refused one. If not, a refusal only means that
+   * the request did not run.
+   */
   readonly usesRefusals: boolean
   /** Whether the queue is a `FairQueue`, which divides room fairly among teams. */
   readonly fair?: boolean
@@ -68,9 +71,9 @@
   readonly servedByTeam: readonly number[]
   /** Share of the callers of each team who were answered at all. */
   readonly answeredByTeam: readonly number[]
-  /** Share answered of the largest tenth of the requests, divided by the share answered of all requests. */
+  /** Of the largest tenth of the requests, the share that was answered, divided by the same share of all requests. */
   readonly largestRatio: number
-  /** Share answered in the end of the callers who retried after a refusal. */
+  /** Of the callers who retried after a refusal, the share that was answered in the end. */
   readonly answeredAfterRefusal: number
   /** The same share among callers who are not impatient. */
   readonly answeredOnRetry: number
--- a/packages/gateway/test/overloadtable.ts
+++ b/packages/gateway/test/overloadtable.ts
@@ -29,8 +29,8 @@
   for (const [load, surgeFactor] of [[1, 1], [1.5, 1], [2, 1], [4, 1], [0.7, 1], [0.7, 10]]) {
     for (const fair of [false, true]) {
       const { goodput, answered, servedByUrgency, servedByTeam: [first, ...others], largestRatio, answeredAfterRefusal, fullWaitShare, answeredAfterFullWait } = await simulateOverload({ seed, gateways, load, surgeFactor, fair, refusalMode: 'queue', slowShare: 0.2, impatientShare: 1 / 3, usesRefusals: true })
-      const rest = others.reduce((sum, each) => sum + each, 0) / others.length
-      process.stdout.write(`| ${gateways} | ${load} | ${surgeFactor} times its usual | ${fair ? 'fair' : 'by age'} | ${percent(goodput)} | ${percent(answered)} | ${servedByUrgency.map(percent).join(', ')} | ${percent(first)}, ${percent(rest)} | ${largestRatio.toFixed(2)} | ${percent(answeredAfterRefusal)} | ${percent(fullWaitShare)} | ${percent(answeredAfterFullWait)} |\n`)
+      const othersMean = others.reduce((sum, each) => sum + each, 0) / others.length
+      process.stdout.write(`| ${gateways} | ${load} | ${surgeFactor} times its usual | ${fair ? 'fair' : 'by age'} | ${percent(goodput)} | ${percent(answered)} | ${servedByUrgency.map(percent).join(', ')} | ${percent(first)}, ${percent(othersMean)} | ${largestRatio.toFixed(2)} | ${percent(answeredAfterRefusal)} | ${percent(fullWaitShare)} | ${percent(answeredAfterFullWait)} |\n`)
     }
   }
 }
--- a/packages/gateway/test/rooms.test.ts
+++ b/packages/gateway/test/rooms.test.ts
@@ -74,7 +74,7 @@
   t.deepEqual(rooms.heartbeatFields, { contended: [], grants: {} })
 })
 
-test('when the counts of all gateways show almost full heads, a request asks the issuer, and the end of each request is reported to it', t => {
+test('when the counts of all gateways show almost full heads, a request asks the issuer for a place, and the end of each request is reported to the issuer', t => {
   const fixture = new Fixture(other)
   fixture.receiveHeartbeat({ inFlight: { a: 1 } })
   const request = fixture.begin()
@@ -92,7 +92,7 @@
   fixture.rooms.stop()
 })
 
-test('a refusal by a head makes its room contended, and at other gateways with the next heartbeat; only a rest closes the head', t => {
+test('a refusal by a head makes its room contended, also at other gateways after the next heartbeat; the head is excluded only while it rests', t => {
   const fixture = new Fixture(other)
   fixture.rooms.answered(head('a'), { status: 503, headers: {}, refused: true, sentAt: 0 })
   t.deepEqual(fixture.newMessages, [`${issuer} {"place":"count","service":"s","model":"m","upstream":"a","count":0,"seen":0}`])
--- a/packages/gateway/test/upstreamfeed.test.ts
+++ b/packages/gateway/test/upstreamfeed.test.ts
@@ -25,7 +25,7 @@
   while (!condition()) await new Promise(resolve => setTimeout(resolve, 10))
 }
 
-/** A source and a gateway that follows it. `age` returns the age of the list of the source, in ms. */
+/** A source and a gateway that follows it. `source.age` returns the age of the source's list, in ms. */
 interface FeedFixture {
   isFollowing: boolean
   /** The age of the newest information each time the gateway stopped following, in ms. */
@@ -83,7 +83,8 @@
     const after = Date.now() - lostAt - feed.pausedTime
     t.true(after < 5 * maxAge, String(after))
     t.true(feed.ages[0] > maxAge, String(feed.ages[0]))
-    // On a busy machine a late answer may have ended the following sooner. After this loop every answer is too old.
+    // On a busy machine the feed may have stopped following sooner, after a late answer. After this loop every answer
+    // is too old.
     while (Date.now() - lostAt <= maxAge) await new Promise(resolve => setTimeout(resolve, 10))
     feed.source.list = [upstream('c')]
     await new Promise(resolve => setTimeout(resolve, 2 * maxAge))
--- a/packages/gateway/test/upstreamlimits.test.ts
+++ b/packages/gateway/test/upstreamlimits.test.ts
@@ -107,7 +107,7 @@
   t.is(await foundAt, 0)
 })
 
-test('a token request is answered by the issuer of the tokens, which learns the limit from it', t => {
+test('the issuer of the tokens answers a token request, and learns the limit from the request', t => {
   const { clock, upstreamLimits, posted, others } = new Fixture()
   const ask = (upstream: string, number: number): void => upstreamLimits.receive(Buffer.from(encodeMessage({ token: 'ask', upstream, number, priority: 1, patience: 1000, limit: [10, 50] })), 'g2:1')
   ask('a', 7)
