--- a/packages/emulator/src/day.ts
+++ b/packages/emulator/src/day.ts
@@ -3,8 +3,8 @@
  * engines are added, orders stay unanswered, and callers request models. Owns the schema of a day, which an operator
  * can fill in from the data of a deployment, and the measurement of what callers lost because replicas were missing.
  *
- * Network, requests and gateways are not emulated. A replica serves as many requests at once as it has slots, and a
- * model's requests are served as far as its replicas have slots for them.
+ * Network, requests and gateways are not emulated. A replica serves as many requests at once as it has slots. Requests
+ * of a model beyond the slots of all its replicas are not served.
  */
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
 import { MemoryPlacements, type Demand } from '@eiderwind/forming'
@@ -127,7 +127,7 @@
   engines.loadFactor = 1
   // Loads before the first request do not count towards the rate limit of the weight store.
   engines.loadTimes.length = 0
-  const brokenBefore = engines.violations.filter(each => each === 'loads').length
+  const earlyLoadViolations = engines.violations.filter(each => each === 'loads').length
   const faults = new FaultInjector(day, engines, random)
   const recorder = new ServiceRecorder(day)
   for (let time = 0; time < day.length; time += sampleInterval) {
@@ -137,7 +137,7 @@
     recorder.sample(engines)
   }
   reconciler.stop()
-  return { ...recorder.result, loads: engines.loadTimes.length, orders: engines.sentOrders.length, broken: engines.violations.length - brokenBefore }
+  return { ...recorder.result, loads: engines.loadTimes.length, orders: engines.sentOrders.length, broken: engines.violations.length - earlyLoadViolations }
 }
 
 function requireEngine (service: Service): EngineService {
@@ -175,7 +175,7 @@
   #hadLapse = false
   #nextDeath: number
   #nextAddition: number
-  #count = 0
+  #addedCount = 0
 
   constructor (day: Day, engines: EmulatedEngines, random: Random) {
     this.#day = day
@@ -194,7 +194,7 @@
     const inMiddle = time > length / 3 && time < length * 2 / 3
     this.#engines.orderDelay = () => inMiddle && this.#random() < late ? minLateDelay + this.#random() * lateDelaySpan : undefined
     for (; this.#nextDeath <= time; this.#nextDeath += this.#exponential(deaths.every)) this.#killRandom(deaths.gone)
-    for (; this.#nextAddition <= time; this.#nextAddition += this.#exponential(added ?? Infinity)) this.#engines.add(`new-${this.#count++}`, `d${Math.floor(this.#random() * this.#day.domains)}`)
+    for (; this.#nextAddition <= time; this.#nextAddition += this.#exponential(added ?? Infinity)) this.#engines.add(`new-${this.#addedCount++}`, `d${Math.floor(this.#random() * this.#day.domains)}`)
     if (dark !== undefined && !this.#hadOutage && time >= this.#outageAt) {
       this.#hadOutage = true
       for (const id of this.#engines.liveEngines) if (this.#engines.upstream(id).domain === this.#outageDomain) this.#kill(id, dark)
@@ -221,7 +221,7 @@
   #kill (id: string, gone: number): void {
     const { domain = '', staged } = this.#engines.upstream(id)
     this.#engines.kill(id)
-    this.#engines.clock.after(gone + this.#random() * returnSpan, () => this.#engines.add(`again-${this.#count++}`, domain, staged))
+    this.#engines.clock.after(gone + this.#random() * returnSpan, () => this.#engines.add(`again-${this.#addedCount++}`, domain, staged))
   }
 
   /** A random time with an exponential distribution. */
--- a/packages/emulator/src/engines.ts
+++ b/packages/emulator/src/engines.ts
@@ -16,16 +16,16 @@
   maxEpoch: number
   heartbeats: number
   /**
-   * The model whose weights are in use. It stays set after the engine has left its replica, when its record names no
-   * model.
+   * The model whose weights are in use. It stays set after the engine has left its replica, although the record of the
+   * engine then has no loaded model.
    */
   modelInUse: string | undefined
 }
 
 /**
  * A broken rule. `partial`: a head was opened before all members of its replica were ready, or with a wrong number of
- * members. `two`: an engine was taken for another replica while its old one was open or closing. `loads`: loads
- * exceeded the rate of the weight store.
+ * members. `two`: an engine joined another replica while the head of its previous one was open or closing. `loads`:
+ * loads exceeded the rate of the weight store.
  */
 export type Violation = 'partial' | 'two' | 'loads'
 
@@ -122,6 +122,7 @@
     if (node.alive && this.roster.find(id) === undefined) this.roster.apply([{ upstream: node.upstream }])
   }
 
+  /** The engine announces that it is leaving. */
   leave (id: string): void {
     this.#update(this.#node(id), { leaving: true })
   }
@@ -160,9 +161,9 @@
     this.sentOrders.push(order)
     const node = this.#nodes.get(order.node)
     if (node === undefined || !node.alive || !node.reachable) return 'unanswered'
-    const late = this.orderDelay(order)
-    if (late === undefined) return this.#carryOut(node, order)
-    this.clock.after(late, () => { if (node.alive) this.#carryOut(node, order) })
+    const delay = this.orderDelay(order)
+    if (delay === undefined) return this.#carryOut(node, order)
+    this.clock.after(delay, () => { if (node.alive) this.#carryOut(node, order) })
     return 'unanswered'
   }
 
@@ -203,8 +204,8 @@
     const key = `${order.replica} ${order.epoch}`
     if (this.#isMember(node, order)) return 'taken'
     if (order.epoch < node.maxEpoch) return 'stale'
-    const own = node.upstream.membership
-    const head = [...this.#nodes.values()].find(each => each.alive && each.upstream.membership?.rank === 0 && each.upstream.membership.replica === own?.replica && each.upstream.membership.epoch === own.epoch)
+    const previous = node.upstream.membership
+    const head = [...this.#nodes.values()].find(each => each.alive && each.upstream.membership?.rank === 0 && each.upstream.membership.replica === previous?.replica && each.upstream.membership.epoch === previous.epoch)
     const state = head?.upstream.membership?.state
     if (state === 'open' || state === 'closing') this.violations.push('two')
     node.maxEpoch = order.epoch
--- a/packages/emulator/src/planner.ts
+++ b/packages/emulator/src/planner.ts
@@ -8,6 +8,10 @@
 export interface PlannerOptions {
   readonly suspects?: ReadonlySet<string>
   readonly isActing?: () => boolean
+  /**
+   * When the planner's process last resumed after a pause, on the engines' clock, in ms; Infinity while it is paused.
+   * Default: it was never paused.
+   */
   readonly resumedAt?: () => number
   /** Whether no caller has been served yet. */
   readonly beforeTraffic?: () => boolean
--- a/packages/emulator/test/evacuation.test.ts
+++ b/packages/emulator/test/evacuation.test.ts
@@ -74,7 +74,7 @@
   reconciler.stop()
 })
 
-test('a model that was served only there and whose weights no other engine holds is loaded by engines of a model with several replicas', async t => {
+test('a model that was served only in the evacuated data centre and whose weights no other engine holds is loaded by engines of a model with several replicas', async t => {
   const world = createWorld([4, 8])
   const reconciler = startPlanner(world, new MemoryPlacements(), new Map([['large', 1], ['small', 0.01]]))
   await advance(world, 20_000)
--- a/packages/emulator/test/forming.test.ts
+++ b/packages/emulator/test/forming.test.ts
@@ -47,8 +47,8 @@
 test('the replicas of each model are spread evenly over the domains', async t => {
   const world = createWorld(3)
   const reconciler = await startPlanner(world)
-  const places = world.openReplicas.map(each => `${world.upstream(each.head).domain ?? ''} ${each.model}`).sort()
-  t.deepEqual(places, ['d0 large', 'd0 small', 'd0 small', 'd1 large', 'd1 small', 'd1 small', 'd2 large', 'd2 small', 'd2 small'])
+  const locations = world.openReplicas.map(each => `${world.upstream(each.head).domain ?? ''} ${each.model}`).sort()
+  t.deepEqual(locations, ['d0 large', 'd0 small', 'd0 small', 'd1 large', 'd1 small', 'd1 small', 'd2 large', 'd2 small', 'd2 small'])
   reconciler.stop()
 })
 
@@ -205,7 +205,7 @@
   reconciler.stop()
 })
 
-test('the members of a dead head are free only after its heartbeat has stopped and it has left orders unanswered', async t => {
+test('the members of a dead head join another replica only after its heartbeat has stopped and it has left orders unanswered', async t => {
   const world = createWorld(3)
   const suspects = new Set<string>()
   const reconciler = await startPlanner(world, new MemoryPlacements(), suspects)
--- a/packages/emulator/test/main.ts
+++ b/packages/emulator/test/main.ts
@@ -16,4 +16,4 @@
   failed++
   process.stdout.write(`seed ${seed}: ${violations.join(' ')}; ${openReplicas} replicas at the end\n`)
 }
-process.stdout.write(`${count - failed} kept, ${failed} broken\n`)
+process.stdout.write(`${count - failed} schedules passed, ${failed} failed\n`)
--- a/packages/emulator/test/placements.test.ts
+++ b/packages/emulator/test/placements.test.ts
@@ -30,8 +30,8 @@
   }
 }
 
-// A planner takes over a large fleet while the store is 60 times slower than usual: 20 domains of 19 engines, and 240
-// ms for each call.
+// A planner takes over a large fleet while the store is 60 times slower than usual: 20 domains of 19 engines, and
+// 240 ms for each call.
 test('a planner that takes over 20 domains of 19 engines has planned all of them within three calls of a slow store', async t => {
   const clock = new ManualClock()
   const world = new World(clock)
--- a/packages/emulator/test/schedules.ts
+++ b/packages/emulator/test/schedules.ts
@@ -75,7 +75,7 @@
 /** Number of events in a schedule. */
 const eventCount = 30
 
-/** What a schedule contains in addition to deaths, departures and arrivals. By default it contains nothing else. */
+/** Further events of a schedule, besides those that every schedule has (see `runSchedule`). Default: none. */
 export interface ScheduleOptions {
   /** Time for which engines that answer but are not listed stay in their replicas, in ms. */
   readonly keepUnlisted?: number
@@ -100,8 +100,7 @@
 
 /**
  * A schedule ends once no order was sent for this time, in ms. It is longer than a late order or a lapse takes.
- * Planners keep some state for longer, so one schedule in `fullSettleEvery` waits for the whole `settleTime` without
- * an order.
+ * Planners keep some state for longer, so one schedule in `fullSettleEvery` continues for the whole `settleTime`.
  */
 const calmTime = 13_000
 const fullSettleEvery = 10
--- a/packages/emulator/test/unlisted.test.ts
+++ b/packages/emulator/test/unlisted.test.ts
@@ -147,7 +147,7 @@
   reconciler.stop()
 })
 
-/** The last schedule did not end when writes of placements durations no time. */
+/** The schedule of the last seed never ended when writes of placements took no time (`ThrottledPlacements`). */
 for (const seed of [...Array.from({ length: 20 }, (_each, index) => index + 1), 300_034]) {
   test.serial(`a random schedule in which engines lose their entries, stop answering and return breaks no rule (seed ${seed})`, async t => {
     const { violations, servable, openReplicas } = await runSchedule(seed, { keepUnlisted, lapseShare: 0.3 })
