--- a/experiments/loader.js
+++ b/experiments/loader.js
@@ -8,10 +8,10 @@
 
 export async function load (url, context, next) {
   const loaded = await next(url, context)
-  const own = edits.filter(each => url.endsWith(each.file))
-  if (own.length === 0) return loaded
+  const fileEdits = edits.filter(each => url.endsWith(each.file))
+  if (fileEdits.length === 0) return loaded
   let source = loaded.source.toString()
-  for (const { file, find, replace } of own) {
+  for (const { file, find, replace } of fileEdits) {
     if (source.split(find).length !== 2) throw new Error(`The variant ${process.env.EIDERWIND_VARIANT} no longer fits ${file}: its text to replace must occur exactly once.`)
     source = source.replace(find, () => replace)
   }
--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -4,7 +4,10 @@
  */
 import { type Figure } from './figures.js'
 
-/** The size of the deployment as the users state it (letter 1). `changes` counts changes per day. */
+/**
+ * The size of the deployment that the users state in their first letter ("letter 1" in docs/CAPACITY.md). `requests`
+ * and `tokens` are per second, `changes` per day.
+ */
 export const deploymentSize = {
   entries: 390,
   workers: 1300,
@@ -18,8 +21,8 @@
 } as const
 
 /**
- * Limits of the control of one daemon (`processor` in ms per second, `bytes` per second, `memory`) and of the platform
- * (`reads`, `writes`).
+ * Limits on the control load of one daemon (`processor` in ms per second, `bytes` per second, `memory` in KiB) and of
+ * the platform (`reads`, `writes`).
  */
 const limits = { processor: 27, bytes: 27_000, memory: 32_768, reads: 2000, writes: 100 } as const
 
--- a/packages/bench/src/control.ts
+++ b/packages/bench/src/control.ts
@@ -72,7 +72,7 @@
 
 /**
  * Sends exchanges with increasing numbers of beats, to separate the cost of a message from the cost of each beat in
- * it.
+ * it. A beat is the short form of a report and has only its counts.
  */
 async function measureExchanges (figures: Figures, fleet: Fleet, clients: Clients): Promise<void> {
   const { child, peers } = fleet.entries[0]
--- a/packages/bench/src/path.ts
+++ b/packages/bench/src/path.ts
@@ -7,7 +7,7 @@
 
 const runs = 3
 
-/** Pairs of calls in one run: one call directly to the stand-in, one through entry and worker. */
+/** Pairs of calls in one run: one directly to the stand-in for the engine, and one through entry and worker. */
 const pairs = 1500
 const warmUpPairs = 500
 const agent = new Agent({ connections: 64, pipelining: 1 })
--- a/packages/bench/src/reader.ts
+++ b/packages/bench/src/reader.ts
@@ -18,11 +18,11 @@
 /** Opens a stream and, when it ends, the next one, so that the number of open streams stays constant. */
 function stream (index: number): void {
   open++
-  let whole = false
+  let isComplete = false
   const ended = (): void => {
     open--
-    if (!whole) broken++
-    setTimeout(() => stream(index), whole ? 0 : 500)
+    if (!isComplete) broken++
+    setTimeout(() => stream(index), isComplete ? 0 : 500)
   }
   agent.dispatch({
     origin,
@@ -35,7 +35,7 @@
     onResponseStart () {},
     onResponseData (_controller, chunk) {
       for (let at = chunk.indexOf('data: '); at >= 0; at = chunk.indexOf('data: ', at + 6)) counted++
-      if (chunk.includes('[DONE]')) whole = true
+      if (chunk.includes('[DONE]')) isComplete = true
     },
     onResponseEnd: ended,
     onResponseError: ended
--- a/packages/bench/src/streams.ts
+++ b/packages/bench/src/streams.ts
@@ -6,6 +6,7 @@
 import { pause, processorTime, residentMemory } from './usage.js'
 
 const readerScript = fileURLToPath(new URL('./reader.js', import.meta.url))
+
 /** Numbers of open streams. */
 const sizes = [500, 1500, 4500]
 
@@ -43,12 +44,12 @@
       await pause(span)
       const seconds = (performance.now() - startedAt) / 1000
       const rate = (countedTokens(children) - before) / seconds
-      const share = (processorTime(pid) - cpuBefore) / seconds / 10
+      const cpuPercent = (processorTime(pid) - cpuBefore) / seconds / 10
       memory.push({ size, value: residentMemory(pid) - idle })
-      cpu.push({ size: rate, value: share * 10 })
+      cpu.push({ size: rate, value: cpuPercent * 10 })
       const note = `${size} streams through one entry, a token each ${tokenTime} ms in each, ${span / 1000} s`
       figures.add(ofRuns(`streams.tokens_${size}`, '1/s', [rate], note))
-      figures.add(ofRuns(`streams.entry_cpu_${size}`, '% of a core', [share], note))
+      figures.add(ofRuns(`streams.entry_cpu_${size}`, '% of a core', [cpuPercent], note))
       figures.add({ name: `streams.broken_${size}`, unit: 'streams', value: rounded(brokenStreams(children)), note })
     } finally {
       const running = children.filter(each => each.running)
--- a/packages/bench/src/usage.ts
+++ b/packages/bench/src/usage.ts
@@ -31,7 +31,7 @@
   while (performance.now() - startedAt < span) {
     const due = Math.floor((performance.now() - startedAt) / 1000 * rate)
     while (done < due) {
-      // Failed calls count too: they also cost the measured process time, and the figures are per call made.
+      // Failed calls count too: the measured process also spends time on them, and the figures are per call made.
       const each = task(done++).catch(() => {}).finally(() => open.delete(each))
       open.add(each)
     }
--- a/scripts/prove.js
+++ b/scripts/prove.js
@@ -1,5 +1,6 @@
 // Applies each deliberate breakage in memory and checks that its test then fails: `npm run prove [-- NAME ...]`. Each
-// test also runs without the breakage, and must pass.
+// test also runs without the breakage, and must pass. With PROVE_VERBOSE set, it prints the output of
+// the tests whose breakage survives.
 import { spawnSync } from 'node:child_process'
 import { readFileSync } from 'node:fs'
 import { pathToFileURL } from 'node:url'
