--- a/packages/gateway/test/fleet.ts
+++ b/packages/gateway/test/fleet.ts
@@ -268,7 +268,8 @@
 }
 
 /**
- * Asserts that no two gateways have planned at once since `resetObservations`, and that `planners` gateways have planned.
+ * Asserts that no two gateways have planned at once since `resetObservations`, and that `planners` gateways have
+ * planned.
  */
 export function assertOnePlannerAtOnce (t: ExecutionContext, fleet: Fleet, planners: number): void {
   t.true(fleet.observed.maxAtOnce <= 1, `${fleet.observed.maxAtOnce} gateways planned at once`)
