--- a/packages/store/src/http.ts
+++ b/packages/store/src/http.ts
@@ -1,18 +1,19 @@
 /**
- * The client of the platform's object API, in the protocol of docs/operators/platform.md. It owns a connection pool and
- * the time-out of each call, and sorts failures into those that certainly had no effect and those that may have had one.
+ * The client of the platform's object API. docs/operators/platform.md describes the protocol. It owns a connection pool
+ * and the time-out of each call. It separates failures that certainly had no effect from failures that may have had
+ * one.
  */
 import { Agent, request, type Dispatcher } from 'undici'
 import { Err, Ok, type Result } from 'ts-results-es'
 import { Fault } from '@eiderwind/fault'
 import { Node } from '@eiderwind/schema'
-import { Store, type Stored } from './store.js'
+import { Store, type StoredObject } from './store.js'
 
 /** Options of the client. */
 export interface HttpStoreOptions {
-  /** Such as `http://127.0.0.1:7000`. */
+  /** The address of the platform, such as `http://127.0.0.1:7000`. */
   readonly url: string
-  /** How long a call may take, in ms. Default: 2000. */
+  /** Time-out of a call, in ms. Default: 2000. */
   readonly timeout?: number
 }
 
@@ -22,54 +23,55 @@
   readonly body: unknown
 }
 
-/** How long a call may take unless the settings say otherwise, in ms. */
-const defaultTimeout = 2000
+/** Default time-out of a call. */
+const defaultTimeoutMs = 2000
 
-/** Most connections to the object API, and how long an idle one is kept, in ms. */
-const mostConnections = 32
-const keepAlive = 10_000
+/** Maximum number of connections to the object API. */
+const maxConnections = 32
 
-/** HTTP statuses of the protocol (RFC 9110) that the client tells apart. */
+/** How long an idle connection stays open. */
+const keepAliveMs = 10_000
+
+/** The HTTP status codes (RFC 9110) that the client distinguishes. */
 const status = { ok: 200, notFound: 404, preconditionFailed: 412, serverError: 500 } as const
 
-/** Errors after which a request was certainly never sent. */
-const unsent = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'ENOTFOUND', 'EHOSTUNREACH', 'ENETUNREACH'])
+/** Error codes after which the request was certainly not sent. */
+const unsentErrorCodes = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'ENOTFOUND', 'EHOSTUNREACH', 'ENETUNREACH'])
 
 /**
- * The object API over HTTP, as docs/operators/platform.md describes it: an object is a resource under `/objects/`, its
- * version is its ETag, a conditional update is a PUT with If-Match or If-None-Match (RFC 9110, section 13), a watch
- * is a GET that waits.
+ * The object API over HTTP. An object is a resource under `/objects/`, and its version is the ETag. A conditional
+ * update is a PUT with If-Match or If-None-Match (RFC 9110, section 13). A watch is a GET that waits for a change.
  */
 export class HttpStore extends Store {
   readonly #url: string
   readonly #timeout: number
-  readonly #agent = new Agent({ connections: mostConnections, keepAliveTimeout: keepAlive })
+  readonly #agent = new Agent({ connections: maxConnections, keepAliveTimeout: keepAliveMs })
 
   constructor (options: HttpStoreOptions) {
     super()
     this.#url = options.url.replace(/\/$/, '')
-    this.#timeout = options.timeout ?? defaultTimeout
+    this.#timeout = options.timeout ?? defaultTimeoutMs
   }
 
-  async read (key: string): Promise<Result<Stored, Fault>> {
+  async read (key: string): Promise<Result<StoredObject, Fault>> {
     return (await this.#call('GET', `/objects/${key}`)).andThen(reply => stored(key, reply))
   }
 
-  async list (prefix: string): Promise<Result<Stored[], Fault>> {
+  async list (prefix: string): Promise<Result<StoredObject[], Fault>> {
     const reply = await this.#call('GET', `/objects?prefix=${encodeURIComponent(prefix)}`)
-    return reply.map(({ body }) => body as Stored[])
+    return reply.map(({ body }) => body as StoredObject[])
   }
 
   async write (key: string, value: unknown, version: number): Promise<Result<number, Fault>> {
     const condition: Record<string, string> = version === 0 ? { 'if-none-match': '*' } : { 'if-match': `"${version}"` }
     const reply = await this.#call('PUT', `/objects/${key}`, { headers: condition, body: JSON.stringify(value) })
-    return reply.andThen(({ status: answered, version: made }) => {
-      if (answered === status.preconditionFailed) return Err(new Fault('stale-revision', { detail: `The object ${key} is no longer at version ${version}.` }))
-      return Ok(made)
+    return reply.andThen(({ status: statusCode, version: newVersion }) => {
+      if (statusCode === status.preconditionFailed) return Err(new Fault('stale-revision', { detail: `The object ${key} is no longer at version ${version}.` }))
+      return Ok(newVersion)
     })
   }
 
-  async watch (key: string, version: number, timeout: number): Promise<Result<Stored, Fault>> {
+  async watch (key: string, version: number, timeout: number): Promise<Result<StoredObject, Fault>> {
     const reply = await this.#call('GET', `/objects/${key}?after=${version}&wait=${timeout}`, { timeout: timeout + this.#timeout })
     return reply.andThen(each => stored(key, each))
   }
@@ -78,7 +80,7 @@
     const reply = await this.#call('GET', '/nodes')
     return reply.andThen(({ body }) => {
       const nodes = Node.array().safeParse(body)
-      return nodes.success ? Ok(nodes.data) : Err(new Fault('store-down', { detail: 'The node list has another shape than expected.' }))
+      return nodes.success ? Ok(nodes.data) : Err(new Fault('store-down', { detail: 'The node list does not match its schema.' }))
     })
   }
 
@@ -97,23 +99,24 @@
         body: options.body
       })
       const text = await response.body.text()
-      if (response.statusCode >= status.serverError) return Err(lost(method, `The object API answered ${response.statusCode}.`))
+      if (response.statusCode >= status.serverError) return Err(callFault(method, `The object API answered ${response.statusCode}.`))
       const version = Number(String(response.headers.etag ?? '"0"').replaceAll('"', ''))
       return Ok({ status: response.statusCode, version, body: text === '' ? null : JSON.parse(text) })
     } catch (error) {
       const code = (error as { code?: string }).code ?? ''
-      const detail = `The object API does not answer (${code || (error as Error).name}).`
-      return Err(unsent.has(code) ? new Fault('store-down', { detail }) : lost(method, detail))
+      const detail = `The object API did not answer (${code || (error as Error).name}).`
+      return Err(unsentErrorCodes.has(code) ? new Fault('store-down', { detail }) : callFault(method, detail))
     }
   }
 }
 
-function stored (key: string, reply: Reply): Result<Stored, Fault> {
+function stored (key: string, reply: Reply): Result<StoredObject, Fault> {
   if (reply.status === status.notFound) return Ok({ key, version: 0, value: null })
   if (reply.status !== status.ok) return Err(new Fault('store-down', { detail: `The object API answered ${reply.status} for ${key}.` }))
   return Ok({ key, version: reply.version, value: reply.body })
 }
 
-function lost (method: string, detail: string): Fault {
+/** The fault of a call that may have reached the store: a write may have been applied. */
+function callFault (method: string, detail: string): Fault {
   return new Fault(method === 'PUT' ? 'store-unknown' : 'store-down', { detail })
 }
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,4 @@
-/** A client of the platform's object API, and the same semantics in memory. */
-export { Store, type Stored } from './store.js'
+/** The platform's object API: the interface, the HTTP client, and an implementation in memory. */
+export { Store, type StoredObject } from './store.js'
 export { HttpStore, type HttpStoreOptions } from './http.js'
 export { MemoryStore } from './memory.js'
--- a/packages/store/test/faulty.ts
+++ b/packages/store/test/faulty.ts
@@ -1,33 +1,36 @@
 import { Err, type Result } from 'ts-results-es'
 import { Fault } from '@eiderwind/fault'
-import { MemoryStore, type Stored } from '../src/index.js'
+import { MemoryStore, type StoredObject } from '../src/index.js'
 
-/** How one call of a faulty store goes: as it should, applied with its answer lost, lost on its way, or refused. */
+/**
+ * The outcome of one call to a faulty store. `well`: it succeeds. `lost-answer`: it is applied, and its answer is lost.
+ * `lost-call`: it is not applied, and the caller cannot tell. `down`: it is refused.
+ */
 export type Turn = 'well' | 'lost-answer' | 'lost-call' | 'down'
 
-/** A fake for tests of what lies above: a store whose reads and writes go as a list says, and well afterwards. */
+/** A fake store for tests of its clients. Reads and writes have the listed outcomes; later calls succeed. */
 export class FaultyStore extends MemoryStore {
-  readonly #turns: Turn[]
+  readonly #outcomes: Turn[]
 
   constructor (turns: readonly Turn[] = []) {
     super()
-    this.#turns = [...turns]
+    this.#outcomes = [...turns]
   }
 
-  /** Adds what befalls the calls after those that are planned already. */
+  /** Appends outcomes of later calls to the list. */
   plan (turns: readonly Turn[]): void {
-    this.#turns.push(...turns)
+    this.#outcomes.push(...turns)
   }
 
-  override async read (key: string): Promise<Result<Stored, Fault>> {
-    return this.#turns.shift() === 'down' ? Err(new Fault('store-down')) : await super.read(key)
+  override async read (key: string): Promise<Result<StoredObject, Fault>> {
+    return this.#outcomes.shift() === 'down' ? Err(new Fault('store-down')) : await super.read(key)
   }
 
   override async write (key: string, value: unknown, version: number): Promise<Result<number, Fault>> {
-    const turn = this.#turns.shift()
-    if (turn === 'down') return Err(new Fault('store-down'))
-    if (turn === 'lost-call') return Err(new Fault('store-unknown'))
+    const outcome = this.#outcomes.shift()
+    if (outcome === 'down') return Err(new Fault('store-down'))
+    if (outcome === 'lost-call') return Err(new Fault('store-unknown'))
     const written = await super.write(key, value, version)
-    return turn === 'lost-answer' ? Err(new Fault('store-unknown')) : written
+    return outcome === 'lost-answer' ? Err(new Fault('store-unknown')) : written
   }
 }
