--- a/packages/config/src/change.ts
+++ b/packages/config/src/change.ts
@@ -1,13 +1,13 @@
 /**
- * The changes that operators may make, and what each does to the configuration. Pure functions: `apply` gives a new value and
- * leaves revision and audit trail to the `Writer`.
+ * The changes that operators can make, and their effect on the configuration. All functions are pure. `apply` returns a
+ * new configuration; the `Writer` sets its revision and audit trail.
  */
 import { z } from 'zod'
 import { Err, Ok, type Result } from 'ts-results-es'
 import { Fault } from '@eiderwind/fault'
 import { Operator, Service, Team, type Configuration } from '@eiderwind/schema'
 
-/** A described change of the configuration. */
+/** A change of the configuration. */
 export const Change = z.discriminatedUnion('type', [
   z.object({ type: z.literal('put-service'), service: Service }),
   z.object({ type: z.literal('drop-service'), name: z.string() }),
@@ -24,7 +24,10 @@
   readonly name: string
 }
 
-/** The configuration after `change`, with the same revision and audit trail, or why the change does not apply. */
+/**
+ * Returns the configuration after `change`, with the same revision and audit trail, or the reason why the change is
+ * invalid.
+ */
 export function apply (configuration: Configuration, change: Change): Result<Configuration, Fault> {
   const { services, teams, operators, leaving } = configuration
   switch (change.type) {
@@ -35,11 +38,11 @@
     case 'drop-team': return drop(teams, change.name, 'team').map(rest => ({ ...configuration, teams: rest }))
     case 'drop-operator': return drop(operators, change.name, 'operator').map(rest => ({ ...configuration, operators: rest }))
     case 'leave': return Ok({ ...configuration, leaving: [...new Set([...leaving, change.id])] })
-    case 'return': return returned(configuration, change.id)
+    case 'return': return undoLeave(configuration, change.id)
   }
 }
 
-/** The change in a few words, for the audit trail. It never contains keys or tokens. */
+/** A short description of the change for the audit trail. It never contains keys or tokens. */
 export function describe (change: Change): string {
   switch (change.type) {
     case 'put-service': return `put service ${change.service.name}`
@@ -62,7 +65,7 @@
   return Ok(items.filter(each => each.name !== name))
 }
 
-function returned (configuration: Configuration, id: string): Result<Configuration, Fault> {
-  if (!configuration.leaving.includes(id)) return Err(new Fault('bad-change', { detail: `${id} was not told to leave.` }))
+function undoLeave (configuration: Configuration, id: string): Result<Configuration, Fault> {
+  if (!configuration.leaving.includes(id)) return Err(new Fault('bad-change', { detail: `${id} is not marked as leaving.` }))
   return Ok({ ...configuration, leaving: configuration.leaving.filter(each => each !== id) })
 }
--- a/packages/config/src/current.ts
+++ b/packages/config/src/current.ts
@@ -1,13 +1,13 @@
 /**
- * The configuration in force in one process. It owns that one value and its listeners, and relies on revisions alone: whichever
- * way a configuration arrives, only a higher revision replaces the present one.
+ * The current configuration of one process. It owns this value and its listeners. It relies on revisions only: a
+ * configuration from any source replaces the current one only if its revision is higher.
  */
 import { type Configuration, emptyConfiguration } from '@eiderwind/schema'
 
 /** Called with each newer configuration. */
 export type ConfigurationListener = (configuration: Configuration) => void
 
-/** The configuration in force in one process. Its revision only rises, whatever the source and order of the configurations. */
+/** The current configuration of one process. Its revision never decreases, in whichever order configurations arrive. */
 export class Current {
   #configuration = emptyConfiguration
   readonly #listeners = new Set<ConfigurationListener>()
@@ -20,7 +20,7 @@
     return this.#configuration.revision
   }
 
-  /** Takes a configuration if it is newer, and says whether it was. */
+  /** Replaces the configuration if the given one is newer. Returns whether it was newer. */
   accept (configuration: Configuration): boolean {
     if (configuration.revision <= this.#configuration.revision) return false
     this.#configuration = configuration
--- a/packages/config/test/writer.test.ts
+++ b/packages/config/test/writer.test.ts
@@ -1,11 +1,13 @@
-/** The accepted configuration under races of operators, lost answers, outages and killed writers. */
+/**
+ * Guards against lost or reordered configuration changes when operators race, answers are lost or the store is down.
+ */
 import test from 'ava'
 import fc from 'fast-check'
 import { ManualClock } from '@eiderwind/clock'
 import { type Configuration } from '@eiderwind/schema'
 import { MemoryStore } from '@eiderwind/store'
-import { FaultyStore, type Turn } from '@eiderwind/store/testing'
-import { Current, Writer, configurationKey, type Change, type ChangeOrder } from '../src/index.js'
+import { FaultyStore, type Turn as CallOutcome } from '@eiderwind/store/testing'
+import { Current, Writer, configurationKey, type Change, type ChangeRequest } from '../src/index.js'
 
 const seed = 20261204
 
@@ -13,14 +15,14 @@
   return { type: 'leave', id }
 }
 
-function order (id: string, more: Partial<ChangeOrder> = {}): ChangeOrder {
+function leaveRequest (id: string, more: Partial<ChangeRequest> = {}): ChangeRequest {
   return { operation: `op-${id}`, who: 'lucia', change: leave(id), ...more }
 }
 
 function writer (store: MemoryStore): Writer {
   const clock = new ManualClock(1_700_000_000_000)
   clock.wait = async () => { clock.advance(100) }
-  return new Writer({ store, clock, patience: 500 })
+  return new Writer({ store, clock, maxWait: 500 })
 }
 
 async function present (store: MemoryStore): Promise<Configuration> {
@@ -29,81 +31,81 @@
 
 interface Case {
   readonly title: string
-  readonly turns: readonly Turn[]
+  readonly calls: readonly CallOutcome[]
   readonly outcome: string
   readonly applied: boolean
 }
 
 const cases: readonly Case[] = [
-  { title: 'all goes well', turns: ['well', 'well'], outcome: 'accepted', applied: true },
-  { title: 'the answer to the write is lost', turns: ['well', 'lost-answer'], outcome: 'accepted', applied: true },
-  { title: 'the write itself is lost', turns: ['well', 'lost-call'], outcome: 'accepted', applied: true },
-  { title: 'the store is down before the write', turns: ['down'], outcome: 'store-down, not-run', applied: false },
-  { title: 'the store is down at the write', turns: ['well', 'down'], outcome: 'store-down, not-run', applied: false },
-  { title: 'the answer is lost and the store goes down for long', turns: ['well', 'lost-answer', ...Array<Turn>(20).fill('down')], outcome: 'store-unknown, unknown', applied: true },
-  { title: 'the answer is lost and the store is down for a moment', turns: ['well', 'lost-answer', 'down', 'down'], outcome: 'accepted', applied: true }
+  { title: 'all calls succeed', calls: ['well', 'well'], outcome: 'accepted', applied: true },
+  { title: 'the answer to the write is lost', calls: ['well', 'lost-answer'], outcome: 'accepted', applied: true },
+  { title: 'the write itself is lost', calls: ['well', 'lost-call'], outcome: 'accepted', applied: true },
+  { title: 'the store is down before the write', calls: ['down'], outcome: 'store-down, not-run', applied: false },
+  { title: 'the store is down at the write', calls: ['well', 'down'], outcome: 'store-down, not-run', applied: false },
+  { title: 'the answer is lost and the store stays down', calls: ['well', 'lost-answer', ...Array<CallOutcome>(20).fill('down')], outcome: 'store-unknown, unknown', applied: true },
+  { title: 'the answer is lost and the store is down for a moment', calls: ['well', 'lost-answer', 'down', 'down'], outcome: 'accepted', applied: true }
 ]
 
-for (const { title, turns, outcome, applied } of cases) {
-  test(`a change where ${title} ends as: ${outcome}`, async t => {
-    const store = new FaultyStore(turns)
-    const result = await writer(store).change(order('n1'))
+for (const { title, calls, outcome, applied } of cases) {
+  test(`a change for which ${title} ends as: ${outcome}`, async t => {
+    const store = new FaultyStore(calls)
+    const result = await writer(store).change(leaveRequest('n1'))
     t.is(result.isOk() ? 'accepted' : `${result.error.code}, ${result.error.outcome}`, outcome)
     const configuration = await present(store)
     t.is(configuration?.leaving.includes('n1') ?? false, applied)
   })
 }
 
-test('a change on a stale revision is refused with both revisions named', async t => {
+test('a change based on a stale revision is refused, and the error names both revisions', async t => {
   const store = new MemoryStore()
-  await writer(store).change(order('n1'))
-  const result = await writer(store).change(order('n2', { revision: 0 }))
+  await writer(store).change(leaveRequest('n1'))
+  const result = await writer(store).change(leaveRequest('n2', { revision: 0 }))
   t.is(result.unwrapErr().code, 'stale-revision')
   t.regex(result.unwrapErr().message, /made on revision 0; the present one is 1/)
 })
 
-test('of two operators who change the same revision at once, one is accepted and one is told', async t => {
+test('of two concurrent changes based on one revision, one is accepted and one is refused', async t => {
   const store = new MemoryStore()
-  const results = await Promise.all(['n1', 'n2'].map(id => writer(store).change(order(id, { revision: 0 }))))
+  const results = await Promise.all(['n1', 'n2'].map(id => writer(store).change(leaveRequest(id, { revision: 0 }))))
   t.deepEqual(results.map(each => each.isOk()).sort(), [false, true])
   t.is((await present(store)).revision, 1)
 })
 
-test('every accepted change stays, in one order, whoever races and whatever is lost', async t => {
+test('every accepted change stays, in a total order, under races, lost calls and lost answers', async t => {
   t.log(`seed ${seed}, 200 runs`)
-  const turn = fc.constantFrom<Turn>('well', 'well', 'well', 'lost-answer', 'lost-call', 'down')
-  await fc.assert(fc.asyncProperty(fc.array(turn, { maxLength: 30 }), async turns => {
-    const store = new FaultyStore(turns)
+  const call = fc.constantFrom<CallOutcome>('well', 'well', 'well', 'lost-answer', 'lost-call', 'down')
+  await fc.assert(fc.asyncProperty(fc.array(call, { maxLength: 30 }), async calls => {
+    const store = new FaultyStore(calls)
     const ids = Array.from({ length: 6 }, (_each, index) => `n${index}`)
-    const results = await Promise.all(ids.map(id => writer(store).change(order(id))))
+    const results = await Promise.all(ids.map(id => writer(store).change(leaveRequest(id))))
     const configuration = await present(store)
     const audited = configuration?.audit.map(each => each.operation) ?? []
-    const kept = ids.every((id, index) => {
+    const isConsistent = ids.every((id, index) => {
       const result = results[index]
-      const there = configuration?.leaving.includes(id) ?? false
-      if (result.isOk()) return there
-      return result.error.outcome === 'unknown' || !there
+      const applied = configuration?.leaving.includes(id) ?? false
+      if (result.isOk()) return applied
+      return result.error.outcome === 'unknown' || !applied
     })
     const inOrder = configuration === null || configuration.audit.every((each, index) => each.to === index + 1 && each.from === index)
-    return kept && inOrder && new Set(audited).size === audited.length
+    return isConsistent && inOrder && new Set(audited).size === audited.length
   }), { seed, numRuns: 200, endOnFailure: true })
   t.pass()
 })
 
-test('the audit trail is moved out when it is full, and nothing of it is lost', async t => {
+test('a full audit trail is archived without losing a record', async t => {
   const store = new MemoryStore()
   const each = writer(store)
-  for (let index = 0; index < 310; index++) (await each.change(order(`n${index}`))).unwrap()
+  for (let index = 0; index < 310; index++) (await each.change(leaveRequest(`n${index}`))).unwrap()
   const archived = (await store.list('audit/')).unwrap().flatMap(({ value }) => value as Configuration['audit'])
   const all = [...archived, ...(await present(store)).audit].map(record => record.to)
   t.deepEqual(all, Array.from({ length: 310 }, (_each, index) => index + 1))
 })
 
-test('the revision of a process only rises, in whichever order configurations come', t => {
+test('the revision of a process never decreases, in whichever order configurations arrive', t => {
   const current = new Current()
-  const heard: number[] = []
-  current.listen(({ revision }) => heard.push(revision))
+  const notified: number[] = []
+  current.listen(({ revision }) => notified.push(revision))
   const configuration = (revision: number): Configuration => ({ ...current.configuration, revision })
   t.deepEqual([3, 1, 3, 5, 4].map(each => current.accept(configuration(each))), [true, false, false, true, false])
-  t.deepEqual(heard, [3, 5])
+  t.deepEqual(notified, [3, 5])
 })
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -224,17 +224,17 @@
     point: 4,
     rule: 'a change whose write may have taken effect is never reported as not run',
     file: 'packages/config/dist/src/writer.js',
-    find: 'return Err(sent ? new Fault(\'store-unknown\') : read.error)',
+    find: 'return Err(mayBeApplied ? new Fault(\'store-unknown\') : read.error)',
     replace: 'return Err(read.error)',
     test: 'packages/config/dist/test/writer.test.js',
-    title: 'a change where the answer is lost and the store goes down*'
+    title: 'a change for which the answer is lost and the store stays down*'
   },
   {
     name: 'change-lost-answer',
     point: 8,
     rule: 'the writer recognises its own change by the operation id',
     file: 'packages/config/dist/src/writer.js',
-    find: 'configuration.audit.some(record => record.operation === order.operation)',
+    find: 'configuration.audit.some(record => record.operation === request.operation)',
     replace: 'false',
     test: 'packages/config/dist/test/writer.test.js',
     title: 'every accepted change stays*'
@@ -247,7 +247,7 @@
     find: 'configuration.revision <= this.#configuration.revision',
     replace: 'false',
     test: 'packages/config/dist/test/writer.test.js',
-    title: 'the revision of a process only rises*'
+    title: 'the revision of a process never decreases*'
   }
 )
 
