--- a/packages/rpc/src/index.ts
+++ b/packages/rpc/src/index.ts
@@ -1,2 +1,2 @@
-/** The operators' schema, as generated from proto/eiderwind/v1/operators.proto. */
+/** The schema of the operators' calls, generated from proto/eiderwind/v1/operators.proto. */
 export * from './gen/eiderwind/v1/operators_pb.js'
