--- a/packages/spread/src/beat.ts
+++ b/packages/spread/src/beat.ts
@@ -1,9 +1,10 @@
 /**
- * The short form of a report between entries: only the counts, for a receiver that has the other parts, with many beats by
- * columns in one message. Pure functions; the columns' names and order are sent.
+ * The beat: the short form of a report between entries. It has only the counts, for a receiver that has the other
+ * parts of the report. A message carries many beats as columns. Pure functions; the columns' names and order are on
+ * the wire.
  */
 
-/** The counts of one report, for a receiver that knows its other parts. */
+/** The counts of one report, for a receiver that has its other parts. */
 export interface Beat {
   readonly worker: string
   /** Digest of the other parts. */
@@ -15,7 +16,7 @@
   readonly age: number
 }
 
-/** Many beats by columns, so that a message names each field once. All columns are of the same length. */
+/** Many beats as columns, so that a message names each field once. All columns have the same length. */
 export interface Beats {
   readonly workers: string[]
   readonly stamps: number[]
@@ -25,7 +26,7 @@
   readonly ages: number[]
 }
 
-/** Beats as columns. */
+/** Converts beats to columns. */
 export function columns (beats: readonly Beat[]): Beats {
   return {
     workers: beats.map(each => each.worker),
@@ -37,7 +38,7 @@
   }
 }
 
-/** Beats from columns. Missing values end the list: a message cut short tells nothing wrong. */
+/** Converts columns to beats. The shortest column ends the list, so that a truncated message gives no wrong beat. */
 export function beatsOf ({ workers, stamps, sequences, running, queued, ages }: Beats): Beat[] {
   const count = Math.min(...[workers, stamps, sequences, running, queued, ages].map(each => each.length))
   return workers.slice(0, count).map((worker, index) => ({
