--- a/packages/plan/src/draft.ts
+++ b/packages/plan/src/draft.ts
@@ -1,11 +1,14 @@
 /**
- * The placement of one domain while it is being planned. It owns the replicas, the next generation and the steps taken so far,
- * and never offers a node that a replica of the domain uses.
+ * The placement of one domain while it is being planned. Owns the replicas, the last generation and the steps so far.
+ * It never offers a node that a replica of the domain uses.
  */
 import { type ModelService, type Placement, type Replica } from '@eiderwind/schema'
 import { emptyPlacement, type Action, type Facts, type NodeFact, type Order, type Plan } from './facts.js'
 
-/** A placement under change: what a planner works on. It keeps nodes from being used twice. */
+/**
+ * A placement that a planner changes step by step. A step that forms or changes a replica gives it a new generation, a
+ * number that rises with each such step in the domain. The generation is the fencing token of the orders to engines.
+ */
 export class Draft {
   readonly domain: string
   readonly #before: Placement
@@ -26,24 +29,24 @@
     return this.#replicas
   }
 
-  /** What is believed of a node of this domain. */
+  /** The facts about a node of this domain. */
   fact (id: string): NodeFact | undefined {
     return this.#facts.get(id)
   }
 
-  /** Live nodes with an engine that belong to no replica, in the order of their names. */
+  /** Live nodes with an engine that belong to no replica, sorted by id. */
   get free (): NodeFact[] {
     const used = new Set(this.#replicas.flatMap(replica => replica.members))
     const free = [...this.#facts.values()].filter(({ node, health }) => health === 'live' && node.service === undefined && !used.has(node.id))
     return free.sort((a, b) => a.node.id < b.node.id ? -1 : 1)
   }
 
-  /** Members that are lost or that the platform no longer lists. */
+  /** Members that are lost, or that the platform no longer lists. */
   lost (replica: Replica): string[] {
     return replica.members.filter(id => (this.fact(id)?.health ?? 'lost') === 'lost')
   }
 
-  /** Members that were told to leave. */
+  /** Members that have been ordered to leave. */
   leaving (replica: Replica): string[] {
     return replica.members.filter(id => this.fact(id)?.health === 'leaving')
   }
@@ -55,30 +58,30 @@
     const { name, version, adapters } = service
     const replica: Replica = { id, service: name, generation, members: [...members], version, adapters, state: 'serving' }
     this.#replicas = [...this.#replicas, replica]
-    this.#note('form', replica)
+    this.#recordOrder('form', replica)
   }
 
-  /** Gives a replica other members or another version, under a new generation. */
+  /** Changes the members or the version of a replica, under a new generation. */
   change (action: Action, replica: Replica, difference: Partial<Pick<Replica, 'members' | 'version' | 'adapters'>>): void {
     const changed = { ...replica, ...difference, generation: ++this.#generation }
     this.#replicas = this.#replicas.map(each => each.id === replica.id ? changed : each)
-    this.#note(action, changed)
+    this.#recordOrder(action, changed)
   }
 
-  /** Takes a replica out. Its head finishes what it has before it releases the members. */
+  /** Removes a replica. Its head finishes its requests before it releases the members. */
   remove (action: Action, replica: Replica): void {
     this.#replicas = this.#replicas.filter(each => each.id !== replica.id)
-    this.#note(action, replica)
+    this.#recordOrder(action, replica)
   }
 
-  /** The finished plan. */
+  /** The plan: the changed placement with its steps, or the placement as it was if there are no steps. */
   finish (): Plan {
     if (this.#orders.length === 0) return { placement: this.#before, orders: [] }
     const placement = { domain: this.domain, revision: this.#before.revision + 1, generation: this.#generation, replicas: [...this.#replicas] }
     return { placement, orders: this.#orders }
   }
 
-  #note (action: Action, replica: Replica): void {
+  #recordOrder (action: Action, replica: Replica): void {
     this.#orders.push({ action, replica: replica.id, members: replica.members })
   }
 }
--- a/packages/plan/src/facts.ts
+++ b/packages/plan/src/facts.ts
@@ -1,23 +1,23 @@
 /**
- * What a plan is made from and what it consists of: nodes with their health, services and placements in; the placement of one
- * domain and the steps to it out. Pure values, without state.
+ * The input and the output of the planner. The input is the nodes with their health, the services and the placements.
+ * The output is the placement of one domain and the steps that lead to it. Plain values without state.
  */
 import { type ModelService, type Node, type Placement } from '@eiderwind/schema'
 
-/** What is believed of a node: `lost` after it was not heard of for too long, `unheard` before it was ever heard of. */
+/** Health of a node: `lost` if no report of it arrived for too long, `unheard` if no report of it ever arrived. */
 export type Health = 'live' | 'leaving' | 'lost' | 'unheard'
 
-/** A node with what is believed of it. */
+/** A node with its health. */
 export interface NodeFact {
   readonly node: Node
   readonly health: Health
-  /** For how long it has been lost, in ms. */
+  /** How long the node has been lost, in ms. */
   readonly lostFor: number
-  /** The version that its engine has loaded, where that is known. */
+  /** The version that its engine has loaded; undefined if not known. */
   readonly loaded: string | undefined
 }
 
-/** Everything that a plan is made from. */
+/** The input of a plan. */
 export interface Facts {
   readonly services: readonly ModelService[]
   readonly nodes: readonly NodeFact[]
@@ -27,13 +27,13 @@
   readonly serving: ReadonlySet<string>
 }
 
-/** What a planner goes by. */
+/** Options of a planner. */
 export interface PlannerOptions {
-  /** How long a node that restarts is away, in ms, as a rule. */
+  /** How long a restart of a node usually takes, in ms. */
   readonly restart: number
 }
 
-/** Why a placement was changed. */
+/** The kind of a step. */
 export type Action = 'form' | 'repair' | 'dissolve' | 'retire' | 'upgrade'
 
 /** One step of a plan. */
@@ -43,13 +43,13 @@
   readonly members: readonly string[]
 }
 
-/** A new placement for one domain and the steps that lead to it. No steps: the placement is the old one. */
+/** A placement for one domain and the steps that lead to it. Without steps, the placement is the old one. */
 export interface Plan {
   readonly placement: Placement
   readonly orders: readonly Order[]
 }
 
-/** The placement of a domain that has none yet. */
+/** The placement of a domain that has no stored placement yet. */
 export function emptyPlacement (domain: string): Placement {
   return { domain, revision: 0, generation: 0, replicas: [] }
 }
--- a/packages/plan/src/repairing.ts
+++ b/packages/plan/src/repairing.ts
@@ -1,17 +1,18 @@
 /**
- * The planner: turns facts into the next placement of one fabric domain. Pure, without a clock; the same facts give the same
- * plan at every entry. docs/design/planner.md has the rule, its measurements and what was tried and dropped.
+ * The planner: computes the next placement of one fabric domain from facts. It is a pure function without a clock, so
+ * the same facts give the same plan at every entry. docs/design/planner.md has the rule, its measurements and the
+ * alternatives that were dropped.
  */
 import { weight } from '@eiderwind/hash'
 import { type ModelService, type Replica } from '@eiderwind/schema'
 import { Draft } from './draft.js'
 import { type Facts, type NodeFact, type Plan, type PlannerOptions } from './facts.js'
-import { excess, wanting } from './quota.js'
+import { surplusReplicas, replicasToAdd } from './quota.js'
 
 /**
- * Turns facts into the placement of one domain. It swaps lost nodes for spares and keeps the other members, whose weights stay loaded; it
- * takes apart one broken replica to mend others when there are no spares; it changes one serving replica of a
- * service at a time when a version changes.
+ * Computes the placement of one domain from facts. It replaces lost nodes by spares and keeps the other members, whose
+ * weights stay loaded. Without spares it dissolves one broken replica to repair others. When a version changes, it
+ * changes one serving replica of a service at a time.
  */
 export class Repairing {
   readonly #options: PlannerOptions
@@ -20,12 +21,12 @@
     this.#options = options
   }
 
-  /** The next placement of a domain; the present one where there is nothing to do. */
+  /** The next placement of a domain; the present one if nothing is to be done. */
   plan (domain: string, facts: Facts): Plan {
     const draft = new Draft(domain, facts)
     this.#retire(draft, facts)
     this.#repair(draft)
-    this.#replace(draft, facts)
+    this.#replaceLeaving(draft, facts)
     this.#upgrade(draft, facts)
     this.#form(draft, facts)
     return draft.finish()
@@ -34,14 +35,14 @@
   #retire (draft: Draft, facts: Facts): void {
     const names = new Set(draft.replicas.map(each => each.service))
     for (const name of names) {
-      const surplus = new Set(excess(facts.services.find(each => each.name === name), name, facts))
+      const surplus = new Set(surplusReplicas(facts.services.find(each => each.name === name), name, facts))
       for (const replica of draft.replicas) if (surplus.has(replica.id)) draft.remove('retire', replica)
     }
   }
 
   /**
-   * Mends broken replicas, those that lack least first. A spare is taken at once: a node that comes back has to load
-   * its weights as well, so waiting for it never pays while there is a spare.
+   * Repairs broken replicas, those with the fewest lost members first. A spare is used at once. Waiting for the lost
+   * node is never faster while there is a spare, since a node that returns has to load its weights as well.
    */
   #repair (draft: Draft): void {
     const broken = draft.replicas.filter(replica => draft.lost(replica).length > 0)
@@ -50,7 +51,7 @@
       const replica = broken.shift() as Replica
       const lost = draft.lost(replica)
       const donor = broken.at(-1)
-      if (draft.free.length < lost.length && donor !== undefined && this.#gone(draft, donor)) {
+      if (draft.free.length < lost.length && donor !== undefined && this.#isGoneForLong(draft, donor)) {
         draft.remove('dissolve', donor)
         broken.pop()
       }
@@ -58,13 +59,15 @@
     }
   }
 
-  /** Whether a replica's lost nodes have been away for longer than a restart takes, so that they will hardly be back soon. */
-  #gone (draft: Draft, replica: Replica): boolean {
+  /**
+   * Whether a replica's lost nodes have been lost for longer than a restart takes, and will probably not return soon.
+   */
+  #isGoneForLong (draft: Draft, replica: Replica): boolean {
     return draft.lost(replica).every(id => (draft.fact(id)?.lostFor ?? Infinity) > this.#options.restart)
   }
 
-  /** Moves one replica a plan off a node that leaves, while the service's other replicas serve. */
-  #replace (draft: Draft, facts: Facts): void {
+  /** Replaces the leaving members of one replica per plan, if the other replicas of the service serve. */
+  #replaceLeaving (draft: Draft, facts: Facts): void {
     for (const replica of draft.replicas) {
       const leaving = draft.leaving(replica)
       if (leaving.length === 0 || draft.lost(replica).length > 0) continue
@@ -76,15 +79,15 @@
 
   #upgrade (draft: Draft, facts: Facts): void {
     for (const service of facts.services) {
-      const due = draft.replicas.find(replica => replica.service === service.name && outdated(replica, service))
-      if (due === undefined || !othersServe(due, facts) || !firstOutdated(due, service, facts)) continue
-      draft.change('upgrade', due, { version: service.version, adapters: service.adapters })
+      const candidate = draft.replicas.find(replica => replica.service === service.name && isOutdated(replica, service))
+      if (candidate === undefined || !othersServe(candidate, facts) || !isFirstOutdated(candidate, service, facts)) continue
+      draft.change('upgrade', candidate, { version: service.version, adapters: service.adapters })
     }
   }
 
   #form (draft: Draft, facts: Facts): void {
     for (const service of facts.services) {
-      const count = wanting(service, draft.domain, facts)
+      const count = replicasToAdd(service, draft.domain, facts)
       for (let index = 0; index < count; index++) {
         const members = this.#choose(draft.free, service.members, service.version, `${service.name}.${index}`)
         if (members.length < service.members) break
@@ -93,14 +96,17 @@
     }
   }
 
-  #swap (draft: Draft, action: 'repair', replica: Replica, gone: readonly string[]): void {
-    const spares = this.#choose(draft.free, gone.length, replica.version, replica.id)
-    if (spares.length < gone.length) return
-    const kept = replica.members.filter(id => !gone.includes(id))
-    draft.change(action, replica, { members: [...kept, ...spares] })
+  #swap (draft: Draft, action: 'repair', replica: Replica, replaced: readonly string[]): void {
+    const spares = this.#choose(draft.free, replaced.length, replica.version, replica.id)
+    if (spares.length < replaced.length) return
+    const remaining = replica.members.filter(id => !replaced.includes(id))
+    draft.change(action, replica, { members: [...remaining, ...spares] })
   }
 
-  /** Nodes that have the version loaded first, then by rendezvous hashing, so that two planners choose alike. */
+  /**
+   * The first `count` nodes: those that have loaded the version first, then by rendezvous hashing, so that planners
+   * choose alike.
+   */
   #choose (free: readonly NodeFact[], count: number, version: string, key: string): string[] {
     const order = [...free].sort((a, b) => {
       const loaded = Number(b.loaded === version) - Number(a.loaded === version)
@@ -110,7 +116,7 @@
   }
 }
 
-function outdated (replica: Replica, service: ModelService): boolean {
+function isOutdated (replica: Replica, service: ModelService): boolean {
   return replica.version !== service.version || replica.adapters.join() !== service.adapters.join()
 }
 
@@ -120,8 +126,8 @@
   return others.every(each => facts.serving.has(each.id))
 }
 
-/** Whether the replica is the first of those still to be changed in all domains, so that planners take turns. */
-function firstOutdated (replica: Replica, service: ModelService, facts: Facts): boolean {
-  const waiting = facts.placements.flatMap(({ replicas }) => replicas.filter(each => each.service === service.name && outdated(each, service)))
-  return waiting.every(each => each.id >= replica.id)
+/** Whether the replica is the first outdated one of its service in all domains, so that planners take turns. */
+function isFirstOutdated (replica: Replica, service: ModelService, facts: Facts): boolean {
+  const allOutdated = facts.placements.flatMap(({ replicas }) => replicas.filter(each => each.service === service.name && isOutdated(each, service)))
+  return allOutdated.every(each => each.id >= replica.id)
 }
--- a/packages/plan/test/plan.test.ts
+++ b/packages/plan/test/plan.test.ts
@@ -1,3 +1,7 @@
+/**
+ * The plan that the planner makes for one domain: repairs, upgrades, retirements, and the rules that hold for every
+ * plan.
+ */
 import test from 'ava'
 import fc from 'fast-check'
 import { type ModelService, type Node, type Placement } from '@eiderwind/schema'
@@ -20,30 +24,30 @@
   return { services: [service()], nodes, placements: [placement], serving: new Set(placement.replicas.map(each => each.id)), ...more }
 }
 
-/** The placement after a planner has formed what is wanted on live nodes. */
+/** The placement after a planner has formed the wanted replicas on live nodes. */
 function formed (ids: readonly string[], more: Partial<ModelService> = {}): Placement {
   return new Repairing({ restart }).plan('d', facts(ids.map(id => fact(id)), emptyPlacement('d'), { services: [service(more)] })).placement
 }
 
-test('a lost node is swapped for a spare, and the others keep their place', t => {
+test('a lost node is replaced by a spare, and the other members stay, under a new generation', t => {
   const before = formed(['a', 'b', 'c', 'e'])
-  const [gone, kept] = before.replicas[0].members
-  const nodes = ['a', 'b', 'c', 'e'].map(id => fact(id, id === gone ? 'lost' : 'live'))
+  const [lost, remaining] = before.replicas[0].members
+  const nodes = ['a', 'b', 'c', 'e'].map(id => fact(id, id === lost ? 'lost' : 'live'))
   const { placement, orders } = new Repairing({ restart }).plan('d', facts(nodes, before))
   t.is(orders[0].action, 'repair')
-  t.is(placement.replicas[0].members[0], kept)
-  t.false(placement.replicas[0].members.includes(gone))
+  t.is(placement.replicas[0].members[0], remaining)
+  t.false(placement.replicas[0].members.includes(lost))
   t.true(placement.replicas[0].generation > before.replicas[0].generation)
   t.is(placement.revision, before.revision + 1)
 })
 
-test('of the spares, one that has the version loaded is taken', t => {
+test('a spare that has loaded the version is preferred to other spares', t => {
   const before = formed(['a', 'b'])
   const nodes = [fact('a', 'lost'), fact('b'), fact('c'), fact('e', 'live', { loaded: 'v1' }), fact('f')]
   t.true(new Repairing({ restart }).plan('d', facts(nodes, before)).placement.replicas[0].members.includes('e'))
 })
 
-test('without a spare, one of two broken replicas mends the other once its node is gone for longer than a restart', t => {
+test('without a spare, one of two broken replicas is dissolved to repair the other, once its node is lost for longer than a restart', t => {
   const before = formed(['a', 'b', 'c', 'e'], { replicas: 2 })
   const lost = new Set(before.replicas.map(each => each.members[0]))
   const plan = (lostFor: number) => {
@@ -54,7 +58,7 @@
   t.deepEqual(plan(restart + 1).orders.map(each => each.action), ['dissolve', 'repair'])
 })
 
-test('a version changes one replica at a time, while the others serve', t => {
+test('a new version is rolled out to one replica at a time, and only while the others serve', t => {
   const before = formed(['a', 'b', 'c', 'e'], { replicas: 2 })
   const nodes = ['a', 'b', 'c', 'e'].map(id => fact(id))
   const wanted = { services: [service({ replicas: 2, version: 'v2' })] }
@@ -66,20 +70,20 @@
   t.deepEqual(new Repairing({ restart }).plan('d', facts(nodes, first.placement, wanted)).orders.map(each => each.action), ['upgrade'])
 })
 
-test('replicas beyond the wanted number are retired, and a dropped service is too', t => {
+test('replicas above the wanted number are retired, and so are those of a dropped service', t => {
   const before = formed(['a', 'b', 'c', 'e'], { replicas: 2 })
   const nodes = ['a', 'b', 'c', 'e'].map(id => fact(id))
   t.is(new Repairing({ restart }).plan('d', facts(nodes, before)).placement.replicas.length, 1)
   t.is(new Repairing({ restart }).plan('d', facts(nodes, before, { services: [] })).placement.replicas.length, 0)
 })
 
-test('two planners with the same facts plan alike', t => {
+test('two planners with the same facts make the same plan', t => {
   const nodes = ['a', 'b', 'c', 'e', 'f'].map(id => fact(id))
   const plan = (order: readonly NodeFact[]) => new Repairing({ restart }).plan('d', facts(order, emptyPlacement('d')))
   t.deepEqual(plan(nodes), plan([...nodes].reverse()))
 })
 
-test('whatever nodes do, the repairing planner puts no node into two replicas, and generations only rise', t => {
+test('over random histories, no node is in two replicas and the generation never falls', t => {
   const planner = new Repairing({ restart })
   const health = fc.constantFrom<Health>('live', 'live', 'live', 'leaving', 'lost', 'unheard')
   const round = fc.record({ healths: fc.array(health, { minLength: 9, maxLength: 9 }), replicas: fc.nat(5), version: fc.constantFrom('v1', 'v2'), lostFor: fc.constantFrom(0, 2 * restart) })
