--- a/packages/route/src/affinity.ts
+++ b/packages/route/src/affinity.ts
@@ -1,43 +1,44 @@
 /**
- * Remembers which replicas served which prompts last, so that a prompt with a known prefix goes where its KV cache is. It
- * owns a bounded table of prefix digests. A wrong or missing entry costs time, never correctness.
+ * Remembers which replicas served which prompts last. A prompt with a known prefix can then go to a replica that has
+ * the prefix in its KV cache. Owns a bounded table of prefix digests. A wrong or missing row costs time, never
+ * correctness.
  */
 import { digest } from '@eiderwind/hash'
 
 /** Characters in one block of a prompt's prefix. */
 const blockSize = 256
 
-/** Blocks of a prompt that are looked at, from its start. */
-const mostBlocks = 32
+/** Number of blocks of a prompt that are read, from its start. */
+const maxBlocksPerPrompt = 32
 
-/** Replicas remembered for one block. */
+/** Number of replicas stored for one block. */
 const replicasPerBlock = 3
 
-/** Blocks that are remembered: a bound of memory. */
-const defaultLimit = 20_000
+/** Number of blocks that are stored by default. It bounds the memory of the table. */
+const defaultMaxStoredBlocks = 20_000
 
-/** The digests of a prompt's prefixes, one for each whole block, shortest first. */
+/** The digests of a prompt's prefixes, one for each complete block, shortest first. */
 export function prefixes (prompt: string): number[] {
   const found: number[] = []
   let chain = 0
-  for (let end = blockSize; end <= prompt.length && found.length < mostBlocks; end += blockSize) {
+  for (let end = blockSize; end <= prompt.length && found.length < maxBlocksPerPrompt; end += blockSize) {
     chain = digest(`${chain}\u0000${prompt.slice(end - blockSize, end)}`)
     found.push(chain)
   }
   return found
 }
 
-/** Which replicas served which prefixes last. Bounded; the longest unused is forgotten first. */
+/** Stores which replicas served which prefixes last. The least recently used block is evicted first. */
 export class Affinity {
-  readonly #limit: number
+  readonly #maxStoredBlocks: number
   readonly #blocks = new Map<number, string[]>()
 
-  /** @param limit blocks that are remembered. Default: 20,000 */
-  constructor (limit = defaultLimit) {
-    this.#limit = limit
+  /** @param limit maximum number of stored blocks. Default: 20,000 */
+  constructor (limit = defaultMaxStoredBlocks) {
+    this.#maxStoredBlocks = limit
   }
 
-  /** The replicas that served the longest known prefix, latest first. */
+  /** The replicas that served the longest known prefix of a prompt, latest first. */
   prefix (blocks: readonly number[]): readonly string[] {
     for (let index = blocks.length - 1; index >= 0; index--) {
       const replicas = this.#blocks.get(blocks[index])
@@ -46,17 +47,17 @@
     return []
   }
 
-  /** Notes that `replica` serves a prompt. */
+  /** Records that `replica` serves a prompt. */
   served (replica: string, blocks: readonly number[]): void {
     for (const block of blocks) {
       const others = (this.#blocks.get(block) ?? []).filter(each => each !== replica)
-      refresh(this.#blocks, block, [replica, ...others].slice(0, replicasPerBlock), this.#limit)
+      setNewest(this.#blocks, block, [replica, ...others].slice(0, replicasPerBlock), this.#maxStoredBlocks)
     }
   }
 }
 
-/** Sets a value as the newest of a bounded map. */
-function refresh<Index, Value> (map: Map<Index, Value>, index: Index, value: Value, limit: number): void {
+/** Sets a value as the newest of a bounded map and evicts the oldest one if the map is full. */
+function setNewest<Index, Value> (map: Map<Index, Value>, index: Index, value: Value, limit: number): void {
   map.delete(index)
   map.set(index, value)
   if (map.size <= limit) return
--- a/packages/route/src/balanced.ts
+++ b/packages/route/src/balanced.ts
@@ -1,35 +1,42 @@
 /**
- * The choice of a replica for one request. It owns the turn in which each replica was picked last; load and warmth come
- * with each call. docs/design/routing.md has the rule, its measurements and what was tried and dropped.
+ * Chooses the replica for one request. Owns the turn in which each replica was picked last. The caller passes the load
+ * of the replicas, and which of them are warm, with each call. docs/design/routing.md has the rule, its measurements
+ * and the alternatives that were dropped.
  */
 import { type Random } from '@eiderwind/clock'
-import { least, type Candidate, type Preference } from './candidate.js'
+import { minBy, type Candidate, type Preference } from './candidate.js'
 
 /** The settings of the balanced policy. */
 export interface BalancedOptions {
-  /** Has entries that start together begin with different replicas. */
+  /** Makes entries that start at the same time begin with different replicas. */
   readonly random: Random
-  /** Requests that this entry may have open at a warm replica beyond the least. Default: 4. */
+  /** Maximum number of open requests of this entry at a warm replica above the least busy candidate's. Default: 4. */
   readonly slack?: number
-  /** Factor by which they may be more. Default: 1.5. */
+  /** Maximum ratio of the two numbers, where it allows more than `slack`. Default: 1.5. */
   readonly factor?: number
 }
 
-/** Requests more than the least busy candidate that a warm one may have open. */
+/** How many more open requests than the least busy candidate a warm one may have. */
 const defaultSlack = 4
 
-/** Times as many as the least busy candidate that a warm one may have open. From the paper that routing.md names. */
+/**
+ * How many times as many open requests as the least busy candidate a warm one may have. From the paper cited in
+ * routing.md.
+ */
 const defaultFactor = 1.5
 
-/** Replicas whose last turn is remembered: far above the replicas that one entry sees. */
-const mostTurns = 10_000
+/** Maximum number of replicas whose last turn is stored. An entry sees far fewer replicas. */
+const maxStoredTurns = 10_000
 
 /**
- * The choice of a replica, or of a worker of a plain service. A replica that is warm for the session or the prompt's prefix is kept while this entry has little
- * more open there than elsewhere; otherwise the replica with least open requests of this entry is taken, and of equals
- * the one that was picked longest ago. What replicas report is left out: it lags, and entries that go by the same old
- * reports run to the same replicas (docs/design/routing.md has the figures). What an entry has open is exact, and
- * grows by itself where a replica is slow.
+ * Chooses a replica, or a worker of a plain service. A candidate is warm if entries prefer it for the session or if it
+ * served the prompt's prefix. A warm candidate is picked while this entry has few more open requests there than
+ * elsewhere. Otherwise the candidate with the fewest open requests of this entry is picked; of equal ones, the one
+ * that was picked longest ago.
+ *
+ * The load that replicas report is not used. Reports lag, and entries that read the same old reports would all choose
+ * the same replicas (docs/design/routing.md has the figures). The number of open requests of an entry is exact, and it
+ * rises at a replica that is slow.
  */
 export class Balanced {
   readonly #random: Random
@@ -37,7 +44,7 @@
   readonly #factor: number
   /** By replica: the turn in which it was picked last. */
   readonly #turns = new Map<string, number>()
-  #turn = 0
+  #latestTurn = 0
 
   constructor (options: BalancedOptions) {
     this.#random = options.random
@@ -45,44 +52,44 @@
     this.#factor = options.factor ?? defaultFactor
   }
 
-  /** The candidate to send a request to. The list holds at least one. */
+  /** The candidate to send a request to. The list must not be empty. */
   pick (candidates: readonly Candidate[], preference: Preference): Candidate {
-    const idle = this.#idle(candidates)
-    const picked = this.#warm(candidates, preference, idle.open) ?? idle
-    this.#note(picked)
+    const leastBusy = this.#leastBusy(candidates)
+    const picked = this.#warmCandidate(candidates, preference, leastBusy.open) ?? leastBusy
+    this.#recordTurn(picked)
     return picked
   }
 
-  /** The candidate with least open; of equals the one that was picked longest ago. */
-  #idle (candidates: readonly Candidate[]): Candidate {
-    const fewest = least(candidates, each => each.open).open
-    return least(candidates.filter(each => each.open === fewest), each => this.#lastTurn(each))
+  /** The candidate with the fewest open requests; of equal ones, the one that was picked longest ago. */
+  #leastBusy (candidates: readonly Candidate[]): Candidate {
+    const minOpen = minBy(candidates, each => each.open).open
+    return minBy(candidates.filter(each => each.open === minOpen), each => this.#lastTurn(each))
   }
 
-  /** The first of the session's replicas that is within the guard; else the least busy one that knows the prefix. */
-  #warm (candidates: readonly Candidate[], { session, prefix }: Preference, floor: number): Candidate | undefined {
-    const within = candidates.filter(each => each.open <= Math.max(floor + this.#slack, floor * this.#factor))
+  /** The first of the session's replicas that is not too busy; if none, the least busy one that served the prefix. */
+  #warmCandidate (candidates: readonly Candidate[], { session, prefix }: Preference, minOpen: number): Candidate | undefined {
+    const allowed = candidates.filter(each => each.open <= Math.max(minOpen + this.#slack, minOpen * this.#factor))
     for (const id of session) {
-      const home = within.find(each => each.id === id)
-      if (home !== undefined) return home
+      const preferred = allowed.find(each => each.id === id)
+      if (preferred !== undefined) return preferred
     }
-    const knowing = within.filter(each => prefix.includes(each.id))
-    return knowing.length === 0 ? undefined : least(knowing, each => each.open)
+    const servedPrefix = allowed.filter(each => prefix.includes(each.id))
+    return servedPrefix.length === 0 ? undefined : minBy(servedPrefix, each => each.open)
   }
 
-  /** The turn in which a candidate was picked last; one that never was has a random place before all turns. */
+  /** The turn in which a candidate was picked last. One that was never picked gets a random turn before all others. */
   #lastTurn ({ id }: Candidate): number {
     const known = this.#turns.get(id)
     if (known !== undefined) return known
-    const place = -this.#random()
-    this.#turns.set(id, place)
-    return place
+    const initialTurn = -this.#random()
+    this.#turns.set(id, initialTurn)
+    return initialTurn
   }
 
-  #note ({ id }: Candidate): void {
+  #recordTurn ({ id }: Candidate): void {
     this.#turns.delete(id)
-    this.#turns.set(id, ++this.#turn)
-    if (this.#turns.size <= mostTurns) return
+    this.#turns.set(id, ++this.#latestTurn)
+    if (this.#turns.size <= maxStoredTurns) return
     const [oldest] = this.#turns.keys()
     this.#turns.delete(oldest)
   }
--- a/packages/route/src/candidate.ts
+++ b/packages/route/src/candidate.ts
@@ -1,46 +1,46 @@
 /**
- * What the choice of a replica is made from: the candidates with their load, and what of the request prefers some of them.
- * Pure values, without state.
+ * The inputs of the choice of a replica: the candidates with their load, and the request's preference for some of them.
+ * Plain values without state.
  */
 
-/** A replica, or a worker of a plain service, as an entry sees it when it has to choose. */
+/** A replica, or a worker of a plain service, that an entry can choose for a request. */
 export interface Candidate {
   readonly id: string
-  /** Requests that ran and waited there when it reported. */
+  /** Number of requests that ran or waited there when it made its last report. */
   readonly reported: number
-  /** Requests that run at once there. */
+  /** Number of requests that can run there concurrently. */
   readonly concurrency: number
-  /** Requests that this entry has open there. */
+  /** Number of requests that this entry has open there. */
   readonly open: number
-  /** Requests that this entry has sent there since what it reported, and that the report cannot know. */
+  /** Number of requests that this entry has sent there since the last report, which does not include them. */
   readonly unseen: number
 }
 
-/** What of a request steers the choice. No part is needed for correctness. */
+/** The candidates that a request prefers. A wrong or empty preference costs time, never correctness. */
 export interface Preference {
-  /** The replicas that every entry prefers for this session, best first; empty where the request names none. */
+  /** The replicas that every entry prefers for this session, best first; empty if the request names no session. */
   readonly session: readonly string[]
   /** The replicas that served the longest known prefix of the prompt, latest first. */
   readonly prefix: readonly string[]
 }
 
-/** The preference of a request of which nothing is known. */
+/** The preference of a request without a session or a known prefix. */
 export const noPreference: Preference = { session: [], prefix: [] }
 
-/** Requests that run or wait at a candidate, as far as reports that lag can tell. */
+/** Estimate of the requests that run or wait at a candidate. The estimate is inexact because reports lag. */
 export function load (candidate: Candidate): number {
   return candidate.reported + candidate.unseen
 }
 
-/** The least of `candidates` by `measure`; the first of equals. */
-export function least (candidates: readonly Candidate[], measure: (candidate: Candidate) => number): Candidate {
+/** The candidate with the lowest `measure`; the first of equal ones. */
+export function minBy (candidates: readonly Candidate[], measure: (candidate: Candidate) => number): Candidate {
   let best = candidates[0]
-  let value = measure(best)
+  let minValue = measure(best)
   for (const candidate of candidates.slice(1)) {
     const other = measure(candidate)
-    if (other >= value) continue
+    if (other >= minValue) continue
     best = candidate
-    value = other
+    minValue = other
   }
   return best
 }
