--- a/packages/worker/src/calls.ts
+++ b/packages/worker/src/calls.ts
@@ -1,6 +1,7 @@
 /**
- * What a worker answers to heads, entries and other workers: claims of its node, votes, and what became of an attempt. Relies
- * on `grants.ts` for what was given.
+ * Answers the calls that heads, entries and other workers make to a worker: claims of its node and of its vote, the
+ * outcome of an attempt, and books of runs. Owns the newest revision of the list of voters that this process has seen.
+ * Relies on `grants.ts` for the grants and on `run` for attempts and books.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Attempts } from '@eiderwind/run'
@@ -9,21 +10,21 @@
 import { type WorkerBoard } from './facts.js'
 import { nodeResource, replicaHolder, type Grants } from './grants.js'
 
-/** What the calls of a worker stand on. */
+/** What `Calls` depends on. */
 export interface CallsOptions {
   readonly clock: Clock
   readonly board: WorkerBoard
   readonly grants: Grants
   readonly attempts: Attempts
   readonly incarnation: string
-  /** Takes the book of a slot of keys, and says whether it could. */
-  readonly inherit: (handover: Handover) => boolean
+  /** Takes over the book of runs of a slot. Returns false if this worker cannot use it. */
+  readonly takeBook: (handover: Handover) => boolean
 }
 
-/** The calls of a worker: claims of its node and its votes, and the fate of attempts. */
+/** Answers claims of this worker's node and vote, and reports the outcome of an attempt. */
 export class Calls extends WorkerCalls {
   readonly #options: CallsOptions
-  #votersSeen = 0
+  #newestVotersRevision = 0
 
   constructor (options: CallsOptions) {
     super()
@@ -32,11 +33,11 @@
 
   async claim (message: ClaimMessage): Promise<ClaimAnswer> {
     const { grants } = this.#options
-    const leaving = this.#leaving()
-    const refused = leaving && message.resource === nodeResource && grants.node !== message.holder
-    if (refused || this.#outdated(message)) return { answer: { granted: false, reason: 'held', wait: 0 }, ready: false, leaving }
+    const leaving = this.#isLeaving()
+    const refused = leaving && message.resource === nodeResource && grants.nodeHolder !== message.holder
+    if (refused || this.#isOutdated(message)) return { answer: { granted: false, reason: 'held', wait: 0 }, ready: false, leaving }
     const answer = grants.claim(message)
-    return { answer, ready: this.#ready(message), leaving }
+    return { answer, ready: this.#isReady(message), leaving }
   }
 
   async release (message: ClaimMessage): Promise<void> {
@@ -49,39 +50,45 @@
   }
 
   async inherit (handover: Handover): Promise<boolean> {
-    return !this.#leaving() && this.#options.inherit(handover)
+    return !this.#isLeaving() && this.#options.takeBook(handover)
   }
 
   /**
-   * Whether a claim of a home goes by an older list of voters than this voter has ever heard of. Such a claim is
-   * refused, so that a majority of an outdated list can no longer be found once a majority of the next one knows it.
-   * A voter that has started has forgotten which lists it knew, so it gives no vote before an entry has told it one.
+   * Whether a claim of a home uses an older list of voters than the newest one that this voter has seen. Such a claim
+   * is refused. Once a majority of the next list has seen that list, no majority of the outdated list can form.
+   * A restarted voter has lost the revisions that it had seen, so it gives no vote until an entry has sent it a list.
    */
-  #outdated ({ resource, revision }: ClaimMessage): boolean {
+  #isOutdated ({ resource, revision }: ClaimMessage): boolean {
     if (resource === nodeResource) return false
     const assignment = this.#options.board.read('assignment')
     if (assignment?.kind !== 'plain') return true
-    this.#votersSeen = Math.max(this.#votersSeen, revision, assignment.revision)
-    return revision < this.#votersSeen
+    this.#newestVotersRevision = Math.max(this.#newestVotersRevision, revision, assignment.revision)
+    return revision < this.#newestVotersRevision
   }
 
-  #leaving (): boolean {
-    return this.#options.board.read('stopping') || this.#options.board.read('told')
+  #isLeaving (): boolean {
+    return this.#options.board.read('stopping') || this.#options.board.read('mustLeave')
   }
 
-  /** Whether this node's engine can do its part for the claiming head: it answers and has loaded what the placement says. */
-  #ready ({ resource, holder }: ClaimMessage): boolean {
+  /**
+   * Whether this node's engine can serve for the claiming head: it answers, and it has loaded the version and the
+   * generation that the placement asks for.
+   */
+  #isReady ({ resource, holder }: ClaimMessage): boolean {
     const { board } = this.#options
     const { healthy, loaded } = board.read('upstream')
     if (resource !== nodeResource) return healthy
     const assignment = board.read('assignment')
     if (!healthy || loaded === undefined || assignment?.kind !== 'model') return false
-    if (holder !== replicaHolder(assignment.replica, assignment.generation)) return this.#loadedFor(holder)
+    if (holder !== replicaHolder(assignment.replica, assignment.generation)) return this.#isLoadedFor(holder)
     return loaded.generation === assignment.generation && loaded.version === assignment.version
   }
 
-  /** Whether the engine still is as it was for a head that the placement has moved on from, so that it can finish. */
-  #loadedFor (holder: string): boolean {
+  /**
+   * Whether the engine still has the generation of the claiming head loaded. The head of an earlier generation then
+   * keeps its grant and finishes its requests, although the placement has a later generation.
+   */
+  #isLoadedFor (holder: string): boolean {
     const loaded = this.#options.board.read('upstream').loaded
     return loaded !== undefined && holder.endsWith(`#${loaded.generation}`)
   }
--- a/packages/worker/src/facts.ts
+++ b/packages/worker/src/facts.ts
@@ -1,15 +1,16 @@
 /**
- * The board of a worker: its assignment, its upstream, its grants and reports. Controllers write it, requests read it.
+ * The board of a worker: the facts that its parts share, such as its assignment and the state of its upstream.
+ * Controllers write the board; controllers and the paths of requests read it.
  */
 import { Board } from '@eiderwind/board'
 import { type HeldSlot } from '@eiderwind/run'
 import { type Assignment } from '@eiderwind/schema'
 
-/** What the upstream beside this worker says of itself. */
+/** The state that the upstream beside this worker reports. */
 export interface UpstreamState {
-  /** Whether it answers. */
+  /** Whether the upstream answers its health check. */
   readonly healthy: boolean
-  /** What its engine has loaded; undefined for a plain service, or before it was first read. */
+  /** What the engine has loaded; undefined for a plain service, or before the first reading. */
   readonly loaded: Loaded | undefined
 }
 
@@ -17,7 +18,7 @@
 export interface Loaded {
   readonly version: string
   readonly adapters: readonly string[]
-  /** The generation of the order that it last took. */
+  /** The generation of the last order that the engine accepted. */
   readonly generation: number
 }
 
@@ -27,39 +28,39 @@
   readonly priority: number
 }
 
-/** The facts that a worker's controllers share. */
+/** The facts that the parts of a worker share. */
 export interface WorkerFacts {
-  /** What this worker has to do; undefined until an entry has said so. */
+  /** The role of this worker; undefined until an entry has sent one. */
   readonly assignment: Assignment | undefined
-  /** `host:port` of the entries to report to; empty until an entry has said so. */
+  /** `host:port` of the entries to report to; empty until an entry has sent the list. */
   readonly entries: readonly string[]
   readonly teams: readonly TeamPriority[]
-  /** The configuration revision in force here. */
+  /** The newest configuration revision that an entry has sent. */
   readonly revision: number
-  /** Whether an operator or the platform told the node to leave. */
-  readonly told: boolean
-  /** Whether this process was told to stop. */
+  /** Whether an operator or the platform has ordered the node to leave. */
+  readonly mustLeave: boolean
+  /** Whether this process has begun to stop. */
   readonly stopping: boolean
   readonly upstream: UpstreamState
-  /** Whether new requests are taken. */
+  /** Whether this worker takes new requests. */
   readonly serving: boolean
-  /** Members whose grant this head has lacked for long. */
+  /** Members whose grant this head has lacked for longer than a restart of a granter takes. */
   readonly missing: readonly string[]
-  /** Slots of keys whose home this worker is. */
+  /** Slots of idempotency keys whose home is this worker. */
   readonly slots: readonly HeldSlot[]
 }
 
-/** The blackboard of a worker. */
+/** The board of a worker. */
 export type WorkerBoard = Board<WorkerFacts>
 
-/** The blackboard of a worker that knows nothing yet. */
+/** The board of a worker that has just started. */
 export function workerBoard (): WorkerBoard {
   return new Board<WorkerFacts>({
     assignment: undefined,
     entries: [],
     teams: [],
     revision: 0,
-    told: false,
+    mustLeave: false,
     stopping: false,
     upstream: { healthy: false, loaded: undefined },
     serving: false,
--- a/packages/worker/src/flights.ts
+++ b/packages/worker/src/flights.ts
@@ -1,15 +1,15 @@
-/** What is in flight in this worker, so that it can be cut when it may not go on. */
+/** The requests in flight at this worker's upstream. They are cancelled when they may not continue. */
 export class Flights {
-  readonly #cuts = new Set<() => void>()
+  readonly #cancels = new Set<() => void>()
 
-  /** Notes a request in flight. The returned function takes it out again. */
-  add (cut: () => void): () => void {
-    this.#cuts.add(cut)
-    return () => { this.#cuts.delete(cut) }
+  /** Adds a request in flight, with the function that cancels it. The returned function removes it. */
+  add (cancel: () => void): () => void {
+    this.#cancels.add(cancel)
+    return () => { this.#cancels.delete(cancel) }
   }
 
-  /** Cuts everything that is in flight. */
-  cut (): void {
-    for (const cut of [...this.#cuts]) cut()
+  /** Cancels every request in flight. */
+  cancelAll (): void {
+    for (const cancel of [...this.#cancels]) cancel()
   }
 }
--- a/packages/worker/src/grants.ts
+++ b/packages/worker/src/grants.ts
@@ -1,20 +1,21 @@
 /**
- * The grants that a worker has given: its node to one head, and its votes for homes of keys. Owns them in memory; after a
- * restart it waits a lease before it gives any.
+ * The grants that a worker has given. A grant lets one holder use a resource until the grant expires. A worker grants
+ * its node to the head of one replica, and its vote for the home of a slot of keys to one worker. The grants are in
+ * memory only: after a restart the worker gives none until every grant that it may have given has expired.
  */
 import { type Clock } from '@eiderwind/clock'
 import { Granter, type Answer, type GranterOptions } from '@eiderwind/lease'
 import { type ClaimMessage } from '@eiderwind/wire'
 
-/** The resource under which a node is granted to a replica's head. */
+/** The name of the resource that stands for the worker's node. */
 export const nodeResource = 'node'
 
-/** The holder's name under which a head claims nodes: one replica in one generation. */
+/** The name under which a head claims nodes. It stands for one generation of one replica. */
 export function replicaHolder (replica: string, generation: number): string {
   return `${replica}#${generation}`
 }
 
-/** The grants that this worker has given: its node to a head, and its votes for homes of keys. */
+/** Holds the grants of this worker's node and of its votes. */
 export class Grants {
   readonly #clock: Clock
   #granter: Granter
@@ -24,12 +25,12 @@
     this.#granter = Granter.started(clock.now(), options)
   }
 
-  /** Who holds this node now. */
-  get node (): string | undefined {
+  /** The current holder of this node. */
+  get nodeHolder (): string | undefined {
     return this.holder(nodeResource)
   }
 
-  /** Who holds a resource now. */
+  /** The current holder of a resource. */
   holder (resource: string): string | undefined {
     return this.#granter.holder(resource, this.#clock.now())
   }
--- a/packages/worker/src/head.ts
+++ b/packages/worker/src/head.ts
@@ -1,6 +1,6 @@
 /**
- * The head of a replica: holds a grant of every member while it serves. Owns the lease over all of them; a request runs only
- * while it is held.
+ * The head of a replica: the worker that takes the requests for all members of the replica. It holds a grant of every
+ * member while it serves. Owns the lease over all members; a request runs only while the lease is valid.
  */
 import { v7 } from 'uuid'
 import { Controller } from '@eiderwind/board'
@@ -14,10 +14,13 @@
 import { type WorkerBoard } from './facts.js'
 import { nodeResource, replicaHolder } from './grants.js'
 
-/** Periods for which a member's grant has to be missing before it is reported: more than a restart takes to give one again. */
-const missingPeriods = 3
+/**
+ * A member is reported as missing after its grant has been missing for this many lease periods. A member that restarts
+ * gives a grant again in less time.
+ */
+const missingThresholdPeriods = 3
 
-/** What a head stands on. */
+/** What a head depends on. */
 export interface HeadOptions {
   readonly clock: Clock
   readonly board: WorkerBoard
@@ -29,26 +32,28 @@
   /** Lease period and renewal interval, in ms. */
   readonly period: number
   readonly leaseInterval: number
-  /** Hands the sessions of a replica that stops as planned over to others. Takes a few seconds at the most. */
-  readonly hand: (assignment: ModelAssignment) => Promise<void>
-  /** Cuts everything in flight. Called when it may not go on. */
-  readonly cut: () => void
+  /** Hands over the sessions of a replica that stops as planned to other replicas. Takes a few seconds at most. */
+  readonly handOverSessions: (assignment: ModelAssignment) => Promise<void>
+  /** Cancels every request in flight. Called when requests may not continue. */
+  readonly cancelInFlight: () => void
 }
 
+/** One period in which this worker heads one generation of a replica. */
 interface Tenure {
   readonly assignment: ModelAssignment
   readonly lease: Lease
-  /** What each member last said of its engine. */
+  /** Whether each member's engine was ready when the member last gave its grant. */
   readonly ready: Map<string, boolean>
-  /** Since when each member's grant has been missing, on `Clock.now`. */
+  /** When each missing member's grant began to be missing, on `Clock.now`. */
   readonly missingSince: Map<string, number>
-  /** No new requests any more; released when the last one is done. */
-  draining: boolean
+  /** Takes no new requests. The grants are released when the last request has ended. */
+  isDraining: boolean
 }
 
 /**
- * The head's part of a model worker: it holds a grant of every member while it serves, and gives all of them up once
- * it should not serve any more and its last request is done.
+ * Runs the head's part of a model worker. It claims a grant of every member while the assignment makes this worker a
+ * serving head. When the assignment changes or the worker has to leave or stop, it drains: it takes no new requests and
+ * releases all grants after its last request has ended.
  */
 export class Head extends Controller {
   readonly name = 'head'
@@ -61,44 +66,44 @@
     this.#options = options
   }
 
-  /** Whether what is in flight may go on at this moment: every member's grant stands and every member's engine is ready. */
-  get allowed (): boolean {
+  /** Whether requests in flight may continue now: every member's grant is valid and every member's engine is ready. */
+  get isAllowed (): boolean {
     const tenure = this.#tenure
     return tenure !== undefined && tenure.lease.valid && this.#ready(tenure)
   }
 
-  /** Whether a new request may be taken at this moment. */
-  get serving (): boolean {
-    return this.allowed && this.#tenure?.draining === false
+  /** Whether a new request may be taken now. */
+  get isServing (): boolean {
+    return this.isAllowed && this.#tenure?.isDraining === false
   }
 
   async update (): Promise<void> {
-    const wanted = this.#wanted()
+    const wanted = this.#wantedAssignment()
     const tenure = this.#tenure
     if (tenure === undefined) {
-      if (wanted !== undefined) this.#begin(wanted)
-    } else if (tenure.draining || !same(tenure.assignment, wanted)) {
+      if (wanted !== undefined) this.#startTenure(wanted)
+    } else if (tenure.isDraining || !isSameGeneration(tenure.assignment, wanted)) {
       await this.#drain(tenure)
     }
-    this.#watch()
-    this.#note()
+    this.#publishMissing()
+    this.#publishServing()
   }
 
-  /** Gives every grant up at once, in flight or not. */
+  /** Releases every grant at once, even if requests are in flight. */
   async stop (): Promise<void> {
     const lease = this.#tenure?.lease
     this.#tenure = undefined
     await lease?.release()
   }
 
-  #wanted (): ModelAssignment | undefined {
+  #wantedAssignment (): ModelAssignment | undefined {
     const { board, worker } = this.#options
     const assignment = board.read('assignment')
     if (assignment?.kind !== 'model' || assignment.head !== worker || assignment.state !== 'serving') return undefined
-    return board.read('stopping') || board.read('told') ? undefined : assignment
+    return board.read('stopping') || board.read('mustLeave') ? undefined : assignment
   }
 
-  #begin (assignment: ModelAssignment): void {
+  #startTenure (assignment: ModelAssignment): void {
     const { clock, clients, period, leaseInterval, queue, log } = this.#options
     const ready = new Map<string, boolean>()
     const lease = new Lease({
@@ -111,8 +116,8 @@
       },
       channel: new WireChannel(clients, assignment.members, assignment.revision, (member, answer) => {
         if (answer.answer.granted) ready.set(member, answer.ready)
-        if (answer.leaving && answer.answer.granted) this.#close(tenure)
-        this.#note()
+        if (answer.leaving && answer.answer.granted) this.#startDraining(tenure)
+        this.#publishServing()
       }),
       granters: assignment.members.map(each => each.id),
       quorum: 'all',
@@ -120,56 +125,56 @@
       listener: {
         lapsed: missing => {
           log.write('replica-lapsed', { replica: assignment.replica, generation: assignment.generation, missing: missing.join(',') })
-          this.#note()
+          this.#publishServing()
         },
         refused: (member, answer) => log.write('grant-refused', { member, reason: answer.granted ? '' : answer.reason })
       }
     })
-    const tenure: Tenure = { assignment, lease, ready, missingSince: new Map(), draining: false }
+    const tenure: Tenure = { assignment, lease, ready, missingSince: new Map(), isDraining: false }
     this.#tenure = tenure
     queue.open()
     lease.start()
   }
 
   async #drain (tenure: Tenure): Promise<void> {
-    this.#close(tenure)
+    this.#startDraining(tenure)
     if (this.#options.queue.running > 0 && tenure.lease.valid) return
     this.#tenure = undefined
-    if (tenure.lease.valid) await this.#options.hand(tenure.assignment)
+    if (tenure.lease.valid) await this.#options.handOverSessions(tenure.assignment)
     await tenure.lease.release()
   }
 
-  #close (tenure: Tenure): void {
-    if (tenure.draining) return
-    tenure.draining = true
+  #startDraining (tenure: Tenure): void {
+    if (tenure.isDraining) return
+    tenure.isDraining = true
     this.#options.queue.close('leaving')
-    this.#note()
+    this.#publishServing()
   }
 
-  /** Writes to the board which members have been missing for longer than a granter that restarts needs. */
-  #watch (): void {
+  /** Writes to the board the members whose grant has been missing for longer than a restart takes. */
+  #publishMissing (): void {
     const { clock, board, period } = this.#options
     const tenure = this.#tenure
     const now = clock.now()
-    const absent = new Set(tenure?.lease.missing)
-    for (const id of tenure?.missingSince.keys() ?? []) if (!absent.has(id)) tenure?.missingSince.delete(id)
-    for (const id of absent) if (tenure?.missingSince.has(id) === false) tenure.missingSince.set(id, now)
-    const long = [...absent].filter(id => now - (tenure?.missingSince.get(id) ?? now) > missingPeriods * period)
-    if (long.join() !== board.read('missing').join()) board.write('missing', long)
+    const missing = new Set(tenure?.lease.missing)
+    for (const id of tenure?.missingSince.keys() ?? []) if (!missing.has(id)) tenure?.missingSince.delete(id)
+    for (const id of missing) if (tenure?.missingSince.has(id) === false) tenure.missingSince.set(id, now)
+    const missingTooLong = [...missing].filter(id => now - (tenure?.missingSince.get(id) ?? now) > missingThresholdPeriods * period)
+    if (missingTooLong.join() !== board.read('missing').join()) board.write('missing', missingTooLong)
   }
 
-  /** Writes whether this head serves to the board, and tells it when that has changed. */
-  #note (): void {
-    const { board, log, metric, queue, cut } = this.#options
-    if (!this.allowed) cut()
-    const serving = this.serving
+  /** Writes whether this head serves to the board, the metric and the queue. Cancels requests that may not continue. */
+  #publishServing (): void {
+    const { board, log, metric, queue, cancelInFlight } = this.#options
+    if (!this.isAllowed) cancelInFlight()
+    const serving = this.isServing
     if (board.read('serving') === serving) return
     board.write('serving', serving)
     metric.gauge('replica.serving', Number(serving))
     const assignment = this.#tenure?.assignment
     if (serving) log.write('replica-serving', { replica: assignment?.replica, generation: assignment?.generation })
     if (serving) queue.open()
-    else queue.close(this.#tenure?.draining === true ? 'leaving' : 'not-serving')
+    else queue.close(this.#tenure?.isDraining === true ? 'leaving' : 'not-serving')
   }
 
   #ready ({ assignment, ready }: Tenure): boolean {
@@ -177,6 +182,6 @@
   }
 }
 
-function same (present: ModelAssignment, wanted: ModelAssignment | undefined): boolean {
+function isSameGeneration (present: ModelAssignment, wanted: ModelAssignment | undefined): boolean {
   return wanted !== undefined && present.replica === wanted.replica && present.generation === wanted.generation
 }
--- a/packages/worker/src/health.ts
+++ b/packages/worker/src/health.ts
@@ -1,12 +1,12 @@
 /**
- * Reads the state of the upstream beside this worker. Owns the last reading, which goes to the board.
+ * Reads the state of the upstream beside this worker at an interval and writes it to the board. Owns nothing.
  */
 import { Controller } from '@eiderwind/board'
 import { type Log } from '@eiderwind/log'
 import { type WorkerBoard } from './facts.js'
 import { type Upstream } from './upstream.js'
 
-/** Reads the state of the upstream again and again. */
+/** Keeps the state of the upstream on the board up to date, and logs when the upstream goes down or comes back. */
 export class Health extends Controller {
   readonly name = 'health'
   readonly interval = 400
@@ -23,7 +23,7 @@
 
   async update (): Promise<void> {
     const before = this.#board.read('upstream')
-    const after = await this.#upstream.state()
+    const after = await this.#upstream.readState()
     if (JSON.stringify(before) === JSON.stringify(after)) return
     this.#board.write('upstream', after)
     if (before.healthy !== after.healthy) this.#log.write(after.healthy ? 'engine-back' : 'engine-down')
--- a/packages/worker/src/homecontroller.ts
+++ b/packages/worker/src/homecontroller.ts
@@ -1,5 +1,7 @@
 /**
- * Holds the slots of keys whose home this plain worker is. Owns the leases on them; relies on a majority of the voters.
+ * Claims and holds slots of idempotency keys for a plain worker. The home of a slot is the one worker that may run the
+ * requests of the slot's keys; it keeps their outcomes in the slot's book of runs. Owns the leases on the slots of this
+ * worker, and relies on a majority of the voters for each of them.
  */
 import { v7 } from 'uuid'
 import { Controller } from '@eiderwind/board'
@@ -13,8 +15,8 @@
 import { type WorkerBoard } from './facts.js'
 import { type Grants } from './grants.js'
 
-/** What the keeper of homes stands on. */
-export interface HomekeeperOptions {
+/** What the controller of homes depends on. */
+export interface HomeControllerOptions {
   readonly clock: Clock
   readonly board: WorkerBoard
   readonly clients: Clients
@@ -23,38 +25,38 @@
   readonly worker: string
   readonly period: number
   readonly leaseInterval: number
-  /** Whether no request runs here. */
-  readonly idle: () => boolean
-  /** How far wall clocks may differ, and how long keys are remembered, in ms. */
+  /** Whether this worker runs no request. */
+  readonly isIdle: () => boolean
+  /** How far wall clocks may differ, and how long keys are retained, in ms. */
   readonly skew: number
-  readonly keep: number
+  readonly keyRetention: number
 }
 
-/** How long a worker that was told to leave waits for what runs before it hands its slots over, in ms. */
-const handPatience = 5000
+/** How long a worker that must leave waits for running requests before it hands over its slots, in ms. */
+const maxLeaveWait = 5000
 
-/** Updates between two slots that are handed to the voter that is preferred for them. */
-const yieldEvery = 8
+/** Number of updates between two attempts to hand a slot over to the voter that is preferred for it. */
+const updatesPerYield = 8
 
-/** Keeps the slots of keys whose home this plain worker is, and writes them to the board. */
-export class Homekeeper extends Controller {
+/** Holds the slots whose home is this plain worker, and writes them to the board. */
+export class HomeController extends Controller {
   readonly name = 'homes'
   readonly interval = 300
-  readonly #options: HomekeeperOptions
+  readonly #options: HomeControllerOptions
   #homes: Homes | undefined
   #channel: WireChannel | undefined
   #revision = 0
-  #tenures = 0
-  #updates = 0
+  #tenureCount = 0
+  #updateCount = 0
   #voters: PlainAssignment['voters'] = []
-  #toldAt = Infinity
+  #leaveSince = Infinity
 
-  constructor (options: HomekeeperOptions) {
+  constructor (options: HomeControllerOptions) {
     super()
     this.#options = options
   }
 
-  /** The book of a key's slot, while this worker is its home. */
+  /** The book of runs of a key's slot, while this worker is the home of the slot. */
   book (key: Key): Book | undefined {
     return this.#homes?.book(key.slot)
   }
@@ -63,46 +65,46 @@
     const { board } = this.#options
     const assignment = board.read('assignment')
     if (assignment?.kind !== 'plain' || board.read('stopping')) return
-    if (board.read('told')) return await this.#leave()
-    this.#toldAt = Infinity
+    if (board.read('mustLeave')) return await this.#leave()
+    this.#leaveSince = Infinity
     if (!assignment.voters.some(each => each.id === this.#options.worker)) return await this.stop()
-    if (this.#homes === undefined) this.#homes = this.#begin(assignment)
-    else if (assignment.revision !== this.#revision) this.#move(assignment, this.#homes)
-    this.#watch(assignment.service)
+    if (this.#homes === undefined) this.#homes = this.#makeHomes(assignment)
+    else if (assignment.revision !== this.#revision) this.#changeVoters(assignment, this.#homes)
+    this.#noteOtherHolders(assignment.service)
     if (board.read('upstream').healthy) this.#homes.update()
-    if (++this.#updates % yieldEvery === 0) await this.#homes.yield((voter, handover) => this.#give(voter, handover))
-    this.#note()
+    if (++this.#updateCount % updatesPerYield === 0) await this.#homes.yield((voter, handover) => this.#handOver(voter, handover))
+    this.#publishSlots()
   }
 
-  /** Gives every slot up, and its book to another voter. */
+  /** Releases every slot and hands over its book to another voter. */
   async stop (): Promise<void> {
     const homes = this.#homes
     this.#homes = undefined
-    await homes?.hand((voter, handover) => this.#give(voter, handover))
-    this.#note()
+    await homes?.hand((voter, handover) => this.#handOver(voter, handover))
+    this.#publishSlots()
   }
 
-  /** Takes the book of a slot from another home, unless this worker could not serve the slot's keys. */
+  /** Takes over the book of a slot from another home. Returns false if this worker cannot serve the slot's keys. */
   inherit (handover: Handover): boolean {
     const taken = this.#options.board.read('serving') && this.#homes?.inherit(handover) === true
     if (taken) this.#options.log.write('home-inherits', { slot: handover.slot, runs: handover.book.runs.length })
     return taken
   }
 
-  /** Gives every slot up once nothing runs any more, or has run for too long. */
+  /** Releases every slot once no request runs, or after `maxLeaveWait`. */
   async #leave (): Promise<void> {
-    const { clock, idle } = this.#options
-    this.#toldAt = Math.min(this.#toldAt, clock.now())
-    if (idle() || clock.now() - this.#toldAt > handPatience) await this.stop()
+    const { clock, isIdle } = this.#options
+    this.#leaveSince = Math.min(this.#leaveSince, clock.now())
+    if (isIdle() || clock.now() - this.#leaveSince > maxLeaveWait) await this.stop()
   }
 
-  async #give (voter: string, handover: Handover): Promise<boolean> {
+  async #handOver (voter: string, handover: Handover): Promise<boolean> {
     const address = this.#voters.find(each => each.id === voter)?.address
     return address !== undefined && await this.#options.clients.worker(address).inherit(handover)
   }
 
-  #begin (assignment: PlainAssignment): Homes {
-    const { clock, clients, worker, period, leaseInterval, skew, keep, log } = this.#options
+  #makeHomes (assignment: PlainAssignment): Homes {
+    const { clock, clients, worker, period, leaseInterval, skew, keyRetention, log } = this.#options
     const { service, voters, revision } = assignment
     this.#revision = revision
     this.#voters = voters
@@ -116,18 +118,21 @@
       period,
       interval: leaseInterval,
       nonce: v7,
-      tenure: () => ++this.#tenures,
+      tenure: () => ++this.#tenureCount,
       preferred: (slot, names) => ranked(`${service}/${slot}`, names),
-      book: { skew, keep },
+      book: { skew, keep: keyRetention },
       listener: {
-        held: slot => { log.write('home-held', { slot }); this.#note() },
-        lost: slot => { log.write('home-lost', { slot }); this.#note() }
+        held: slot => { log.write('home-held', { slot }); this.#publishSlots() },
+        lost: slot => { log.write('home-lost', { slot }); this.#publishSlots() }
       }
     })
   }
 
-  /** Goes by a later list of voters. A list is only ever one voter away from the one before. */
-  #move ({ voters, revision }: PlainAssignment, homes: Homes): void {
+  /**
+   * Changes to a later list of voters. Consecutive lists differ by one voter. If a list was skipped, the homes stop and
+   * are made anew at the next update.
+   */
+  #changeVoters ({ voters, revision }: PlainAssignment, homes: Homes): void {
     if (revision !== this.#revision + 1) {
       this.#homes = undefined
       homes.stop()
@@ -135,19 +140,19 @@
     }
     this.#revision = revision
     this.#voters = voters
-    this.#channel?.revise(voters, revision)
+    this.#channel?.setPeers(voters, revision)
     homes.move(voters.map(each => each.id))
   }
 
-  /** Tells the homes which slots this worker has granted to others, so that it does not claim them. */
-  #watch (service: string): void {
+  /** Notes the slots that this worker has granted to other workers, so that it does not claim them. */
+  #noteOtherHolders (service: string): void {
     for (let slot = 0; slot < slotCount; slot++) {
       const holder = this.#options.grants.holder(`home/${service}/${slot}`)
       if (holder !== undefined) this.#homes?.seen(slot, holder)
     }
   }
 
-  #note (): void {
+  #publishSlots (): void {
     const { board } = this.#options
     const slots = this.#homes?.held ?? []
     if (JSON.stringify(slots) !== JSON.stringify(board.read('slots'))) board.write('slots', slots)
--- a/packages/worker/src/index.ts
+++ b/packages/worker/src/index.ts
@@ -1,2 +1,2 @@
-/** The process beside each upstream node. */
+/** The worker: the process beside each upstream node. */
 export { Worker, type UpstreamOptions, type WorkerOptions } from './worker.js'
--- a/packages/worker/src/model.ts
+++ b/packages/worker/src/model.ts
@@ -1,6 +1,6 @@
 /**
- * The path of a request to the engine: admission, the grants before each part that is passed on, cancelling. Relies on `admit`
- * and `head.ts`.
+ * The path of a request to the engine. It admits the request, checks the head's grants before each part of the answer
+ * that it forwards, and cancels the request if the grants lapse. Relies on `admit` and `head.ts`.
  */
 import { type Clock } from '@eiderwind/clock'
 import { Fault } from '@eiderwind/fault'
@@ -10,20 +10,20 @@
 import { z } from 'zod'
 import { type Flights } from './flights.js'
 import { type Head } from './head.js'
-import { upstreamHeaders, type Inbound } from './inbound.js'
-import { Numbered } from './numbered.js'
+import { upstreamHeaders, type InboundRequest } from './inbound.js'
+import { NumberedRelay } from './numberedrelay.js'
 import { type Sessions } from './sessions.js'
 import { type Upstream } from './upstream.js'
 
-/** What of a completion request matters here. */
+/** The fields of a completion request that the worker reads. */
 const Completion = z.looseObject({
   stream: z.boolean().default(false),
-  /** Where the caller already has a part of the answer. */
+  /** Present if the caller already has a part of the answer. */
   resume: z.object({ offset: z.int().min(0), text: z.string() }).optional()
 })
 
-/** What the path to an engine stands on. */
-export interface PathOptions {
+/** What the path to an engine depends on. */
+export interface ModelPathOptions {
   readonly clock: Clock
   readonly queue: Queue
   readonly attempts: Attempts
@@ -33,26 +33,26 @@
   readonly sessions: Sessions
 }
 
-/** The path of a request to the engine: admission, the grants before each part that is passed on, and cancelling. */
+/** Serves requests to the engine. */
 export class ModelPath {
-  readonly #options: PathOptions
+  readonly #options: ModelPathOptions
 
-  constructor (options: PathOptions) {
+  constructor (options: ModelPathOptions) {
     this.#options = options
   }
 
-  /** Serves one request; it answers the response in every case. */
-  async serve (inbound: Inbound): Promise<void> {
+  /** Serves one request. The response is always answered. */
+  async serve (inbound: InboundRequest): Promise<void> {
     const { head, queue } = this.#options
-    if (!head.serving) return answerFault(inbound.response, new Fault('not-serving'))
+    if (!head.isServing) return answerFault(inbound.response, new Fault('not-serving'))
     const admission = await queue.enter(inbound)
     if (admission.isErr()) return answerFault(inbound.response, admission.error)
     this.#run(inbound, admission.value)
   }
 
-  #run (inbound: Inbound, ticket: Ticket): void {
+  #run (inbound: InboundRequest, ticket: Ticket): void {
     const { head, attempts, clock } = this.#options
-    const refusal = !head.serving ? 'not-serving' : attempts.start(inbound.attempt, clock.now()) ? undefined : 'tombstoned'
+    const refusal = !head.isServing ? 'not-serving' : attempts.start(inbound.attempt, clock.now()) ? undefined : 'tombstoned'
     if (refusal !== undefined || inbound.response.destroyed) {
       ticket.done()
       return answerFault(inbound.response, new Fault(refusal ?? 'tombstoned'))
@@ -60,49 +60,49 @@
     this.#forward(inbound, ticket)
   }
 
-  #forward (inbound: Inbound, ticket: Ticket): void {
+  #forward (inbound: InboundRequest, ticket: Ticket): void {
     const { upstream, head, flights, sessions } = this.#options
-    sessions.note(inbound.session)
+    sessions.recordUse(inbound.session)
     const { request, response, attempt } = inbound
     const finish = (): void => {
-      leave()
+      removeFlight()
       ticket.done()
     }
     const relay = this.#relay(inbound, {
       response,
       headers: { [wireHeaders.attempt]: attempt },
-      guard: () => head.allowed,
+      guard: () => head.isAllowed,
       done: finish,
       failed: failure => {
         finish()
-        answerFault(response, broken(failure))
+        answerFault(response, callFault(failure))
       }
     })
     const call = { origin: upstream.url, path: inbound.path, method: inbound.method, headers: upstreamHeaders(request), body: inbound.body }
     const cancel = send(upstream.dispatcher, call, relay)
-    const leave = flights.add(() => cancel(new Error('The grants have lapsed.')))
+    const removeFlight = flights.add(() => cancel(new Error('The grants of the replica\'s head have lapsed.')))
     response.once('close', () => {
-      if (!response.writableFinished) cancel(new Error('The entry went away.'))
+      if (!response.writableFinished) cancel(new Error('The entry closed the connection before the answer was complete.'))
     })
   }
 
-  #relay (inbound: Inbound, options: RelayOptions): Relay {
-    const completion = Completion.safeParse(parsed(inbound.body))
+  #relay (inbound: InboundRequest, options: RelayOptions): Relay {
+    const completion = Completion.safeParse(parseBody(inbound.body))
     if (!completion.success || !completion.data.stream) return new Relay(options)
-    return new Numbered(options, completion.data.resume?.offset ?? 0)
+    return new NumberedRelay(options, completion.data.resume?.offset ?? 0)
   }
 }
 
-/** The fault for a call to an upstream that broke before an answer began. */
-export function broken ({ sent }: CallFailure): Fault {
+/** The fault for a call to an upstream that failed before the answer began. */
+export function callFault ({ sent }: CallFailure): Fault {
   return new Fault(sent ? 'lost' : 'upstream-down')
 }
 
-function parsed (body: Buffer): unknown {
+function parseBody (body: Buffer): unknown {
   try {
     return JSON.parse(body.toString())
   } catch {
-    // Passed on as it is: the engine itself answers a body that is no JSON.
+    // The body is forwarded unchanged: the engine answers a request whose body is not JSON.
     return undefined
   }
 }
--- a/packages/worker/src/plainstate.ts
+++ b/packages/worker/src/plainstate.ts
@@ -1,11 +1,14 @@
 /**
- * Decides whether a plain worker takes new requests. Owns nothing; writes the answer to the board.
+ * Decides whether a plain worker takes new requests, and writes the decision to the board. Owns nothing.
  */
 import { Controller } from '@eiderwind/board'
 import { type Queue } from '@eiderwind/admit'
 import { type WorkerBoard } from './facts.js'
 
-/** Says whether a plain worker takes new requests: it knows its service, its upstream is up, and nobody told it to leave. */
+/**
+ * Opens and closes the queue of a plain worker. The worker takes requests while it has a service assigned, its upstream
+ * is healthy, and it neither stops nor must leave.
+ */
 export class PlainState extends Controller {
   readonly name = 'plain-state'
   readonly interval = 100
@@ -19,7 +22,7 @@
   }
 
   async update (): Promise<void> {
-    const leaving = this.#board.read('told') || this.#board.read('stopping')
+    const leaving = this.#board.read('mustLeave') || this.#board.read('stopping')
     const assigned = this.#board.read('assignment')?.kind === 'plain'
     const serving = assigned && this.#board.read('upstream').healthy && !leaving
     if (serving === this.#board.read('serving')) return
--- a/packages/worker/src/reporter.ts
+++ b/packages/worker/src/reporter.ts
@@ -1,6 +1,6 @@
 /**
- * Reports what this worker does to the entries that it was told to report to. Owns which those are; their answers bring the
- * assignment and news.
+ * Reports the state of this worker to a few entries. Owns the sequence number of the reports. The entries' answers name
+ * the entries to report to next, and bring the worker's assignment, the teams and the configuration revision.
  */
 import { Controller } from '@eiderwind/board'
 import { type Queue } from '@eiderwind/admit'
@@ -9,7 +9,7 @@
 import { type Clients } from '@eiderwind/wire'
 import { type WorkerBoard } from './facts.js'
 
-/** What a reporter stands on. */
+/** What a reporter depends on. */
 export interface ReporterOptions {
   readonly board: WorkerBoard
   readonly queue: Queue
@@ -19,11 +19,11 @@
   readonly incarnation: string
   readonly address: string
   readonly dataCentre: string
-  /** Entries to report to until one has said which. */
+  /** Entries to report to until an entry has named others, or while none of those answers. */
   readonly seeds: readonly string[]
 }
 
-/** Reports to a few entries of this data centre, and takes from their answers what this worker has to do. */
+/** Reports to a few entries of this data centre, and writes their answers to the board. */
 export class Reporter extends Controller {
   readonly name = 'reporter'
   readonly interval = 1000
@@ -38,19 +38,20 @@
   async update (): Promise<void> {
     const { board, clients, seeds, metric, queue } = this.#options
     const known = board.read('entries')
-    const report = this.#report()
+    const report = this.#makeReport()
     metric.gauge('admission.running', queue.running)
     metric.gauge('admission.queued', queue.waiting)
-    const tell = async (address: string): Promise<boolean> => {
-      // Not logged, since this runs at each interval: the next report follows, and the seeds are tried where no entry answers.
-      return await clients.entry(address).report(report).then(answer => this.#take(answer), () => false)
+    const reportTo = async (address: string): Promise<boolean> => {
+      // A failure is not logged, since this runs at each interval. The next report follows, and the seeds are tried if
+      // no entry answers.
+      return await clients.entry(address).report(report).then(answer => this.#applyAnswer(answer), () => false)
     }
-    const told = await Promise.all(known.map(tell))
-    if (told.includes(true)) return
-    for (const seed of seeds) if (await tell(seed)) return
+    const answered = await Promise.all(known.map(reportTo))
+    if (answered.includes(true)) return
+    for (const seed of seeds) if (await reportTo(seed)) return
   }
 
-  #report (): Report {
+  #makeReport (): Report {
     const { board, queue, worker, incarnation, address, dataCentre } = this.#options
     const assignment = board.read('assignment')
     const { healthy, loaded } = board.read('upstream')
@@ -66,7 +67,7 @@
       generation: model?.generation,
       members: model?.head === worker ? model.members.length : undefined,
       serving: board.read('serving'),
-      leaving: board.read('stopping') || board.read('told'),
+      leaving: board.read('stopping') || board.read('mustLeave'),
       healthy,
       running: queue.running,
       queued: queue.waiting,
@@ -79,19 +80,21 @@
     }
   }
 
-  /** Takes an answer, unless it is older than what is known. Says whether the entry could answer. */
-  #take (answer: ReportAnswer): boolean {
+  /**
+   * Writes an answer to the board, unless its configuration is older than the known one. Returns true in both cases.
+   */
+  #applyAnswer (answer: ReportAnswer): boolean {
     const { board } = this.#options
     if (answer.revision < board.read('revision')) return true
     if (answer.revision > board.read('revision')) board.write('revision', answer.revision)
-    board.write('told', answer.leaving)
+    board.write('mustLeave', answer.leaving)
     if (answer.entries.join() !== board.read('entries').join()) board.write('entries', answer.entries)
     if (answer.teams !== undefined) board.write('teams', answer.teams)
-    this.#assign(answer.assignment)
+    this.#applyAssignment(answer.assignment)
     return true
   }
 
-  #assign (assignment: Assignment | undefined): void {
+  #applyAssignment (assignment: Assignment | undefined): void {
     const { board, queue } = this.#options
     const present = board.read('assignment')
     if (assignment === undefined || assignment.revision < (present?.revision ?? 0)) return
--- a/packages/worker/src/sessions.ts
+++ b/packages/worker/src/sessions.ts
@@ -1,32 +1,32 @@
 /**
- * Which sessions an engine holds, and their hand-over at a planned stop. Owns the list in memory; a session that is not moved
- * costs its reader time and nothing else.
+ * Remembers which sessions an engine holds, and hands them over to other replicas at a planned stop. Owns the list of
+ * sessions, in memory. A session that is not moved loses only its cache: its next answer starts later.
  */
 import { type Clock } from '@eiderwind/clock'
 import { ranked } from '@eiderwind/hash'
 import { type Peer } from '@eiderwind/schema'
 
-/** Most sessions that are remembered. */
-const mostSessions = 2000
+/** Upper bound of the sessions that are remembered. */
+const maxSessions = 2000
 
-/** Sessions that are moved at once. */
-const atOnce = 8
+/** Number of sessions that are moved concurrently. */
+const concurrentMoves = 8
 
-/** How long a replica that stops hands sessions over at the most, in ms: meanwhile its nodes serve nothing. */
-const handTime = 3000
+/** How long a hand-over may take, in ms. It is short because the nodes of the replica serve nothing meanwhile. */
+const maxHandoverTime = 3000
 
-/** Moves one session to the replica of a head, and says whether it is there. It may reject. */
-export type Move = (session: string, head: Peer) => Promise<boolean>
+/** Moves one session to the replica of a head. Resolves with whether it arrived. May reject. */
+export type MoveSession = (session: string, head: Peer) => Promise<boolean>
 
-/** What became of the sessions of a replica that stopped. */
-export interface Handed {
+/** Counts of the sessions of a replica that stopped. */
+export interface HandoverCounts {
   readonly known: number
   readonly moved: number
 }
 
 /**
- * The sessions that a replica served last. When it stops as planned, each goes to the replica that entries will send it
- * to next: they choose by rendezvous hashing of the session, so this worker can tell which that is.
+ * The sessions that a replica served last. At a planned stop each session moves to the replica to which the entries
+ * will send it next. Entries choose that replica by rendezvous hashing of the session, so this worker can compute it.
  */
 export class Sessions {
   readonly #clock: Clock
@@ -36,36 +36,39 @@
     this.#clock = clock
   }
 
-  /** Notes that a session was served now. */
-  note (session: string | undefined): void {
+  /** Records that a session was served now. */
+  recordUse (session: string | undefined): void {
     if (session === undefined) return
     this.#known.delete(session)
     this.#known.add(session)
-    if (this.#known.size <= mostSessions) return
+    if (this.#known.size <= maxSessions) return
     const [oldest] = this.#known
     this.#known.delete(oldest)
   }
 
-  /** Moves every session, the latest first, to one of the replicas with these heads. Gives up what is left after a few seconds. */
-  async hand (heads: readonly Peer[], move: Move): Promise<Handed> {
+  /**
+   * Moves every session, the latest first, to one of the replicas with these heads. Sessions that have not been moved
+   * after `maxHandoverTime` are dropped.
+   */
+  async handOver (heads: readonly Peer[], move: MoveSession): Promise<HandoverCounts> {
     const known = this.#known.size
-    const left = [...this.#known].reverse()
+    const remaining = [...this.#known].reverse()
     this.#known.clear()
-    const end = this.#clock.now() + handTime
+    const end = this.#clock.now() + maxHandoverTime
     let moved = 0
     const work = async (): Promise<void> => {
-      for (let session = left.shift(); session !== undefined && this.#clock.now() < end; session = left.shift()) {
-        // A session that is not moved costs the next replica its cache only; `sessions-handed` has the counts.
-        if (await move(session, next(session, heads)).catch(() => false)) moved++
+      for (let session = remaining.shift(); session !== undefined && this.#clock.now() < end; session = remaining.shift()) {
+        // A failed move is not logged: the session only lacks its cache, and `sessions-handed` has the counts.
+        if (await move(session, preferredHead(session, heads)).catch(() => false)) moved++
       }
     }
-    if (heads.length > 0) await Promise.all(Array.from({ length: atOnce }, work))
+    if (heads.length > 0) await Promise.all(Array.from({ length: concurrentMoves }, work))
     return { known, moved }
   }
 }
 
 /** The head of the replica that entries prefer for a session. */
-function next (session: string, heads: readonly Peer[]): Peer {
+function preferredHead (session: string, heads: readonly Peer[]): Peer {
   const [id] = ranked(session, heads.map(each => each.id))
   return heads.find(each => each.id === id) as Peer
 }
--- a/packages/worker/src/transfer.ts
+++ b/packages/worker/src/transfer.ts
@@ -1,5 +1,5 @@
 /**
- * Carries the KV caches of sessions between engines of one version. Owns nothing; limits how long each move takes.
+ * Moves the KV caches of sessions between engines of one version. Owns nothing; bounds the time of each move.
  */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { request as send } from 'undici'
@@ -14,8 +14,8 @@
 /** How long the move of one session may take, in ms. */
 const moveTimeout = 2000
 
-/** What the transfer of sessions stands on. */
-export interface TransferOptions {
+/** What the transfer of sessions depends on. */
+export interface SessionTransferOptions {
   readonly board: WorkerBoard
   readonly clients: Clients
   readonly engine: EngineUpstream
@@ -23,37 +23,41 @@
   readonly log: Log
 }
 
-/** Carries the KV caches of sessions between the engines of two replicas of the same version, for planned stops. A session that is not moved is no loss but of time. */
-export class Transfer {
-  readonly #options: TransferOptions
+/**
+ * Moves the KV caches of sessions between the engines of two replicas of the same version, at planned stops. A session
+ * that is not moved costs only the time to fill its cache again.
+ */
+export class SessionTransfer {
+  readonly #options: SessionTransferOptions
 
-  constructor (options: TransferOptions) {
+  constructor (options: SessionTransferOptions) {
     this.#options = options
   }
 
-  /** Hands the sessions of a replica that stops over to other replicas of its service. */
-  async hand ({ service, replica, version }: ModelAssignment): Promise<void> {
+  /** Hands over the sessions of a replica that stops to other replicas of its service. */
+  async handOver ({ service, replica, version }: ModelAssignment): Promise<void> {
     const { sessions, log } = this.#options
-    const heads = (await this.#heads(service)).filter(each => each.id !== replica)
-    const { known, moved } = await sessions.hand(heads, (session, head) => this.#move(session, version, head))
+    const heads = (await this.#readHeads(service)).filter(each => each.id !== replica)
+    const { known, moved } = await sessions.handOver(heads, (session, head) => this.#move(session, version, head))
     if (known > 0) log.write('sessions-handed', { replica, known, moved })
   }
 
-  /** Takes a session from another worker, if the engine here has the version that it belongs to. */
+  /** Takes over a session from another worker, if the engine beside this worker has loaded the session's version. */
   async receive (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { board, engine } = this.#options
     const { loaded } = board.read('upstream')
     if (!board.read('serving') || loaded?.version !== header(request, wireHeaders.version)) return answerFault(response, new Fault('not-serving'))
     const session = (request.url ?? '').slice(sessionsPath.length)
-    response.statusCode = await engine.import(session, request)
+    response.statusCode = await engine.importSession(session, request)
     response.end()
   }
 
-  /** The heads that serve, as the first entry that answers tells. */
-  async #heads (service: string): Promise<Peer[]> {
+  /** The heads that serve, from the first entry that answers. */
+  async #readHeads (service: string): Promise<Peer[]> {
     const { board, clients } = this.#options
     for (const entry of board.read('entries')) {
-      // The next entry is asked; if none answers, no session is moved and `sessions-handed` shows it.
+      // If an entry does not answer, the next one is tried. If none answers, no session is moved, which
+      // `sessions-handed` shows.
       const heads = await clients.entry(entry).heads({ service }).catch(() => undefined)
       if (heads !== undefined) return heads
     }
@@ -61,7 +65,7 @@
   }
 
   async #move (session: string, version: string, { address }: Peer): Promise<boolean> {
-    const body = await this.#options.engine.exported(session, moveTimeout)
+    const body = await this.#options.engine.exportSession(session, moveTimeout)
     if (body === undefined) return false
     const response = await send(`http://${address}${sessionsPath}${session}`, {
       method: 'PUT',
--- a/packages/worker/src/worker.ts
+++ b/packages/worker/src/worker.ts
@@ -1,5 +1,7 @@
 /**
- * The worker process: makes the parts, connects them, starts and stops them. Owns every part and the board that they share.
+ * The worker: the process beside one upstream node. It runs next to an engine or a plain service, takes requests from
+ * entries and reports to them. This module makes the worker's parts, connects, starts and stops them. It owns every
+ * part and the board that they share.
  */
 import { type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { v7 } from 'uuid'
@@ -17,24 +19,24 @@
 import { Grants } from './grants.js'
 import { Head } from './head.js'
 import { Health } from './health.js'
-import { Homekeeper } from './homekeeper.js'
-import { inbound, type Inbound } from './inbound.js'
+import { HomeController } from './homecontroller.js'
+import { readInbound, type InboundRequest } from './inbound.js'
 import { ModelPath } from './model.js'
 import { Orders } from './orders.js'
 import { PlainPath } from './plain.js'
 import { PlainState } from './plainstate.js'
 import { Reporter } from './reporter.js'
 import { Sessions } from './sessions.js'
-import { Transfer } from './transfer.js'
+import { SessionTransfer } from './transfer.js'
 import { EngineUpstream, PlainUpstream, type Upstream } from './upstream.js'
 
-/** Longest body that a worker takes from an entry, in bytes. Entries have their own, lower limit. */
-const bodyLimit = 64 * 2 ** 20
+/** Maximum size of a request body from an entry, in bytes. Entries have their own, lower limit. */
+const maxBodySize = 64 * 2 ** 20
 
-/** How often a stop looks whether everything is done, in ms. */
+/** Interval at which a stop checks whether every request has ended, in ms. */
 const stopInterval = 50
 
-/** Options of a worker. Spans are in ms. */
+/** Options of a worker. Durations are in ms. */
 export interface WorkerOptions {
   readonly clock: Clock
   readonly log: Log
@@ -42,31 +44,32 @@
   /** Id of the node, which is the worker's name too. */
   readonly node: string
   readonly dataCentre: string
-  /** `host:port`; port 0 takes any. */
+  /** `host:port`; port 0 takes any free port. */
   readonly listen: string
   readonly upstream: UpstreamOptions
-  /** Peer addresses of some entries. */
+  /** Peer addresses of some entries, to report to first. */
   readonly seeds: readonly string[]
   readonly period: number
   readonly interval: number
   readonly skew: number
-  /** How long an idempotency key is remembered. */
+  /** How long an idempotency key is retained. */
   readonly keep: number
-  /** How long a stop waits for what is in flight. */
+  /** How long a stop waits for requests in flight. */
   readonly stop: number
 }
 
-/** What stands beside the worker. */
+/** The upstream beside the worker. */
 export interface UpstreamOptions {
   readonly kind: 'engine' | 'service'
   readonly url: string
-  /** Path that tells its health; undefined for a service that has none. */
+  /** Path of the health check; undefined for a service that has none. */
   readonly health: string | undefined
 }
 
 /** The process beside one upstream node. */
 export class Worker {
   readonly #options: WorkerOptions
+  /** Names one run of this process. A version 7 UUID: that of a later start compares greater. */
   readonly #incarnation = v7()
   readonly #board = workerBoard()
   readonly #clients = new Clients()
@@ -77,10 +80,10 @@
   readonly #upstream: Upstream
   readonly #scheduler: Scheduler
   readonly #server: Server
-  #receive = async (_request: IncomingMessage, response: ServerResponse): Promise<void> => answerFault(response, new Fault('not-serving'))
+  #receiveSession = async (_request: IncomingMessage, response: ServerResponse): Promise<void> => answerFault(response, new Fault('not-serving'))
   #stopHead = async (): Promise<void> => {}
-  #inherit = (_handover: Handover): boolean => false
-  #serve: (inbound: Inbound) => Promise<void> = async ({ response }) => answerFault(response, new Fault('not-serving'))
+  #takeBook = (_handover: Handover): boolean => false
+  #serve: (inbound: InboundRequest) => Promise<void> = async ({ response }) => answerFault(response, new Fault('not-serving'))
 
   constructor (options: WorkerOptions) {
     this.#options = options
@@ -90,11 +93,11 @@
     this.#grants = new Grants(clock, { longest: options.period, origin: this.#incarnation })
     this.#scheduler = new Scheduler(clock, (controller, error) => log.write('controller-failed', { controller, cause: String(error) }))
     this.#upstream = makeUpstream(options.upstream)
-    const calls = new Calls({ clock, board: this.#board, grants: this.#grants, attempts: this.#attempts, incarnation: this.#incarnation, inherit: handover => this.#inherit(handover) })
+    const calls = new Calls({ clock, board: this.#board, grants: this.#grants, attempts: this.#attempts, incarnation: this.#incarnation, takeBook: handover => this.#takeBook(handover) })
     this.#server = makeServer({ router: workerRouter(calls), handler: (request, response) => { this.#handle(request, response) } })
   }
 
-  /** Listens, and begins to report. Gives the address that was taken. */
+  /** Listens and begins to report. Resolves with the address that it listens on. */
   async start (): Promise<string> {
     const port = await listen(this.#server, this.#options.listen)
     const address = `${splitAddress(this.#options.listen).host}:${port}`
@@ -105,20 +108,20 @@
     return address
   }
 
-  /** Takes nothing new, finishes what is in flight, gives its grants up and ends. */
+  /** Takes no new requests, finishes those in flight, releases the grants that it holds and ends. */
   async stop (): Promise<void> {
     const { clock, stop } = this.#options
     this.#board.write('stopping', true)
     this.#scheduler.wake('reporter')
     this.#scheduler.wake('plain-state')
     const end = clock.now() + stop
-    while (clock.now() < end && this.#busy) await clock.wait(stopInterval)
+    while (clock.now() < end && this.#isBusy) await clock.wait(stopInterval)
     await this.#stopHead()
     this.#scheduler.stop()
     await this.kill()
   }
 
-  /** Ends at once. */
+  /** Ends at once, without waiting for requests in flight. */
   async kill (): Promise<void> {
     this.#scheduler.stop()
     this.#server.closeAllConnections()
@@ -126,16 +129,16 @@
     await Promise.all([this.#clients.close(), this.#upstream.close()])
   }
 
-  /** Whether something is in flight here, or a head still counts on this node. */
-  get #busy (): boolean {
-    return this.#queue.running > 0 || this.#grants.node !== undefined
+  /** Whether a request runs in this worker, or a head still holds this node. */
+  get #isBusy (): boolean {
+    return this.#queue.running > 0 || this.#grants.nodeHolder !== undefined
   }
 
   #startModel (engine: EngineUpstream): void {
     const { clock, log, metric, node, period, interval } = this.#options
     const sessions = new Sessions(clock)
-    const transfer = new Transfer({ board: this.#board, clients: this.#clients, engine, sessions, log })
-    this.#receive = (request, response) => transfer.receive(request, response)
+    const transfer = new SessionTransfer({ board: this.#board, clients: this.#clients, engine, sessions, log })
+    this.#receiveSession = (request, response) => transfer.receive(request, response)
     const head = new Head({
       clock,
       board: this.#board,
@@ -146,8 +149,8 @@
       worker: node,
       period,
       leaseInterval: interval,
-      hand: assignment => transfer.hand(assignment),
-      cut: () => this.#flights.cut()
+      handOverSessions: assignment => transfer.handOver(assignment),
+      cancelInFlight: () => this.#flights.cancelAll()
     })
     const path = new ModelPath({ clock, queue: this.#queue, attempts: this.#attempts, upstream: engine, flights: this.#flights, head, sessions })
     this.#serve = inbound => path.serve(inbound)
@@ -159,7 +162,7 @@
 
   #startPlain (): void {
     const { clock, log, node, period, interval, skew, keep } = this.#options
-    const homes = new Homekeeper({
+    const homes = new HomeController({
       clock,
       board: this.#board,
       clients: this.#clients,
@@ -168,17 +171,17 @@
       worker: node,
       period,
       leaseInterval: interval,
-      idle: () => this.#queue.running === 0,
+      isIdle: () => this.#queue.running === 0,
       skew,
-      keep
+      keyRetention: keep
     })
-    this.#inherit = handover => homes.inherit(handover)
+    this.#takeBook = handover => homes.inherit(handover)
     const path = new PlainPath({ clock, board: this.#board, queue: this.#queue, attempts: this.#attempts, upstream: this.#upstream, book: key => homes.book(key) })
     this.#serve = inbound => path.serve(inbound)
     this.#stopHead = () => homes.stop()
     this.#scheduler.add(new PlainState(this.#board, this.#queue))
     this.#scheduler.add(homes)
-    this.#board.listen('told', () => {
+    this.#board.listen('mustLeave', () => {
       this.#scheduler.wake('plain-state')
       this.#scheduler.wake('homes')
     })
@@ -203,12 +206,12 @@
 
   async #handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
     try {
-      if (request.url?.startsWith(sessionsPath) === true) return await this.#receive(request, response)
-      const meant = header(request, wireHeaders.incarnation)
-      if (meant !== undefined && meant !== this.#incarnation) return answerFault(response, new Fault('not-serving'))
-      const body = await readBody(request, bodyLimit)
+      if (request.url?.startsWith(sessionsPath) === true) return await this.#receiveSession(request, response)
+      const expectedIncarnation = header(request, wireHeaders.incarnation)
+      if (expectedIncarnation !== undefined && expectedIncarnation !== this.#incarnation) return answerFault(response, new Fault('not-serving'))
+      const body = await readBody(request, maxBodySize)
       if (body.isErr()) return answerFault(response, body.error)
-      await this.#serve(inbound(request, response, body.value, this.#options.clock))
+      await this.#serve(readInbound(request, response, body.value, this.#options.clock))
     } catch (error) {
       answerFault(response, asFault(error, 'lost'))
     }
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -389,8 +389,8 @@
     name: 'leaver-keeps-homes',
     point: 6,
     rule: 'a plain worker that is told to leave hands its slots over',
-    file: 'packages/worker/dist/src/homekeeper.js',
-    find: "board.read('told')",
+    file: 'packages/worker/dist/src/homecontroller.js',
+    find: "board.read('mustLeave')",
     replace: 'false',
     test: 'packages/trial/dist/test/leaving.test.js',
     title: 'the keys of a plain worker*'
@@ -413,7 +413,7 @@
     point: 5,
     rule: 'a voter gives no vote by an earlier list than it knows',
     file: 'packages/worker/dist/src/calls.js',
-    find: 'return revision < this.#votersSeen',
+    find: 'return revision < this.#newestVotersRevision',
     replace: 'return false',
     test: 'packages/worker/dist/test/calls.test.js',
     title: 'a voter that knows a later list*'
@@ -446,7 +446,7 @@
     point: 7,
     rule: 'a replica that stops as planned hands its sessions on',
     file: 'packages/worker/dist/src/head.js',
-    find: 'await this.#options.hand(tenure.assignment)',
+    find: 'await this.#options.handOverSessions(tenure.assignment)',
     replace: 'await undefined',
     test: 'packages/trial/dist/test/sessions.test.js',
     title: 'a replica whose node*'
