--- a/packages/lease/src/granter.ts
+++ b/packages/lease/src/granter.ts
@@ -74,8 +74,8 @@
  * returns a new granter.
  *
  * A grant starts when the request arrives, on the granter's monotonic clock, and lasts for the period plus a margin for
- * clock drift. A granter that has just started has lost its grants. It therefore refuses all claims for the maximum
- * period first.
+ * clock drift. A granter that has just started has lost its grants. It therefore refuses all claims at first, for the
+ * maximum period plus the same margin.
  */
 export class Granter {
   readonly #maxPeriod: number
--- a/packages/lease/test/exclusion.test.ts
+++ b/packages/lease/test/exclusion.test.ts
@@ -175,21 +175,21 @@
   const base = new ManualClock()
   const processes = new Map(granters.map(id => [id, new GranterProcess(base, 1)]))
   const holder = new HolderProcess('a', 'all', base, 1, () => 0.5, processes)
-  const pass = async (span: number): Promise<void> => {
+  const advance = async (span: number): Promise<void> => {
     for (let passed = 0; passed < span; passed += 10) {
       base.advance(10)
       await settle()
     }
   }
-  await pass(2500)
+  await advance(2500)
   t.true(holder.lease.valid)
   holder.network.cut.add('g3')
   const lostAt = base.now()
-  while (holder.lease.valid && base.now() - lostAt < 3 * period) await pass(10)
+  while (holder.lease.valid && base.now() - lostAt < 3 * period) await advance(10)
   t.true(base.now() - lostAt <= period)
   t.deepEqual(holder.lease.missing, ['g3'])
   holder.network.cut.clear()
-  await pass(1000)
+  await advance(1000)
   t.true(holder.lease.valid)
   holder.clock.pause()
   base.advance(period + 1)
--- a/packages/lease/test/granter.test.ts
+++ b/packages/lease/test/granter.test.ts
@@ -25,8 +25,8 @@
   { title: 'the same holder with another term', claim: claim('a', '2'), at: 2500, answer: 'held' },
   { title: 'another holder after the period, within the margin for drift', claim: claim('b'), at: 3005, answer: 'held' },
   { title: 'another holder after the margin for drift', claim: claim('b'), at: 3010, answer: 'granted' },
-  { title: 'another resource', claim: claim('b', '1', { resource: 'other' }), at: 2500, answer: 'granted' },
-  { title: 'a period above the maximum', claim: claim('a', '1', { period: 1001 }), at: 2500, answer: 'period' }
+  { title: 'another holder for another resource', claim: claim('b', '1', { resource: 'other' }), at: 2500, answer: 'granted' },
+  { title: 'the same holder with a period above the maximum', claim: claim('a', '1', { period: 1001 }), at: 2500, answer: 'period' }
 ]
 
 for (const { title, claim, at, answer } of cases) {
--- a/packages/run/src/attempts.ts
+++ b/packages/run/src/attempts.ts
@@ -8,7 +8,7 @@
 /** The fate of an attempt: it was tombstoned and never starts, or it may have started. */
 export type AttemptFate = 'tombstoned' | 'started'
 
-/** Default for the number of attempts in each table. It limits the use of memory. */
+/** Default for the maximum number of attempts in each table. It limits the use of memory. */
 const defaultLimit = 100_000
 
 /** Default time for which a tombstone is retained: longer than a request can be in transit. */
@@ -34,7 +34,7 @@
   readonly #retention: number
   readonly #started = new Map<string, number>()
   readonly #tombstones = new Map<string, number>()
-  /** When the latest attempt that was dropped from the table started. */
+  /** Start time of the attempt that was dropped from the table last, on the monotonic clock. */
   #lastForgottenStart = -Infinity
 
   constructor (options: AttemptsOptions = {}) {
@@ -55,8 +55,8 @@
   /**
    * Returns the fate of an attempt at monotonic time `now`. An attempt that has not started gets a tombstone.
    *
-   * @param age time since the entry sent the attempt, in ms. An attempt sent before the latest dropped one started
-   * counts as started, because its own record may have been dropped.
+   * @param age time since the entry sent the attempt, in ms. An attempt that was sent before the start of the attempt
+   * dropped last counts as started, because its own record may have been dropped.
    */
   settle (attempt: string, age: number, now: number): AttemptFate {
     if (this.#started.has(attempt) || now - age <= this.#lastForgottenStart) return 'started'
--- a/packages/run/src/book.ts
+++ b/packages/run/src/book.ts
@@ -166,7 +166,7 @@
     this.#records.delete(key.text)
   }
 
-  /** Records the answer of the service. An answer above the size limit is not stored. */
+  /** Records the answer of the service. It is not stored if all stored answers would exceed `maxBytes` with it. */
   finish (key: Key, answer: StoredAnswer): void {
     const record = this.#records.get(key.text)
     if (record === undefined) return
@@ -214,7 +214,7 @@
 
   /**
    * Drops old keys that no longer run. A key that was minted before the takeover floor is retained as long as any other
-   * key: the entry that minted it may send it again, with its tenure.
+   * key: the entry that minted it may send it again, with the tenure for which it was minted.
    */
   #forgetOldKeys (wall: number): void {
     const oldest = this.#retentionFloor(wall)
--- a/packages/run/src/home.ts
+++ b/packages/run/src/home.ts
@@ -55,8 +55,8 @@
   readonly preferred: (slot: number, voters: readonly string[]) => readonly string[]
   readonly book?: BookOptions
   /**
-   * Minimum time, in ms, until a slot is offered to its preferred voter, after it was taken or after a refusal.
-   * Default: 30,000.
+   * Minimum time, in ms, before a slot is offered to its preferred voter: since this worker became its home, or since
+   * the voter refused it. Default: 30,000.
    */
   readonly minStay?: number
   readonly listener?: HomeListener
@@ -88,12 +88,13 @@
 /**
  * The slots of which one worker is the home or claims to be. Each slot is a resource with a lease by a majority of the
  * voters. The preferred voter claims its slots at once. Each other voter claims a slot only after the slot has been
- * vacant for two lease periods times its rank of preference, so that claims rarely split the votes. When a lease is
- * reached, a new book is opened. Lease and book end together, and the next claim uses a new term.
+ * vacant for two lease periods times its rank of preference, so that claims rarely split the votes. When the quorum of
+ * a lease is reached, a book is opened. Lease and book end together, and the next claim uses a new term.
  *
  * At a planned stop a home hands its book over to the next home, which then need not refuse earlier keys. The next home
- * may use the book only if no other worker held the slot in between. The marks of the voters show this: a home in
- * between would have had a majority, so at least one voter of any other majority would have given it a turn.
+ * may use the book only if no other worker held the slot in between. The marks of the voters show this (`Mark` in
+ * `@eiderwind/lease`): a home in between would have had a majority, so at least one voter of any other majority would
+ * have given it a turn.
  */
 export class Homes {
   readonly #options: HomesOptions
@@ -167,7 +168,7 @@
 
   /**
    * Releases all leases at a planned stop, and hands each book over to the first other voter that accepts it. The next
-   * home cannot tell how requests end that still run, so this is best called when no request runs.
+   * home cannot tell how requests that still run will end, so this is best called when no request runs.
    */
   async hand (send: HandoverSender): Promise<void> {
     this.#stopped = true
@@ -180,9 +181,9 @@
   }
 
   /**
-   * Hands one slot over to its preferred voter, so that slots spread again after restarts. The lease must have a current
-   * grant of this voter, which shows that the voter answers. No request of the slot may run, and this worker must have
-   * held the slot for the minimum time.
+   * Hands one slot over to its preferred voter, so that slots spread again after restarts. This requires that the lease
+   * has a current grant of this voter, which shows that the voter answers, that no request of the slot runs, and that
+   * this worker has held the slot for the minimum time.
    *
    * If the voter refuses, this worker keeps the slot. If the voter may have accepted the book, this worker runs no
    * further request of the slot: the next home decides with the book as it was sent.
--- a/packages/run/test/book.test.ts
+++ b/packages/run/test/book.test.ts
@@ -29,9 +29,9 @@
   { title: 'minted before the takeover', minted: openedAt - 1, at: openedAt + 300, decision: 'key-before-home, unknown' },
   { title: 'minted by the entry for the current tenure', minted: openedAt + 50, at: openedAt + 60, mintedFor: tenure, decision: 'run' },
   { title: 'minted by the entry for an earlier tenure', minted: openedAt + 50, at: openedAt + 60, mintedFor: tenure - 1, decision: 'key-before-home, unknown' },
-  { title: 'stamped one skew in the future', minted: openedAt + 1100, at: openedAt + 1000, decision: 'run' },
-  { title: 'stamped between one and two skews in the future, which an earlier home may have accepted', minted: openedAt + 1101, at: openedAt + 1000, decision: 'key-in-future, unknown' },
-  { title: 'stamped more than two skews in the future', minted: openedAt + 1201, at: openedAt + 1000, decision: 'key-in-future, not-run' },
+  { title: 'minted one skew in the future', minted: openedAt + 1100, at: openedAt + 1000, decision: 'run' },
+  { title: 'minted between one and two skews in the future, which an earlier home may have accepted', minted: openedAt + 1101, at: openedAt + 1000, decision: 'key-in-future, unknown' },
+  { title: 'minted more than two skews in the future', minted: openedAt + 1201, at: openedAt + 1000, decision: 'key-in-future, not-run' },
   { title: 'older than the retention time', minted: openedAt + 1000, at: openedAt + 11_000, decision: 'key-before-home, unknown' }
 ]
 
@@ -52,7 +52,7 @@
   t.is(decide(book, each, openedAt + 503, undefined, 2), 'key-reused, not-run')
 })
 
-test('a key older than its home, minted for the tenure, is retained as long as any other key', t => {
+test('a key minted before the takeover floor, for the current tenure, is retained as long as any other key', t => {
   const book = new Book(openedAt, tenure, options)
   const each = key(openedAt + 50)
   t.is(decide(book, each, openedAt + 60, tenure), 'run')
--- a/packages/run/test/once.test.ts
+++ b/packages/run/test/once.test.ts
@@ -187,14 +187,14 @@
   const fleet = new Map<string, WorkerProcess>()
   for (const name of names) fleet.set(name, new WorkerProcess(name, base, random, fleet))
   const traces: Trace[] = []
-  const pass = async (span: number): Promise<void> => {
+  const advance = async (span: number): Promise<void> => {
     for (let passed = 0; passed < span; passed += 25) {
       base.advance(25)
       await new Promise(resolve => setImmediate(resolve))
       for (const worker of fleet.values()) worker.clock.run(() => worker.homes.update())
     }
   }
-  await pass(2 * period)
+  await advance(2 * period)
   for (const { action, who, which, span } of steps) {
     const worker = fleet.get(names[who]) as WorkerProcess
     if (action === 'pause') worker.clock.pause()
@@ -214,10 +214,10 @@
       worker.serve(trace, incarnation, mintedFor)
       base.after(2000 * random(), () => worker.serve(trace, incarnation, mintedFor))
     }
-    await pass(span)
+    await advance(span)
   }
   for (const each of fleet.values()) each.clock.resume()
-  await pass(period)
+  await advance(period)
   for (const each of fleet.values()) each.homes.stop()
   return traces
 }
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -353,7 +353,7 @@
     find: 'const oldest = this.#retentionFloor(wall)',
     replace: 'const oldest = this.floor(wall)',
     test: 'packages/run/dist/test/book.test.js',
-    title: 'a key older than its home*'
+    title: 'a key minted before the takeover floor, for*'
   },
   {
     name: 'handover-running-forgotten',
