--- a/packages/config/src/writer.ts
+++ b/packages/config/src/writer.ts
@@ -34,7 +34,7 @@
   readonly operation: string
   readonly who: string
   readonly change: Change
-  /** The revision that the change is based on, or undefined to change any revision. */
+  /** The revision that the change is based on. If undefined, the change applies to the current one, whichever it is. */
   readonly revision?: number
 }
 
@@ -55,8 +55,8 @@
  * Applies changes to the configuration object. A change is one conditional update, so all changes have a total order.
  *
  * If the answer to an update is lost, the writer reads the object again. If the audit trail contains the operation id,
- * the update was applied. If the version has increased without this id, the update was not and can no longer be
- * applied.
+ * the update was applied. If the version has increased without this id, the update was not applied, and can no longer
+ * be applied.
  */
 export class Writer {
   readonly #store: Store
--- a/packages/config/test/writer.test.ts
+++ b/packages/config/test/writer.test.ts
@@ -6,7 +6,7 @@
 import { ManualClock } from '@eiderwind/clock'
 import { type Configuration } from '@eiderwind/schema'
 import { MemoryStore } from '@eiderwind/store'
-import { FaultyStore, type Turn as CallOutcome } from '@eiderwind/store/testing'
+import { FaultyStore, type CallOutcome } from '@eiderwind/store/testing'
 import { Current, Writer, configurationKey, type Change, type ChangeRequest } from '../src/index.js'
 
 const seed = 20261204
@@ -25,7 +25,7 @@
   return new Writer({ store, clock, maxWait: 500 })
 }
 
-async function present (store: MemoryStore): Promise<Configuration> {
+async function storedConfiguration (store: MemoryStore): Promise<Configuration> {
   return (await MemoryStore.prototype.read.call(store, configurationKey)).unwrap().value as Configuration
 }
 
@@ -51,7 +51,7 @@
     const store = new FaultyStore(calls)
     const result = await writer(store).change(leaveRequest('n1'))
     t.is(result.isOk() ? 'accepted' : `${result.error.code}, ${result.error.outcome}`, outcome)
-    const configuration = await present(store)
+    const configuration = await storedConfiguration(store)
     t.is(configuration?.leaving.includes('n1') ?? false, applied)
   })
 }
@@ -68,7 +68,7 @@
   const store = new MemoryStore()
   const results = await Promise.all(['n1', 'n2'].map(id => writer(store).change(leaveRequest(id, { revision: 0 }))))
   t.deepEqual(results.map(each => each.isOk()).sort(), [false, true])
-  t.is((await present(store)).revision, 1)
+  t.is((await storedConfiguration(store)).revision, 1)
 })
 
 test('every accepted change stays, in a total order, under races, lost calls and lost answers', async t => {
@@ -78,7 +78,7 @@
     const store = new FaultyStore(calls)
     const ids = Array.from({ length: 6 }, (_each, index) => `n${index}`)
     const results = await Promise.all(ids.map(id => writer(store).change(leaveRequest(id))))
-    const configuration = await present(store)
+    const configuration = await storedConfiguration(store)
     const audited = configuration?.audit.map(each => each.operation) ?? []
     const isConsistent = ids.every((id, index) => {
       const result = results[index]
@@ -97,7 +97,7 @@
   const each = writer(store)
   for (let index = 0; index < 310; index++) (await each.change(leaveRequest(`n${index}`))).unwrap()
   const archived = (await store.list('audit/')).unwrap().flatMap(({ value }) => value as Configuration['audit'])
-  const all = [...archived, ...(await present(store)).audit].map(record => record.to)
+  const all = [...archived, ...(await storedConfiguration(store)).audit].map(record => record.to)
   t.deepEqual(all, Array.from({ length: 310 }, (_each, index) => index + 1))
 })
 
--- a/packages/entry/src/attempting.ts
+++ b/packages/entry/src/attempting.ts
@@ -10,7 +10,7 @@
 import { Collector, send, wireHeaders, type Call, type Collected } from '@eiderwind/wire'
 
 /** Options of one attempt. */
-export interface TryOptions {
+export interface AttemptOptions {
   /** Headers in addition to those of the request. */
   readonly headers?: Readonly<Record<string, string>>
   /** Called with the attempt before it is sent. */
@@ -21,7 +21,7 @@
  * Sends a request to a target and collects the complete answer. Cancels at the deadline and when the caller
  * disconnects.
  */
-export function collectAttempt (context: Context, exchange: Exchange, target: Target, options: TryOptions = {}): Promise<AttemptEnd> {
+export function collectAttempt (context: Context, exchange: Exchange, target: Target, options: AttemptOptions = {}): Promise<AttemptEnd> {
   const { clock, targets, inFlight, dispatcher } = context
   const attempt = attemptAt(target, clock)
   options.begun?.(attempt)
--- a/packages/entry/src/calls.ts
+++ b/packages/entry/src/calls.ts
@@ -20,8 +20,8 @@
   readonly dataCentre: string
   /** The heads that serve a model service in this entry's region. */
   readonly heads: (service: string) => Peer[]
-  /** Fetches from another entry the state that this entry lacks. `known` is the digest of the other entry's state. */
-  readonly fetchMissing: (address: string, revision: number, known: number) => Promise<void>
+  /** Fetches from another entry the state that this entry lacks (`Spreader.fetchMissing`). */
+  readonly fetchMissing: (address: string, revision: number, peerDigest: number) => Promise<void>
 }
 
 /** Answers the calls of workers and other entries. */
--- a/packages/entry/src/convert.ts
+++ b/packages/entry/src/convert.ts
@@ -24,7 +24,7 @@
   })
 }
 
-/** A change built from parts of messages and checked against the schema. */
+/** Checks a change that was built from messages. Returns it, or a fault that lists what is invalid. */
 export function checkedChange (parts: unknown): Result<Change, Fault> {
   const change = Change.safeParse(parts)
   if (change.success) return Ok(change.data)
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,8 +1,7 @@
 /**
  * The entry process. An entry takes the requests of callers and the calls of operators. A worker is the process beside
  * an upstream; entries send requests to workers. This module creates, connects, starts and stops the parts of an entry.
- * It owns all of them and their shared board. The only rule that it holds itself is the order of the steps of a planned
- * stop.
+ * It owns all of them and their shared board. It contains one rule of its own: the order of steps in a planned stop.
  */
 import { type Server } from 'node:http'
 import { Server as TcpServer } from 'node:net'
@@ -47,7 +46,7 @@
  */
 const minIdleTime = 250
 
-/** Upper bound of the wait for `minIdleTime`, in ms. */
+/** Maximum time that a stop waits until no request has arrived for `minIdleTime`, in ms. */
 const maxCloseTime = 2000
 
 /** Options of an entry. Times are in ms. */
@@ -69,9 +68,9 @@
   readonly first: Operator | undefined
   /** Maximum size of a request body, in bytes. */
   readonly bodyLimit: number
-  /** Deadline of a request that gives none. */
+  /** Deadline of a request that gives none, and upper bound of the others. */
   readonly deadline: number
-  /** Maximum time of a planned stop, without the closing of connections. */
+  /** Maximum time that a planned stop waits for open requests. Closing the connections takes extra time. */
   readonly stop: number
   /** Time for the balancer to notice that this entry leaves, before the entry stops listening. */
   readonly notice: number
--- a/packages/entry/src/exchange.ts
+++ b/packages/entry/src/exchange.ts
@@ -16,7 +16,7 @@
   readonly body: Buffer
   readonly team: Team
   readonly service: string
-  /** The time, on `Clock.now`. */
+  /** Time by which the request must be answered, on `Clock.now`. */
   readonly deadline: number
   /** Arrival time of the request, on `Clock.now`. */
   readonly startedAt: number
@@ -49,7 +49,7 @@
 /** Maximum time by which a timer may fire early, in ms. */
 const timerSlack = 5
 
-/** Whether the deadline of a request has passed. Allows for a timer set to the deadline that fires a little early. */
+/** Whether the deadline of a request has passed, or a timer that was set to it may already have fired. */
 export function isExpired (exchange: Exchange, clock: Clock): boolean {
   return timeLeft(exchange, clock) < timerSlack
 }
@@ -69,8 +69,8 @@
 const entryOnlyHeaders: ReadonlySet<string> = new Set(['authorization', 'content-length', callerHeaders.session, callerHeaders.deadline, callerHeaders.repeatable, callerHeaders.lastEvent, ...Object.values(wireHeaders)])
 
 /**
- * The headers that a worker gets: the caller's, without hop-by-hop headers and the team's key, and those of the
- * attempt.
+ * The headers that a worker gets: the caller's headers and those of the attempt. Hop-by-hop headers, and headers that
+ * only concern the entry, such as the team's key, are left out.
  */
 export function attemptHeaders (exchange: Exchange, attempt: Attempt, clock: Clock): Record<string, string> {
   const headers: Record<string, string> = {}
--- a/packages/entry/src/facts.ts
+++ b/packages/entry/src/facts.ts
@@ -1,6 +1,6 @@
 /**
- * The board of an entry: the shared state that it knows of the platform, nodes, placements, voters and other entries.
- * Owns the rules by which received state replaces known state. Controllers write the board, and requests read it.
+ * The board of an entry: what the entry knows about the platform, nodes, placements, voters and other entries. Owns the
+ * rules by which received state replaces known state. Controllers write the board, and requests read it.
  */
 import { Board } from '@eiderwind/board'
 import { digest } from '@eiderwind/hash'
@@ -67,7 +67,7 @@
 }
 
 /** Stores a list of voters if it is newer than the known one. */
-export function mergeHomes (board: EntryBoard, homes: Homes): void {
+export function mergeVoters (board: EntryBoard, homes: Homes): void {
   const known = board.read('homes')
   if (isNewer(homes, known.get(homes.service))) board.write('homes', new Map(known).set(homes.service, homes))
 }
@@ -85,21 +85,24 @@
   merge(board, entries, isLaterIncarnation)
 }
 
-/** Merges the platform's list of entries. Entries of earlier builds are listed there without an incarnation. */
+/**
+ * Merges the platform's list of entries. Entries of earlier builds are listed there without an incarnation. A listed
+ * address of such an entry replaces the known one.
+ */
 export function mergeListedEntries (board: EntryBoard, entries: readonly EntryAddress[]): void {
   merge(board, entries, (found, known) => found.incarnation === undefined ? found.peer !== known.peer : isLaterIncarnation(found, known))
 }
 
 /**
- * Stores the address that a known entry sends for itself. An unknown entry is skipped: it is received with the rest of
- * its state when that is fetched.
+ * Stores the address that a known entry sends for itself. An unknown entry is skipped here. It is added when this entry
+ * fetches the state of the sender.
  */
 export function updateSender (board: EntryBoard, sender: EntryAddress): void {
   if (!board.read('entries').some(each => each.id === sender.id)) return
   merge(board, [sender], (found, known) => found.peer !== known.peer || found.incarnation !== known.incarnation)
 }
 
-/** Adds unknown entries and replaces known ones by `replaces`. Ignores addresses of this entry itself. */
+/** Adds unknown entries, and replaces a known one if `replaces` says so. Ignores addresses of this entry itself. */
 function merge (board: EntryBoard, entries: readonly EntryAddress[], replaces: ReplaceRule): void {
   const { id: selfId } = board.read('self')
   const known = new Map(board.read('entries').map(each => [each.id, each]))
@@ -113,7 +116,8 @@
 }
 
 /**
- * Whether an address belongs to a later incarnation. One without an incarnation replaces only another one without it.
+ * Whether an address belongs to a later incarnation. An address without an incarnation replaces only a different
+ * address that has none either.
  */
 function isLaterIncarnation (found: EntryAddress, known: EntryAddress): boolean {
   if (known.incarnation === undefined) return found.incarnation !== undefined || found.peer !== known.peer
--- a/packages/entry/src/fence.ts
+++ b/packages/entry/src/fence.ts
@@ -10,8 +10,8 @@
 import { type EntryBoard } from './facts.js'
 
 /**
- * How long an entry keeps serving after it learns of a later configuration, in ms. It is longer than fetching that
- * configuration takes. Workers report the new revision within a second, so the entry stops within 6 s of the change.
+ * How long an entry keeps serving after it learns of a later configuration, in ms. Fetching that configuration takes
+ * less. The entry must stop within 6 s of the change, and workers report the new revision within a second of it.
  */
 const maxBehindTime = 3000
 
@@ -25,10 +25,10 @@
 }
 
 /**
- * Takes an entry out of service that misses a change of the configuration because it is cut off from the platform and
- * the other entries. Each report of a worker names the configuration revision that the worker uses. An entry that still
- * receives reports therefore learns that a later revision is in force. If it cannot fetch that revision, it refuses new
- * requests instead of serving them under the old one.
+ * Takes this entry out of service if it misses a change of the configuration, because it is cut off from the platform
+ * and the other entries. Each report of a worker names the configuration revision that the worker uses. An entry that
+ * still receives reports therefore learns that a later revision is in force. If it cannot fetch that revision, it
+ * refuses new requests instead of serving them under the old one.
  */
 export class Fence extends Controller {
   readonly name = 'fence'
--- a/packages/entry/src/health.ts
+++ b/packages/entry/src/health.ts
@@ -1,8 +1,8 @@
 /**
  * Health of nodes and replicas, derived from the reports that this entry has received. Pure functions. Health is a
  * belief. Whether a head may serve is decided by its lease alone. A head holds its lease by grants: a grant is the
- * consent of one member of the replica for one lease period. The generation of a replica is the number of its current
- * set of members.
+ * consent of one member of the replica for one lease period. The generation of a replica is a number that identifies
+ * its current set of members.
  */
 import { type Configuration, type Node, type Replica } from '@eiderwind/schema'
 import { type Health, type NodeFact } from '@eiderwind/plan'
@@ -26,8 +26,8 @@
 const maxFarDelay = 12_000
 
 /**
- * The health of each node. A node of another data centre without a report gets its health from the platform's node
- * list.
+ * The health of each node. A node of another data centre without a report counts as live, or as leaving if the
+ * platform's node list or the configuration says so.
  */
 export function nodeFacts (facts: HealthFacts): NodeFact[] {
   const leaving = new Set(facts.configuration.leaving)
--- a/packages/entry/src/inflight.ts
+++ b/packages/entry/src/inflight.ts
@@ -9,8 +9,8 @@
 /** Interval between checks of the workers of all attempts in flight, in ms. */
 const checkInterval = 500
 
-/** Time between two checks above which the later check counts as late, in ms. */
-const maxCheckDelay = 2 * checkInterval
+/** A check counts as late if the previous one was longer ago than this time, in ms. */
+const maxCheckGap = 2 * checkInterval
 
 interface AttemptInFlight {
   readonly target: Target
@@ -54,7 +54,7 @@
    */
   #check (): void {
     const now = this.#clock.now()
-    const isLate = now - this.#checkedAt > maxCheckDelay
+    const isLate = now - this.#checkedAt > maxCheckGap
     this.#checkedAt = now
     if (isLate) return
     for (const { target, cancel } of [...this.#attempts]) {
--- a/packages/entry/src/keyedpath.ts
+++ b/packages/entry/src/keyedpath.ts
@@ -19,8 +19,8 @@
 const maxUnanswered = 3
 
 /**
- * Maximum number of repeated attempts after a worker answered that it did not run the request, such as because it is
- * not the home.
+ * Maximum number of repeated attempts after a worker answered that it did not run the request, for example because it
+ * is not the home.
  */
 const maxHomeChanges = 3
 
@@ -69,9 +69,9 @@
 }
 
 /**
- * Headers that give the home the key. `freshTenure` is the tenure in which the entry made the key: no earlier attempt
- * can have used it.
+ * Headers that give the home the key. `mintedFor` is the tenure for which the entry has just minted the key, or
+ * undefined if an earlier attempt may have used the key.
  */
-function keyHeaders (key: Key, freshTenure: number | undefined): Record<string, string> {
-  return { [wireHeaders.key]: key.text, ...(freshTenure === undefined ? {} : { [wireHeaders.fresh]: String(freshTenure) }) }
+function keyHeaders (key: Key, mintedFor: number | undefined): Record<string, string> {
+  return { [wireHeaders.key]: key.text, ...(mintedFor === undefined ? {} : { [wireHeaders.fresh]: String(mintedFor) }) }
 }
--- a/packages/entry/src/modelpath.ts
+++ b/packages/entry/src/modelpath.ts
@@ -1,6 +1,6 @@
 /**
- * The path of a completion: chooses the replicas to try and their order. Owns the choice for one request. Relies on
- * `route` for the policy and on `stream.ts` for streamed answers.
+ * The path of a completion: chooses the replicas to try and their order. Owns the set of replicas that a request has
+ * tried. Relies on `route` for the policy and on `stream.ts` for streamed answers.
  */
 import { Fault } from '@eiderwind/fault'
 import { ranked } from '@eiderwind/hash'
--- a/packages/entry/src/operators.ts
+++ b/packages/entry/src/operators.ts
@@ -21,8 +21,8 @@
 import { bearerKey, secretDigest } from './teams.js'
 
 /**
- * Maximum number of entries of this data centre, and as many of others, that are sent a change before it is answered as
- * accepted.
+ * Maximum number of entries of this data centre to which a change is sent before the operator's call is answered. The
+ * same number applies to entries of other data centres.
  */
 const maxOfferPeers = 2
 
@@ -112,7 +112,7 @@
 
   /**
    * Sends the configuration to a few other entries, so that it survives the loss of this entry and of the platform.
-   * Resolves to the number of entries that have it.
+   * Resolves to the number of other entries that have received it.
    */
   async #offer (configuration: Configuration): Promise<number> {
     const { board, self, clients } = this.#options
--- a/packages/entry/src/peers.ts
+++ b/packages/entry/src/peers.ts
@@ -1,6 +1,6 @@
 /**
- * Liveness of the other entries. Owns the time of the last contact with each. The result is a belief: it only decides
- * which entries exchange state with each other and which one acts on a subject.
+ * Liveness of the other entries. Owns the time of the last contact with each. The result may be wrong. It only decides
+ * which entries exchange state with each other, and which entry is responsible for a task, such as planning a domain.
  */
 import { type Clock } from '@eiderwind/clock'
 import { type EntryAddress } from '@eiderwind/schema'
@@ -28,8 +28,8 @@
   }
 
   /**
-   * The entries among `entries` that count as live: those of other data centres, and those of this one that are not
-   * silent.
+   * The entries among `entries` that count as live: this entry, all entries of other data centres, and the entries of
+   * this data centre that are not silent.
    */
   live (entries: readonly EntryAddress[]): EntryAddress[] {
     return entries.filter(entry => entry.id === this.#self.id || entry.dataCentre !== this.#self.dataCentre || this.#isRecent(entry.id))
--- a/packages/entry/src/plainpath.ts
+++ b/packages/entry/src/plainpath.ts
@@ -1,7 +1,8 @@
 /**
- * The path of a request to a plain service that may be repeated or is not declared either way. Relies on `targets.ts`
- * for the workers. When an answer is lost, it asks the worker whether the attempt has started. A worker that has not
- * started the attempt records a tombstone for it: a mark that keeps it from ever starting.
+ * The path of a request to a plain service. A request that may run at most once is passed on to `keyedpath.ts`; every
+ * other request is served here. Relies on `targets.ts` for the workers. When an answer is lost, this path asks the
+ * worker whether the attempt has started. A worker that has not started it records a tombstone: a record that the
+ * attempt must never start.
  */
 import { Fault } from '@eiderwind/fault'
 import { noPreference } from '@eiderwind/route'
--- a/packages/entry/src/registrar.ts
+++ b/packages/entry/src/registrar.ts
@@ -6,7 +6,7 @@
 import { EntryList, Homes, Placement, type EntryAddress } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { watchers } from '@eiderwind/spread'
-import { mergeHomes, mergeListedEntries, mergePlacement, type EntryBoard } from './facts.js'
+import { mergeVoters, mergeListedEntries, mergePlacement, type EntryBoard } from './facts.js'
 import { type Peers } from './peers.js'
 
 /** Silence after which an entry is removed from its data centre's list, in ms. */
@@ -68,6 +68,6 @@
     this.#board.write('platformAnswers', entries.isOk())
     for (const { value } of entries.unwrapOr([])) mergeListedEntries(this.#board, EntryList.parse(value).entries)
     for (const { value } of placements.unwrapOr([])) mergePlacement(this.#board, Placement.parse(value))
-    for (const { value } of homes.unwrapOr([])) mergeHomes(this.#board, Homes.parse(value))
+    for (const { value } of homes.unwrapOr([])) mergeVoters(this.#board, Homes.parse(value))
   }
 }
--- a/packages/entry/src/spreader.ts
+++ b/packages/entry/src/spreader.ts
@@ -8,7 +8,7 @@
 import { Configuration, type EntryAddress } from '@eiderwind/schema'
 import { Telling, columns, duties, reportTargets, type Heard, type Reports } from '@eiderwind/spread'
 import { type Clients } from '@eiderwind/wire'
-import { type EntryBoard, knownDigest, mergeEntries, mergeHomes, mergeNodes, mergePlacement } from './facts.js'
+import { type EntryBoard, knownDigest, mergeEntries, mergeVoters, mergeNodes, mergePlacement } from './facts.js'
 import { type Peers } from './peers.js'
 
 /** Number of updates between two exchanges with another data centre. */
@@ -47,13 +47,13 @@
   readonly name = 'spreader'
   readonly interval = 1000
   readonly #options: SpreaderOptions
-  readonly #telling: Telling
+  readonly #sentReports: Telling
   #turn = 0
 
   constructor (options: SpreaderOptions) {
     super()
     this.#options = options
-    this.#telling = new Telling(options.clock)
+    this.#sentReports = new Telling(options.clock)
   }
 
   async update (): Promise<void> {
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Makes the next update exchange state with all peers, including other data centres. For changes that must spread at
-   * once.
+   * Makes the next update exchange state with all peers of this data centre, and with one entry of each other data
+   * centre that this entry exchanges state with. For changes that must spread at once.
    */
   sendToAllNext (): void {
     this.#turn = 0
@@ -85,7 +85,7 @@
    * Fetches the state that another entry has and this one lacks.
    *
    * @param revision the other entry's configuration revision
-   * @param peerDigest the digest of the rest of its state (`knownDigest`)
+   * @param peerDigest the digest of the rest of the other entry's state (`knownDigest`)
    */
   async fetchMissing (address: string, revision: number, peerDigest: number): Promise<void> {
     const { board, current, clients } = this.#options
@@ -94,7 +94,7 @@
     if (peerDigest === knownDigest(board)) return
     const { placements, homes, entries, nodes, nodesSeen } = await calls.known()
     for (const placement of placements) mergePlacement(board, placement)
-    for (const each of homes) mergeHomes(board, each)
+    for (const each of homes) mergeVoters(board, each)
     mergeEntries(board, entries)
     if (nodesSeen > 0) mergeNodes(board, { seen: nodesSeen, nodes })
   }
@@ -125,19 +125,19 @@
   async #exchange (peer: EntryAddress, isChosen: (heard: Heard) => boolean): Promise<boolean> {
     const { clock, reports, peers, clients, board, current, self } = this.#options
     const now = clock.now()
-    const heard = reports.after(this.#telling.since(peer.id), isChosen)
-    const news = this.#telling.news(peer.id, heard)
+    const heard = reports.after(this.#sentReports.since(peer.id), isChosen)
+    const news = this.#sentReports.news(peer.id, heard)
     const message = { from: self, revision: current.revision, known: knownDigest(board), reports: [...news.reports], beats: columns(news.beats) }
     try {
       const { revision, known, lacking } = await clients.entry(peer.peer).exchange(message)
-      this.#telling.arrived(peer.id, now, heard, lacking)
+      this.#sentReports.arrived(peer.id, now, heard, lacking)
       peers.recordContact(peer.id)
       await this.fetchMissing(peer.peer, revision, known)
       return true
     } catch {
       // Not logged, since this runs each second. A peer that stays silent drops out of `Peers.live`. The next exchange
       // sends everything again.
-      this.#telling.failed(peer.id)
+      this.#sentReports.failed(peer.id)
       return false
     }
   }
--- a/packages/entry/src/stream.ts
+++ b/packages/entry/src/stream.ts
@@ -17,7 +17,7 @@
 /** Pause before a stream that has begun searches for a replica again, in ms. */
 const resumePause = 200
 
-/** Time after its first failed attempt for which a stream that has begun may search for a replica, in ms. */
+/** A stream that has begun may search for a replica for this time after its first failed attempt, in ms. */
 const maxResumeWait = 60_000
 
 /**
@@ -48,13 +48,13 @@
     const { response } = this.#exchange
     let last = new Fault('no-replica')
     let mayHaveRun = false
-    let lostAt = Infinity
+    let firstFailureAt = Infinity
     budget.deposit()
     for (let tries = 0; timeLeft(this.#exchange, clock) > 0 && !response.destroyed; tries++) {
       const target = this.#choice.next()
       if (!this.#begun && (target === undefined || (tries > 0 && !budget.withdraw()))) break
       if (target === undefined) {
-        if (clock.now() - lostAt > maxResumeWait) break
+        if (clock.now() - firstFailureAt > maxResumeWait) break
         this.#choice.reset()
         await clock.wait(resumePause)
         continue
@@ -68,7 +68,7 @@
       this.#recordFailure(target, end.failure)
       if (end.failure.outcome !== 'not-run') mayHaveRun = true
       if (mayHaveRun && !this.#exchange.repeatable) break
-      lostAt = Math.min(lostAt, clock.now())
+      firstFailureAt = Math.min(firstFailureAt, clock.now())
     }
     this.#endFailed(accountForEarlierTries(finalFault(last, mayHaveRun), this.#exchange.key))
   }
--- a/packages/entry/src/targets.ts
+++ b/packages/entry/src/targets.ts
@@ -28,10 +28,7 @@
 
 /** The home of a slot of keys. */
 export interface HomeTarget extends Target {
-  /**
-   * Number of the period for which the worker has been the home without a break. Each period of a worker has a new
-   * number.
-   */
+  /** Number of the worker's tenure: its current period as the home, without a break. Each tenure has a new number. */
   readonly tenure: number
 }
 
@@ -39,7 +36,7 @@
 interface LocalCounts {
   /** Requests without an answer. */
   open: number
-  /** Times at which the requests were sent that the worker's latest report does not include yet, on `Clock.now`. */
+  /** Send times, on `Clock.now`, of the requests that the worker's latest report does not include yet. */
   sentAt: number[]
 }
 
@@ -121,7 +118,7 @@
     return free.length > 0 ? free : [...targets]
   }
 
-  /** The targets in this entry's region. */
+  /** The targets in this entry's region. A worker that is not in the node list counts as in this region. */
   regional (targets: readonly Target[]): Target[] {
     const { board, self } = this.#options
     const nodes = board.read('nodes')?.nodes ?? []
--- a/packages/entry/src/voting.ts
+++ b/packages/entry/src/voting.ts
@@ -1,7 +1,7 @@
 /**
  * Maintains the list of voters of each plain service. The voters are the workers whose majority decides which of them
  * is the home of a slot of keys. The list is an object of the store. A new list differs from the last one by one voter.
- * It is written only when no older list can still form a majority.
+ * It is written only when no lease that a majority of an older list granted can still be held.
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
@@ -9,13 +9,13 @@
 import { Homes, type EntryAddress } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { actor, type Reports } from '@eiderwind/spread'
-import { mergeHomes, type EntryBoard } from './facts.js'
+import { mergeVoters, type EntryBoard } from './facts.js'
 
 /** Time for which a majority must have used a list before the next one is written, in ms. Longer than any lease. */
 const settleTime = 10_000
 
-/** Silence after which a voter is removed from the list, in ms. Longer than the restart of a voter takes. */
-const replaceAfter = 60_000
+/** Silence after which a voter is removed from the list, in ms. Longer than a voter takes to restart. */
+const removeAfter = 60_000
 
 /** Dependencies of the voting controller. */
 export interface VotingOptions {
@@ -36,7 +36,8 @@
   readonly name = 'voting'
   readonly interval = 1000
   readonly #options: VotingOptions
-  readonly #settledAt = new Map<string, number>()
+  /** When a majority of the voters began to use a list, on `Clock.now`, by service and revision. */
+  readonly #adoptedAt = new Map<string, number>()
 
   constructor (options: VotingOptions) {
     super()
@@ -58,9 +59,9 @@
     const next = known === undefined ? this.#firstList(service) : this.#nextList(known)
     if (next === undefined) return
     const written = await store.write(`homes/${service}`, next, next.revision - 1)
-    if (written.isOk()) return mergeHomes(board, next)
+    if (written.isOk()) return mergeVoters(board, next)
     const found = await store.read(`homes/${service}`)
-    if (found.isOk() && found.value.version > 0) mergeHomes(board, Homes.parse(found.value.value))
+    if (found.isOk() && found.value.version > 0) mergeVoters(board, Homes.parse(found.value.value))
   }
 
   #firstList (service: string): Homes | undefined {
@@ -72,8 +73,8 @@
   #nextList (known: Homes): Homes | undefined {
     const { service, revision, voters } = known
     const candidates = this.#liveWorkers(service)
-    const added = candidates.find(id => !voters.includes(id) && this.#silence(id) < replaceAfter)
-    const gone = voters.find(id => !candidates.includes(id) || this.#silence(id) > replaceAfter)
+    const added = candidates.find(id => !voters.includes(id) && this.#silence(id) < removeAfter)
+    const gone = voters.find(id => !candidates.includes(id) || this.#silence(id) > removeAfter)
     if (added === undefined && (gone === undefined || voters.length === 1)) return undefined
     if (!this.#isSettled(known)) return undefined
     if (added !== undefined) return { service, revision: revision + 1, voters: [...voters, added] }
@@ -85,9 +86,9 @@
     const { reports, clock } = this.#options
     const listKey = `${service}@${revision}`
     const adopted = voters.filter(id => reports.of(id)?.report.votersRevision === revision)
-    if (adopted.length <= voters.length / 2) this.#settledAt.delete(listKey)
-    else if (!this.#settledAt.has(listKey)) this.#settledAt.set(listKey, clock.now())
-    const since = this.#settledAt.get(listKey)
+    if (adopted.length <= voters.length / 2) this.#adoptedAt.delete(listKey)
+    else if (!this.#adoptedAt.has(listKey)) this.#adoptedAt.set(listKey, clock.now())
+    const since = this.#adoptedAt.get(listKey)
     return since !== undefined && clock.now() - since >= settleTime
   }
 
--- a/packages/entry/test/addresses.test.ts
+++ b/packages/entry/test/addresses.test.ts
@@ -56,9 +56,9 @@
   }
 
   add (self: EntryAddress, seeds: readonly string[] = []): TestEntry {
-    const part = new TestEntry(self, this.clients, seeds)
-    this.#entries.set(self.peer, part)
-    return part
+    const entry = new TestEntry(self, this.clients, seeds)
+    this.#entries.set(self.peer, entry)
+    return entry
   }
 
   #calls (peer: string): Pick<EntryCalls, 'configuration' | 'known' | 'exchange'> {
@@ -101,12 +101,12 @@
 
 test('the address that an entry sends for itself replaces the known one at once, also with an earlier incarnation or none', async t => {
   for (const self of [newAddress, { ...newAddress, incarnation: undefined }, { ...newAddress, incarnation: '0' }]) {
-    const part = new Network().add(secondAddress)
-    mergeEntries(part.board, [oldAddress])
+    const entry = new Network().add(secondAddress)
+    mergeEntries(entry.board, [oldAddress])
     const none = { workers: [], stamps: [], sequences: [], running: [], queued: [], ages: [] }
     const message: Exchange = { from: self, revision: 0, known: 0, reports: [], beats: none }
-    await part.calls.exchange(message)
-    t.is(part.peer('e1'), newAddress.peer)
+    await entry.calls.exchange(message)
+    t.is(entry.peer('e1'), newAddress.peer)
   }
 })
 
@@ -114,14 +114,14 @@
   for (let seed = 1; seed <= 200; seed++) {
     const random = seeded(seed)
     const network = new Network(() => Math.floor(random() * 4))
-    const parts = [network.add(secondAddress), network.add(thirdAddress)]
-    for (const part of parts) mergeEntries(part.board, [oldAddress, secondAddress, thirdAddress])
+    const others = [network.add(secondAddress), network.add(thirdAddress)]
+    for (const other of others) mergeEntries(other.board, [oldAddress, secondAddress, thirdAddress])
     const entry = network.add(newAddress, [secondAddress.peer])
     for (let round = 0; round < 3; round++) {
-      await Promise.all([entry, ...parts].map(each => each.spreader.update()))
+      await Promise.all([entry, ...others].map(each => each.spreader.update()))
       await waitTurns(20)
     }
-    for (const part of [entry, ...parts]) t.is(part.peer('e1'), newAddress.peer, `seed ${seed}`)
+    for (const each of [entry, ...others]) t.is(each.peer('e1'), newAddress.peer, `seed ${seed}`)
   }
 })
 
--- a/packages/entry/test/harness.ts
+++ b/packages/entry/test/harness.ts
@@ -24,7 +24,7 @@
 /** How a fake worker answers one request. */
 export type Answer = (request: IncomingMessage, response: ServerResponse) => void
 
-/** A worker of the harness. It gives each of its `answers` in turn, and repeats the last one. */
+/** A worker of the harness. */
 export interface FakeWorker {
   readonly id: string
   readonly address: string
@@ -34,6 +34,7 @@
 
 /** The behaviour of a fake worker. */
 export interface WorkerBehaviour {
+  /** Its answers to requests, in order. The last one is repeated. */
   readonly answers: readonly Answer[]
   /** Its answer to a settle call for any attempt. If undefined, it cuts the connection of the call. */
   readonly fate?: SettleAnswer
--- a/packages/entry/test/planning.test.ts
+++ b/packages/entry/test/planning.test.ts
@@ -12,8 +12,8 @@
 import { Placement, emptyConfiguration, type EntryAddress, type Node } from '@eiderwind/schema'
 import { Reports } from '@eiderwind/spread'
 import { MemoryStore } from '@eiderwind/store'
-import { FaultyStore, type Turn } from '@eiderwind/store/testing'
-import { entryBoard, mergeHomes, mergeNodes, mergePlacement, type EntryBoard } from '../src/facts.js'
+import { FaultyStore, type CallOutcome } from '@eiderwind/store/testing'
+import { entryBoard, mergeVoters, mergeNodes, mergePlacement, type EntryBoard } from '../src/facts.js'
 import { Planning } from '../src/planning.js'
 import { model, reportOf } from './harness.js'
 
@@ -21,7 +21,7 @@
 const runs = 150
 const lostAfter = 2000
 const domain = 'fabric-1'
-const object = `placement/${domain}`
+const placementKey = `placement/${domain}`
 const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h']
 
 const nodes: readonly Node[] = ids.map(id => ({ id, domain, dataCentre: 'd1', region: 'r1', address: 'x:1', accelerators: 4, state: 'live' }))
@@ -81,18 +81,18 @@
 
 /** The stored placement, read without the planned faults. */
 async function stored (store: FaultyStore): Promise<Placement | undefined> {
-  const { version, value } = (await MemoryStore.prototype.read.call(store, object)).unwrap()
+  const { version, value } = (await MemoryStore.prototype.read.call(store, placementKey)).unwrap()
   return version === 0 ? undefined : Placement.parse(value)
 }
 
-const turn = fc.constantFrom<Turn>('well', 'well', 'well', 'lost-answer', 'lost-call', 'down')
+const outcome = fc.constantFrom<CallOutcome>('well', 'well', 'well', 'lost-answer', 'lost-call', 'down')
 
 const step = fc.record({
   /** Indexes of the entries that plan at the same time. */
   who: fc.subarray([0, 1, 2], { minLength: 1 }),
   /** Nodes that the first of them counts as lost from now on. */
   lost: fc.subarray(ids, { maxLength: 3 }),
-  turns: fc.array(turn, { maxLength: 4 })
+  outcomes: fc.array(outcome, { maxLength: 4 })
 })
 
 test('with concurrent planners and failing writes, no node is in two replicas and no generation has two sets of members', async t => {
@@ -103,9 +103,9 @@
     const members = new Map<string, string>()
     let generation = 0
     for (const entry of entries) entry.receiveReports(new Set())
-    for (const { who, lost, turns } of steps) {
+    for (const { who, lost, outcomes } of steps) {
       entries[who[0]].receiveReports(new Set(lost))
-      store.plan(turns)
+      store.addOutcomes(outcomes)
       const before = entries.map(each => each.known?.revision ?? 0)
       await Promise.all(who.map(index => entries[index].plan()))
       clock.advance(500)
@@ -130,26 +130,26 @@
 
 interface Case {
   readonly title: string
-  readonly turns: readonly Turn[]
+  readonly outcomes: readonly CallOutcome[]
   /** Stored revision, and the revision known to the entry, after the first plan and after the second one. */
   readonly first: readonly [number, number]
   readonly second: readonly [number, number]
 }
 
 const cases: readonly Case[] = [
-  { title: 'no fault', turns: [], first: [1, 1], second: [1, 1] },
-  { title: 'the platform is down at the first read', turns: ['down'], first: [0, 0], second: [1, 1] },
-  { title: 'the platform is down at the write', turns: ['well', 'down', 'down'], first: [0, 0], second: [1, 1] },
-  { title: 'the write is lost', turns: ['well', 'lost-call'], first: [0, 0], second: [1, 1] },
-  { title: 'the answer to the write is lost', turns: ['well', 'lost-answer'], first: [1, 1], second: [1, 1] },
-  { title: 'the answer to the write is lost and the platform is down afterwards', turns: ['well', 'lost-answer', 'down'], first: [1, 0], second: [1, 1] }
+  { title: 'no fault', outcomes: [], first: [1, 1], second: [1, 1] },
+  { title: 'the platform is down at the first read', outcomes: ['down'], first: [0, 0], second: [1, 1] },
+  { title: 'the platform is down at the write', outcomes: ['well', 'down', 'down'], first: [0, 0], second: [1, 1] },
+  { title: 'the write is lost', outcomes: ['well', 'lost-call'], first: [0, 0], second: [1, 1] },
+  { title: 'the answer to the write is lost', outcomes: ['well', 'lost-answer'], first: [1, 1], second: [1, 1] },
+  { title: 'the answer to the write is lost and the platform is down afterwards', outcomes: ['well', 'lost-answer', 'down'], first: [1, 0], second: [1, 1] }
 ]
 
-for (const { title, turns, first, second } of cases) {
+for (const { title, outcomes, first, second } of cases) {
   test(`a placement change takes effect once, and the entry ends with the stored placement: ${title}`, async t => {
     const { store, entries: [entry] } = setUp()
     entry.receiveReports(new Set())
-    store.plan(turns)
+    store.addOutcomes(outcomes)
     await entry.plan()
     t.deepEqual([(await stored(store))?.revision ?? 0, entry.known?.revision ?? 0], [...first])
     await entry.plan()
@@ -161,7 +161,7 @@
   const board = entryBoard({ id: 'e1', dataCentre: 'd1', region: 'r1', peer: 'e1:1' })
   for (const revision of [2, 1]) {
     mergePlacement(board, { domain, revision, generation: revision, replicas: [] })
-    mergeHomes(board, { service: 's', revision, voters: [] })
+    mergeVoters(board, { service: 's', revision, voters: [] })
     mergeNodes(board, { seen: revision, nodes: revision === 1 ? nodes : [] })
   }
   t.is(board.read('placements').get(domain)?.revision, 2)
--- a/packages/entry/test/transcript.test.ts
+++ b/packages/entry/test/transcript.test.ts
@@ -19,20 +19,20 @@
     const bytes = stream(words)
     const broken = bytes.subarray(0, Math.floor(bytes.length * end))
     const transcript = new Transcript()
-    let handed = ''
+    let forwarded = ''
     for (let at = 0, turn = 0; at < broken.length; turn++) {
       const size = 1 + cuts[turn % cuts.length]
-      handed += transcript.take(broken.subarray(at, at + size))?.toString('latin1') ?? ''
+      forwarded += transcript.take(broken.subarray(at, at + size))?.toString('latin1') ?? ''
       at += size
     }
     const progress = transcript.resume()
-    const events = handed === '' ? [] : handed.split('\n\n').slice(0, -1)
+    const events = forwarded === '' ? [] : forwarded.split('\n\n').slice(0, -1)
     const tokens = events.filter(each => each.includes('content'))
-    return bytes.toString('latin1').startsWith(handed) &&
-      (handed === '' || handed.endsWith('\n\n')) &&
+    return bytes.toString('latin1').startsWith(forwarded) &&
+      (forwarded === '' || forwarded.endsWith('\n\n')) &&
       progress.text === words.slice(0, tokens.length).join('') &&
       progress.offset === events.filter(each => each.startsWith('id: ')).length &&
-      transcript.isComplete === handed.includes('[DONE]')
+      transcript.isComplete === forwarded.includes('[DONE]')
   }), { seed, numRuns: 300 })
   t.pass()
 })
--- a/packages/store/test/faulty.ts
+++ b/packages/store/test/faulty.ts
@@ -6,20 +6,20 @@
  * The outcome of one call to a faulty store. `well`: it succeeds. `lost-answer`: it is applied, and its answer is lost.
  * `lost-call`: it is not applied, and the caller cannot tell. `down`: it is refused.
  */
-export type Turn = 'well' | 'lost-answer' | 'lost-call' | 'down'
+export type CallOutcome = 'well' | 'lost-answer' | 'lost-call' | 'down'
 
 /** A fake store for tests of its clients. Reads and writes have the listed outcomes; later calls succeed. */
 export class FaultyStore extends MemoryStore {
-  readonly #outcomes: Turn[]
+  readonly #outcomes: CallOutcome[]
 
-  constructor (turns: readonly Turn[] = []) {
+  constructor (outcomes: readonly CallOutcome[] = []) {
     super()
-    this.#outcomes = [...turns]
+    this.#outcomes = [...outcomes]
   }
 
-  /** Appends outcomes of later calls to the list. */
-  plan (turns: readonly Turn[]): void {
-    this.#outcomes.push(...turns)
+  /** Appends the outcomes of later reads and writes. */
+  addOutcomes (outcomes: readonly CallOutcome[]): void {
+    this.#outcomes.push(...outcomes)
   }
 
   override async read (key: string): Promise<Result<StoredObject, Fault>> {
