--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -523,7 +523,7 @@
     find: 'answerHeader(headers, names.request) === id',
     replace: 'true',
     test: 'platform/dist/test/path.test.js',
-    title: 'what a worker says that it did not run*'
+    title: 'a request that a worker refuses as not run*'
   },
   {
     name: 'repeat-after-loss',
@@ -533,7 +533,7 @@
     find: 'result.kind !== \'not-run\' && !repeatable',
     replace: 'false',
     test: 'platform/dist/test/path.test.js',
-    title: 'what a worker says that it did not run*'
+    title: 'a request that a worker refuses as not run*'
   },
   {
     name: 'keys-unconfirmed',
@@ -653,7 +653,7 @@
     find: 'includes(isLeaving)',
     replace: 'includes(isLeaving) && false',
     test: 'platform/dist/test/leaving.test.js',
-    title: 'a plain worker that says in an answer*'
+    title: 'a plain worker that announces in an answer*'
   },
   {
     name: 'written-though-resting',
