--- a/packages/wire/src/call.ts
+++ b/packages/wire/src/call.ts
@@ -1,7 +1,7 @@
 /**
  * One HTTP call to another process, and the receiver of its answer. `send` uses the events of the client library
  * directly and creates no stream object for each answer. It also decides whether a failed call may have reached the
- * other side. Retries rely on that decision: a call that is reported as not sent is never sent.
+ * other side. Retries rely on that decision: a call that was reported as not sent is never sent later.
  */
 import { type Dispatcher } from 'undici'
 
@@ -33,7 +33,7 @@
   readonly sent: boolean
 }
 
-/** Receives the answer to one call, part by part. The last call is either `end` or `fail`, exactly once. */
+/** Receives the answer to one call, part by part. Either `end` or `fail` is invoked last, exactly once. */
 export abstract class Receiver {
   /** Called when the request is about to be written. From then on it may reach the other side. */
   begun (): void {}
--- a/packages/wire/src/calls.ts
+++ b/packages/wire/src/calls.ts
@@ -12,13 +12,17 @@
   resource: z.string(),
   holder: z.string(),
   term: z.string(),
+  /** Duration of the lease, in ms. */
   period: z.number(),
   /** Revision of the holder's list of granters. */
   revision: z.int()
 })
+/** `age` is the time since the attempt was sent, in ms. */
 const Settle = z.object({ attempt: z.string(), incarnation: z.string(), age: z.number() })
 const HeadsInput = z.object({ service: z.string() })
+/** A report with its age, in ms. */
 const AgedReport = z.object({ report: Report, age: z.number() })
+/** The counters of reports, one array for each column. Row `i` is the report of `workers[i]`. Ages are in ms. */
 const ReportCounters = z.object({
   workers: z.array(z.string()),
   stamps: z.array(z.number()),
@@ -77,7 +81,7 @@
   readonly homes: readonly Homes[]
   readonly entries: readonly EntryAddress[]
   readonly nodes: readonly Node[]
-  /** Wall time at which the present node list was first seen, in ms. */
+  /** When the current node list was first seen, in ms of the wall clock. */
   readonly nodesSeen: number
 }
 
@@ -86,7 +90,7 @@
   abstract claim (message: ClaimMessage): Promise<ClaimAnswer>
   abstract release (message: ClaimMessage): Promise<void>
   abstract settle (message: SettleMessage): Promise<SettleAnswer>
-  /** Offers the records of a slot of keys. Resolves to whether they were accepted. */
+  /** Offers this worker the records of a slot of idempotency keys. Resolves to whether it accepted them. */
   abstract inherit (handover: Handover): Promise<boolean>
 }
 
@@ -96,7 +100,7 @@
   abstract exchange (message: Exchange): Promise<ExchangeAnswer>
   abstract configuration (): Promise<Configuration>
   abstract known (): Promise<Known>
-  /** The heads of the serving replicas of a model service in the entry's region. Each `id` is that of the replica. */
+  /** The heads of the serving replicas of a model service in the entry's region. Each `id` is the id of the replica. */
   abstract heads (message: { readonly service: string }): Promise<Peer[]>
   /** Sends a configuration that has just been accepted. Resolves to the revision in force afterwards. */
   abstract offer (configuration: Configuration): Promise<number>
--- a/packages/wire/src/connections.ts
+++ b/packages/wire/src/connections.ts
@@ -16,7 +16,7 @@
 }
 
 /** Defaults of the options, in ms. */
-const defaultConnectTimeout = 1000
+const defaultConnectTime = 1000
 const defaultIdleTime = 1000
 
 /** Maximum number of idle connections to one origin. */
@@ -36,8 +36,8 @@
   /** How the other side ended it, or undefined while it has not. */
   ending: 'closed' | 'reset' | undefined
   /**
-   * Whether reading an answer on it was paused. The other side may have sent the complete answer long before it was
-   * read. For the other side the connection has then been idle since, and it may be closing it.
+   * Whether reading an answer on it was paused. The other side may then have sent the complete answer long before this
+   * side read it. It counts the connection as idle from that time on, and may already be closing the connection.
    */
   wasPaused: boolean
 }
@@ -53,7 +53,7 @@
   readonly #open = new Set<Connection>()
   #opened = 0
 
-  constructor ({ connectTime = defaultConnectTimeout, idleTime = defaultIdleTime }: ConnectionsOptions = {}) {
+  constructor ({ connectTime = defaultConnectTime, idleTime = defaultIdleTime }: ConnectionsOptions = {}) {
     this.#connectTime = connectTime
     this.#idleTime = idleTime
   }
@@ -118,7 +118,8 @@
 
   #release (origin: string, connection: Connection, whole: boolean): void {
     if (!whole || connection.wasPaused || connection.closed) return this.#close(connection)
-    // The library continues to read one turn later. Bytes after the answer close the connection before it is pooled.
+    // The library reads on one turn of the event loop later. If bytes follow the answer, it closes the connection there,
+    // before `#addIdle` runs.
     setImmediate(() => setImmediate(() => this.#addIdle(origin, connection)))
   }
 
@@ -140,9 +141,9 @@
 }
 
 /**
- * Checks whether an answer that the library accepts as complete is complete (RFC 9112, section 8). An answer with a
- * length or in chunks must be complete before its connection ends. An answer with neither ends when the other side
- * closes the connection, but is incomplete if the connection is reset.
+ * Decides whether an answer is complete (RFC 9112, section 8), because the library also accepts incomplete answers. An
+ * answer with a length or in chunks must be complete before its connection ends. An answer with neither ends when the
+ * other side closes the connection, but is incomplete if the connection is reset.
  */
 class FramedReceiver extends Receiver {
   readonly #receiver: Receiver
@@ -181,7 +182,7 @@
   end (): void {
     const { ending } = this.#connection
     if (ending === 'reset' || (ending === 'closed' && this.#framed)) {
-      return this.fail({ error: new Error(`The connection was ${ending} before the answer was whole.`), sent: true })
+      return this.fail({ error: new Error(`The connection was ${ending} before the answer was complete.`), sent: true })
     }
     this.#release(true)
     this.#receiver.end()
--- a/packages/wire/src/headers.ts
+++ b/packages/wire/src/headers.ts
@@ -26,11 +26,11 @@
   team: 'eiderwind-team',
   service: 'eiderwind-service',
   key: 'eiderwind-key',
-  /** The home's tenure. Sent if the entry made the key for this attempt, so no earlier attempt has used it. */
+  /** The home's tenure in which the entry created the key for this attempt. No earlier attempt has used the key. */
   fresh: 'eiderwind-fresh',
-  /** `1` on a refusal by the home of a key if no earlier attempt with the key has run either. */
+  /** `1` on a refusal if the home of the key knows that no earlier attempt with the key has run. */
   judged: 'eiderwind-judged',
-  /** The caller's session and team, by which the engine stores the KV cache. Forwarded to the engine. */
+  /** The caller's session and team, under which the engine stores the KV cache. Forwarded to the engine. */
   session: 'eiderwind-session-key',
   /** The model version to which a session's KV cache belongs. */
   version: 'eiderwind-version',
--- a/packages/wire/src/relay.ts
+++ b/packages/wire/src/relay.ts
@@ -11,7 +11,7 @@
   readonly response: ServerResponse
   /** Headers added to those of the answer. */
   readonly headers?: Readonly<Record<string, string>>
-  /** Checked before each part is forwarded; false closes both connections. Default: always true. */
+  /** Called before each part is forwarded. If it returns false, both connections are closed. Default: always true. */
   readonly guard?: () => boolean
   /** Called once when an answer that had begun has ended. `whole` is false if the answer is incomplete. */
   readonly done: (whole: boolean) => void
--- a/packages/wire/src/serve.ts
+++ b/packages/wire/src/serve.ts
@@ -51,7 +51,8 @@
 }
 
 /**
- * Listens on `host:port` and resolves to the port; the system chooses it if port 0 is given. Rejects if it is in use.
+ * Listens on `host:port` and resolves to the port. For port 0, the system chooses a free port. Rejects if the address
+ * is in use.
  */
 export function listen (server: Server, address: string): Promise<number> {
   const { host, port } = splitAddress(address)
--- a/packages/wire/test/call.test.ts
+++ b/packages/wire/test/call.test.ts
@@ -37,15 +37,15 @@
 /** A client that sends raw bytes and records how its connection ended. */
 class RawClient {
   readonly socket: Socket
-  /** Whether the connection was reset. */
-  readonly closed: Promise<boolean>
+  /** Resolves when the connection has closed, to whether it was closed by a reset. */
+  readonly closedByReset: Promise<boolean>
   #text = ''
 
   constructor (port: number, head: string, body: string | Buffer) {
     this.socket = connect(port, '127.0.0.1')
     this.socket.on('data', data => { this.#text += data.toString() })
     this.socket.on('error', () => {})
-    this.closed = new Promise(resolve => this.socket.once('close', resolve))
+    this.closedByReset = new Promise(resolve => this.socket.once('close', resolve))
     this.socket.write(`POST / HTTP/1.1\r\nhost: x\r\n${head}\r\n\r\n`)
     this.socket.write(body)
   }
@@ -102,11 +102,11 @@
   const seen = new Promise<void>(resolve => { arrived = resolve })
   const { origin } = await serveAt(t, () => arrived())
   const agent = new Agent()
-  const notes = new RecordingReceiver()
-  const cancel = send(agent, call(origin, '/'), notes)
+  const receiver = new RecordingReceiver()
+  const cancel = send(agent, call(origin, '/'), receiver)
   await seen
   cancel(new Error('The deadline has passed.'))
-  t.true((await notes.ended)?.sent)
+  t.true((await receiver.ended)?.sent)
   await agent.destroy()
 })
 
@@ -118,9 +118,9 @@
   })
   const declared = new RawClient(port, 'content-length: 5000000', Buffer.alloc(5_000_000))
   t.regex(await declared.answer(), /^HTTP\/1\.1 413/)
-  t.false(await declared.closed, 'closed without a reset')
+  t.false(await declared.closedByReset, 'closed without a reset')
   const endless = new RawClient(port, 'transfer-encoding: chunked', `7d0\r\n${'y'.repeat(2000)}\r\n`)
   t.regex(await endless.answer(), new RegExp(`"code":"${new Fault('too-large').code}"`))
   clock.advance(1000)
-  t.false(await endless.closed, 'closed without a reset')
+  t.false(await endless.closedByReset, 'closed without a reset')
 })
--- a/packages/wire/test/connections.test.ts
+++ b/packages/wire/test/connections.test.ts
@@ -32,12 +32,12 @@
 /** A port below the range that the system assigns, so that no other process listens on it. */
 const closedPortOrigin = 'http://127.0.0.1:1'
 
-const whole = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
+const completeAnswer = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
 
 /** What the upstream writes, how it ends the connection, and the body if the answer counts as complete. */
 const cases: ReadonlyArray<readonly [name: string, text: string, end: 'close' | 'reset' | 'keep', body: string | undefined]> = [
-  ['a length, connection stays open', whole, 'keep', 'ok'],
-  ['a length, closed after the body', whole, 'close', 'ok'],
+  ['a length, connection stays open', completeAnswer, 'keep', 'ok'],
+  ['a length, closed after the body', completeAnswer, 'close', 'ok'],
   ['a length, closed within the body', 'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok', 'close', undefined],
   ['a length and connection: close, closed within the body', 'HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 9\r\n\r\nok', 'close', undefined],
   ['no length, closed', 'HTTP/1.1 200 OK\r\n\r\nok', 'close', 'ok'],
@@ -51,7 +51,7 @@
 ]
 
 for (const [name, text, end, body] of cases) {
-  test(`${name}: ${body === undefined ? 'incomplete' : 'complete'}`, async t => {
+  test(`an answer with ${name}: ${body === undefined ? 'incomplete' : 'complete'}`, async t => {
     const { origin, server } = await startUpstream(socket => {
       socket.write(text, () => {
         if (end === 'close') socket.end()
@@ -81,7 +81,7 @@
 })
 
 test('a connection with bytes after the answer is not reused', async t => {
-  const { origin, server, sockets } = await startUpstream((socket, count) => socket.write(count === 1 ? whole + whole : whole))
+  const { origin, server, sockets } = await startUpstream((socket, count) => socket.write(count === 1 ? completeAnswer + completeAnswer : completeAnswer))
   const connections = new Connections()
   t.is(await call(connections, origin), 'ok')
   await passTurns()
@@ -92,7 +92,7 @@
 })
 
 test('a connection is reused after a complete answer', async t => {
-  const { origin, server, sockets } = await startUpstream(socket => socket.write(whole))
+  const { origin, server, sockets } = await startUpstream(socket => socket.write(completeAnswer))
   const connections = new Connections()
   for (let index = 0; index < 3; index++) {
     t.is(await call(connections, origin), 'ok')
@@ -138,7 +138,7 @@
 
 for (const [how, pauses, count] of [['was paused is not', true, 2], ['was read without a pause is', false, 1]] as const) {
   test(`a connection whose answer ${how} reused`, async t => {
-    const { origin, server, sockets } = await startUpstream(socket => socket.write(whole))
+    const { origin, server, sockets } = await startUpstream(socket => socket.write(completeAnswer))
     const connections = new Connections()
     await new Promise<void>(resolve => connections.send({ origin, path: '/', method: 'GET', headers: {}, body: undefined }, new PausingReceiver(pauses, resolve)))
     await passTurns()
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -513,7 +513,7 @@
     find: 'ending === \'reset\' || ',
     replace: '',
     test: 'packages/wire/dist/test/connections.test.js',
-    title: 'no length, reset: incomplete'
+    title: 'an answer with no length, reset: incomplete'
   },
   {
     name: 'foreign-answer',
