--- a/packages/board/src/controller.ts
+++ b/packages/board/src/controller.ts
@@ -26,24 +26,27 @@
   readonly timer: Subscription
 }
 
-/** Runs each controller at its interval and on demand. A wake is dropped if one for the same controller is pending. */
+/**
+ * Runs each controller at its interval and on demand. A request for an update is dropped if an earlier request for the
+ * same controller is still pending.
+ */
 export class Scheduler {
   readonly #clock: Clock
   readonly #system: ActorSystemRef = start()
   readonly #onFailure: (controller: string, error: unknown) => void
   readonly #running = new Map<string, Running>()
-  readonly #waiting = new Set<string>()
+  readonly #pendingWakes = new Set<string>()
 
-  /** @param failed called when an update rejects, with the name of the controller and the error */
-  constructor (clock: Clock, failed: (controller: string, error: unknown) => void) {
+  /** @param onFailure called when an update rejects, with the name of the controller and the error */
+  constructor (clock: Clock, onFailure: (controller: string, error: unknown) => void) {
     this.#clock = clock
-    this.#onFailure = failed
+    this.#onFailure = onFailure
   }
 
   /** Starts a controller, with a first update at once. */
   add (controller: Controller): void {
     const actor = spawn(this.#system, async (state: undefined, _wake: Wake) => {
-      this.#waiting.delete(controller.name)
+      this.#pendingWakes.delete(controller.name)
       await controller.update().catch(error => this.#onFailure(controller.name, error))
       return state
     }, controller.name)
@@ -55,8 +58,8 @@
   /** Requests an update of a controller now, in addition to its interval. */
   wake (name: string): void {
     const running = this.#running.get(name)
-    if (running === undefined || this.#waiting.has(name)) return
-    this.#waiting.add(name)
+    if (running === undefined || this.#pendingWakes.has(name)) return
+    this.#pendingWakes.add(name)
     dispatch(running.actor, { type: 'wake' })
   }
 
--- a/packages/clock/src/suspension.ts
+++ b/packages/clock/src/suspension.ts
@@ -6,23 +6,23 @@
  */
 
 /**
- * Minimum gain of the wall clock between two readings that counts as a suspension, in ms. It is more than the wall
- * clock gains in that time when it is adjusted gradually.
+ * Minimum gain of the wall clock between two readings that counts as a suspension, in ms. A wall clock that is adjusted
+ * gradually gains less than this between two readings.
  */
 const minSuspension = 50
 
 /** Sums up the suspensions of the machine. */
 export class Suspension {
-  #steady: number
+  #monotonic: number
   #wall: number
   #total = 0
 
   /**
-   * @param steady the present monotonic time, in ms
+   * @param monotonic the present monotonic time, in ms
    * @param wall the present wall time, in ms
    */
-  constructor (steady: number, wall: number) {
-    this.#steady = steady
+  constructor (monotonic: number, wall: number) {
+    this.#monotonic = monotonic
     this.#wall = wall
   }
 
@@ -30,9 +30,9 @@
    * The sum of all suspensions up to now, in ms. It must be called often, because steps and suspensions between two
    * calls cannot be told apart.
    */
-  total (steady: number, wall: number): number {
-    const gained = (wall - this.#wall) - (steady - this.#steady)
-    this.#steady = steady
+  total (monotonic: number, wall: number): number {
+    const gained = (wall - this.#wall) - (monotonic - this.#monotonic)
+    this.#monotonic = monotonic
     this.#wall = wall
     if (gained >= minSuspension) this.#total += gained
     return this.#total
--- a/packages/clock/src/system.ts
+++ b/packages/clock/src/system.ts
@@ -15,8 +15,8 @@
   }
 
   bootNow (): number {
-    const steady = performance.now()
-    return steady + this.#suspension.total(steady, Date.now())
+    const monotonic = performance.now()
+    return monotonic + this.#suspension.total(monotonic, Date.now())
   }
 
   wall (): number {
--- a/packages/clock/test/clock.test.ts
+++ b/packages/clock/test/clock.test.ts
@@ -26,9 +26,9 @@
   let last = clock.bootNow()
   for (let index = 0; index < 10_000; index++) {
     const now = clock.now()
-    const held = clock.bootNow()
-    t.true(held >= now && held >= last)
-    last = held
+    const bootNow = clock.bootNow()
+    t.true(bootNow >= now && bootNow >= last)
+    last = bootNow
   }
 })
 
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The command `eiderwind`. It runs the role `entry` or `worker` of the system with a worker beside each upstream, or
- * checks a settings file of any role. The gateway on the users' platform is another program
+ * The command `eiderwind`. It runs an entry or a worker, or checks a settings file of any role. These two roles form a
+ * system that has a worker beside each upstream. The gateway on the users' platform is another program
  * (`platform/src/main.ts`).
  */
 import sade from 'sade'
@@ -20,7 +20,7 @@
   const program = sade('eiderwind').version(version)
   program
     .command('entry <file>')
-    .describe('Run an entry: the process that takes callers and operators.')
+    .describe('Run an entry: the process that serves callers and operators.')
     .example('entry /etc/eiderwind/entry.ini')
     .action((file: string) => { status = runRole('entry', file) })
   program
@@ -30,7 +30,7 @@
     .action((file: string) => { status = runRole('worker', file) })
   program
     .command('check <file>')
-    .describe('Check a settings file and list every problem. The sections tell its role, unless --role does.')
+    .describe('Check a settings file and list every problem. Without --role, the role is inferred from the sections.')
     .option('--role', 'entry, worker or direct')
     .example('check /etc/eiderwind/entry.ini')
     .action((file: string, options: { role?: string }) => { status = check(file, options.role) })
@@ -52,7 +52,7 @@
   }
   const settings = load(file, role)
   if (settings === undefined) return usageError
-  process.stdout.write(`${file}: settings of role ${settings.role} are in order.\n`)
+  process.stdout.write(`${file}: the settings of role ${settings.role} are valid.\n`)
   return ok
 }
 
--- a/packages/daemon/src/roles.ts
+++ b/packages/daemon/src/roles.ts
@@ -18,7 +18,7 @@
 export function entryDaemon (settings: EntrySettings): Daemon {
   const { process: { id, data_centre: dataCentre, region }, listen, platform, operators, limits, planner } = settings
   const { log, metric } = observers(settings, 'entry')
-  const first = operators.name === undefined || operators.token_sha256 === undefined ? undefined : { name: operators.name, token: operators.token_sha256 }
+  const firstOperator = operators.name === undefined || operators.token_sha256 === undefined ? undefined : { name: operators.name, token: operators.token_sha256 }
   const store = new HttpStore(platform)
   const entry = new Entry({
     clock: new SystemClock(),
@@ -30,7 +30,7 @@
     region,
     ...listen,
     seeds: settings.entries.seeds,
-    first,
+    first: firstOperator,
     bodyLimit: limits.body,
     deadline: limits.deadline,
     stop: limits.stop,
--- a/packages/settings/src/read.ts
+++ b/packages/settings/src/read.ts
@@ -52,8 +52,8 @@
 
 /** Formats a problem as one line: file, section, key, message and remedy. */
 export function problemLine ({ file, section, key, message, remedy }: Problem): string {
-  const place = [section === '' ? '' : `[${section}]`, key].filter(each => each !== '').join(' ')
-  return `${file}: ${place === '' ? '' : `${place}: `}${message} ${remedy}`
+  const location = [section === '' ? '' : `[${section}]`, key].filter(each => each !== '').join(' ')
+  return `${file}: ${location === '' ? '' : `${location}: `}${message} ${remedy}`
 }
 
 function check<Shape extends z.ZodType> (file: string, shape: Shape, found: unknown): Result<z.infer<Shape>, Problem[]> {
--- a/packages/settings/src/shapes.ts
+++ b/packages/settings/src/shapes.ts
@@ -42,7 +42,8 @@
 })
 
 /**
- * Settings of the role `entry`: the process that callers connect to, in a system with a worker beside each upstream.
+ * Settings of the role `entry`: the process that callers connect to. A system with entries has a worker beside each
+ * upstream.
  */
 export const EntrySettings = z.strictObject({
   process: Process,
@@ -109,7 +110,7 @@
   return z.string().default('').transform(text => emptyDuration.test(text) ? fallback : text).pipe(Duration)
 }
 
-/** A duration that the platform may leave empty, with or without its unit. What it limits is then disabled. */
+/** A duration that the platform may leave empty, with or without its unit. The limit or check is then off. */
 const OptionalDuration = z.string().default('').transform(text => emptyDuration.test(text) ? undefined : text).pipe(Duration.optional())
 
 /** A number that the platform may leave empty. `fallback` then applies. */
@@ -169,7 +170,7 @@
     grace: durationOr('8 s'),
     /** Time between two heartbeats of an upstream. */
     pulse: durationOr('1200 ms'),
-    /** Retries that are allowed in a window, per request of callers. */
+    /** Number of retries that are allowed for each request that callers send in a window. */
     retry_ratio: numberOr('0.1'),
     /** Retries that all gateways together may make in a window in addition to those of `retry_ratio`. */
     retry_slack: numberOr('20'),
