--- a/packages/log/src/log.ts
+++ b/packages/log/src/log.ts
@@ -6,7 +6,8 @@
 import { events, type EventName, type Level } from './events.js'
 
 /**
- * Names of the fields that every line has. An event's own fields must not use them, because they would replace these.
+ * Names of the fields that every line has. No field of an event may have one of these names, because its value would
+ * replace the common value.
  */
 interface ReservedFields {
   readonly time?: never
--- a/packages/log/src/metric.ts
+++ b/packages/log/src/metric.ts
@@ -73,7 +73,7 @@
     this.#client?.gauge(name, value, { ...tags })
   }
 
-  /** Sends what is buffered and closes the socket. */
+  /** Sends the buffered metrics and closes the socket. */
   close (): void {
     // The process ends next. A metric that cannot be sent is dropped, as in `errorHandler`.
     this.#client?.close(() => {})
--- a/packages/schema/src/handover.ts
+++ b/packages/schema/src/handover.ts
@@ -1,11 +1,14 @@
 /**
- * The handover of a slot of idempotency keys from one home to the next: the marks of its lease, and its records of runs
- * (the book). It is sent between workers and never stored. Workers of two versions run at the same time, so new fields
- * must be optional.
+ * The handover of a slot of idempotency keys from one home to the next. The home of a slot is the worker that records
+ * which requests with these keys ran. It hands over its records (the book) and the marks of its lease. A handover is
+ * sent between workers and never stored. Workers of two versions run at the same time, so new fields must be optional.
  */
 import { z } from 'zod'
 
-/** The position of a grant in the sequence of grants of one granter. */
+/**
+ * The position of a grant in the sequence of grants of one granter: the granter's incarnation (`origin`) and the number
+ * of the grant (`turn`), which increases with each new term.
+ */
 export const Mark = z.object({ origin: z.string(), turn: z.int() })
 export type Mark = z.infer<typeof Mark>
 
--- a/packages/schema/src/placement.ts
+++ b/packages/schema/src/placement.ts
@@ -43,7 +43,10 @@
 })
 export type Placement = z.infer<typeof Placement>
 
-/** The workers that vote on the homes of a plain service's keys: the object `homes/<service>`. */
+/**
+ * The workers that vote on the homes of a plain service's idempotency keys: the object `homes/<service>`. See
+ * `handover.ts` for homes.
+ */
 export const Homes = z.object({
   service: z.string(),
   revision: z.int(),
--- a/packages/schema/src/report.ts
+++ b/packages/schema/src/report.ts
@@ -29,7 +29,7 @@
   concurrency: z.int(),
   /** Members from which this head has had no grant for a long time. */
   missing: z.array(z.string()),
-  /** Slots of keys for which this worker is the home. */
+  /** Slots of idempotency keys for which this worker is the home. */
   slots: z.array(z.object({ slot: z.int(), tenure: z.int() })),
   /** The version and generation that the engine accepted last. Absent if there is no engine. */
   loaded: z.object({ version: z.string(), generation: z.int() }).optional(),
@@ -66,6 +66,7 @@
 /** The assignment of a plain worker: its service, and the voters on the homes of keys. */
 export const PlainAssignment = z.object({
   kind: z.literal('plain'),
+  /** Revision of the list of voters. */
   revision: z.int(),
   service: z.string(),
   voters: z.array(Peer),
@@ -74,7 +75,7 @@
 })
 export type PlainAssignment = z.infer<typeof PlainAssignment>
 
-/** The assignment of a worker whose node belongs to no replica. */
+/** The assignment of a worker whose node belongs to no replica. `revision` is the revision of the placement. */
 export const SpareAssignment = z.object({ kind: z.literal('spare'), revision: z.int() })
 
 /** The assignment of a worker of any kind. */
