--- a/packages/worker/src/calls.ts
+++ b/packages/worker/src/calls.ts
@@ -1,6 +1,6 @@
 /**
  * Answers the calls that heads, entries and other workers make to a worker: claims of its node and of its vote, the
- * outcome of an attempt, and books of runs. Owns the newest revision of the list of voters that this process has seen.
+ * fate of an attempt, and books of runs. Owns the newest revision of the list of voters that this process has seen.
  * Relies on `grants.ts` for the grants and on `run` for attempts and books.
  */
 import { type Clock } from '@eiderwind/clock'
@@ -21,7 +21,7 @@
   readonly takeBook: (handover: Handover) => boolean
 }
 
-/** Answers claims of this worker's node and vote, and reports the outcome of an attempt. */
+/** Answers claims of this worker's node and vote, and reports the fate of an attempt. */
 export class Calls extends WorkerCalls {
   readonly #options: CallsOptions
   #newestVotersRevision = 0
@@ -34,8 +34,9 @@
   async claim (message: ClaimMessage): Promise<ClaimAnswer> {
     const { grants } = this.#options
     const leaving = this.#isLeaving()
-    const refused = leaving && message.resource === nodeResource && grants.nodeHolder !== message.holder
-    if (refused || this.#isOutdated(message)) return { answer: { granted: false, reason: 'held', wait: 0 }, ready: false, leaving }
+    // A node that leaves is granted only to the head that already holds it.
+    const isNodeRefused = leaving && message.resource === nodeResource && grants.nodeHolder !== message.holder
+    if (isNodeRefused || this.#isOutdated(message)) return { answer: { granted: false, reason: 'held', wait: 0 }, ready: false, leaving }
     const answer = grants.claim(message)
     return { answer, ready: this.#isReady(message), leaving }
   }
@@ -72,7 +73,7 @@
 
   /**
    * Whether this node's engine can serve for the claiming head: it answers, and it has loaded the version and the
-   * generation that the placement asks for.
+   * generation that the placement asks for. For a vote, whether the upstream is healthy.
    */
   #isReady ({ resource, holder }: ClaimMessage): boolean {
     const { board } = this.#options
@@ -85,8 +86,8 @@
   }
 
   /**
-   * Whether the engine still has the generation of the claiming head loaded. The head of an earlier generation then
-   * keeps its grant and finishes its requests, although the placement has a later generation.
+   * Whether the engine still has the generation of the claiming head loaded. The node then counts as ready for the head
+   * of an earlier generation, which can finish its requests although the placement has a later generation.
    */
   #isLoadedFor (holder: string): boolean {
     const loaded = this.#options.board.read('upstream').loaded
--- a/packages/worker/src/facts.ts
+++ b/packages/worker/src/facts.ts
@@ -34,6 +34,7 @@
   readonly assignment: Assignment | undefined
   /** `host:port` of the entries to report to; empty until an entry has sent the list. */
   readonly entries: readonly string[]
+  /** The teams with their priorities, as an entry last sent them. */
   readonly teams: readonly TeamPriority[]
   /** The newest configuration revision that an entry has sent. */
   readonly revision: number
--- a/packages/worker/src/grants.ts
+++ b/packages/worker/src/grants.ts
@@ -15,7 +15,7 @@
   return `${replica}#${generation}`
 }
 
-/** Holds the grants of this worker's node and of its votes. */
+/** Stores the grants that this worker has given, of its node and of its votes. */
 export class Grants {
   readonly #clock: Clock
   #granter: Granter
--- a/packages/worker/src/head.ts
+++ b/packages/worker/src/head.ts
@@ -32,13 +32,13 @@
   /** Lease period and renewal interval, in ms. */
   readonly period: number
   readonly leaseInterval: number
-  /** Hands over the sessions of a replica that stops as planned to other replicas. Takes a few seconds at most. */
+  /** Hands over a replica's sessions to other replicas at a planned stop. Takes a few seconds at most. */
   readonly handOverSessions: (assignment: ModelAssignment) => Promise<void>
   /** Cancels every request in flight. Called when requests may not continue. */
   readonly cancelInFlight: () => void
 }
 
-/** One period in which this worker heads one generation of a replica. */
+/** The time during which this worker is the head of one generation of a replica. */
 interface Tenure {
   readonly assignment: ModelAssignment
   readonly lease: Lease
@@ -46,7 +46,7 @@
   readonly ready: Map<string, boolean>
   /** When each missing member's grant began to be missing, on `Clock.now`. */
   readonly missingSince: Map<string, number>
-  /** Takes no new requests. The grants are released when the last request has ended. */
+  /** Whether the head drains: it takes no new requests, and releases its grants after the last one has ended. */
   isDraining: boolean
 }
 
@@ -67,14 +67,14 @@
   }
 
   /** Whether requests in flight may continue now: every member's grant is valid and every member's engine is ready. */
-  get isAllowed (): boolean {
+  get mayContinue (): boolean {
     const tenure = this.#tenure
     return tenure !== undefined && tenure.lease.valid && this.#ready(tenure)
   }
 
   /** Whether a new request may be taken now. */
   get isServing (): boolean {
-    return this.isAllowed && this.#tenure?.isDraining === false
+    return this.mayContinue && this.#tenure?.isDraining === false
   }
 
   async update (): Promise<void> {
@@ -163,10 +163,13 @@
     if (missingTooLong.join() !== board.read('missing').join()) board.write('missing', missingTooLong)
   }
 
-  /** Writes whether this head serves to the board, the metric and the queue. Cancels requests that may not continue. */
+  /**
+   * Writes whether this head serves to the board and to the metric, and opens or closes the queue. Cancels all requests
+   * in flight if they may not continue.
+   */
   #publishServing (): void {
     const { board, log, metric, queue, cancelInFlight } = this.#options
-    if (!this.isAllowed) cancelInFlight()
+    if (!this.mayContinue) cancelInFlight()
     const serving = this.isServing
     if (board.read('serving') === serving) return
     board.write('serving', serving)
--- a/packages/worker/src/homecontroller.ts
+++ b/packages/worker/src/homecontroller.ts
@@ -85,7 +85,7 @@
   }
 
   /** Takes over the book of a slot from another home. Returns false if this worker cannot serve the slot's keys. */
-  inherit (handover: Handover): boolean {
+  takeBook (handover: Handover): boolean {
     const taken = this.#options.board.read('serving') && this.#homes?.inherit(handover) === true
     if (taken) this.#options.log.write('home-inherits', { slot: handover.slot, runs: handover.book.runs.length })
     return taken
--- a/packages/worker/src/inbound.ts
+++ b/packages/worker/src/inbound.ts
@@ -5,7 +5,7 @@
 import { type Clock } from '@eiderwind/clock'
 import { header, hopHeaders, wireHeaders } from '@eiderwind/wire'
 
-/** Time until the deadline of a request that came without a deadline, in ms. */
+/** Default time until the deadline, for a request whose entry sent none, in ms. */
 const defaultTimeLeft = 600_000
 
 /** A request from an entry. */
@@ -24,10 +24,10 @@
   /** The session's name, which includes its team. */
   readonly session: string | undefined
   /**
-   * The tenure of the home for which the entry has just minted the key, so that the key cannot have run before.
-   * Undefined if the key may have been sent before.
+   * The home's tenure in which the entry minted the key for this attempt. No earlier attempt has used the key.
+   * Undefined if an earlier attempt may have used it.
    */
-  readonly fresh: number | undefined
+  readonly mintedFor: number | undefined
 }
 
 /** Reads a request and the headers that the entry added to it. */
@@ -45,14 +45,17 @@
     deadline: clock.now() + timeLeft,
     key: header(request, wireHeaders.key),
     session: header(request, wireHeaders.session),
-    fresh: fresh === undefined ? undefined : Number(fresh)
+    mintedFor: fresh === undefined ? undefined : Number(fresh)
   }
 }
 
 /** Headers between entry and worker that are not forwarded to the upstream: all but the session. */
 const internalHeaders: ReadonlySet<string> = new Set(Object.values(wireHeaders).filter(each => each !== wireHeaders.session))
 
-/** The headers to forward to the upstream: those of the request without hop-by-hop and internal headers. */
+/**
+ * The headers to forward to the upstream: those of the request without hop-by-hop headers, internal headers and the
+ * length.
+ */
 export function upstreamHeaders (request: IncomingMessage): Record<string, string> {
   const headers: Record<string, string> = {}
   for (const [name, value] of Object.entries(request.headers)) {
--- a/packages/worker/src/model.ts
+++ b/packages/worker/src/model.ts
@@ -71,7 +71,7 @@
     const relay = this.#relay(inbound, {
       response,
       headers: { [wireHeaders.attempt]: attempt },
-      guard: () => head.isAllowed,
+      guard: () => head.mayContinue,
       done: finish,
       failed: failure => {
         finish()
--- a/packages/worker/src/numberedrelay.ts
+++ b/packages/worker/src/numberedrelay.ts
@@ -11,7 +11,8 @@
 const endOfStream = 'data: [DONE]'
 
 /**
- * Forwards a stream of server-sent events, complete events only. Each event gets its offset in the answer as its id.
+ * Forwards a stream of server-sent events, complete events only. Each event gets its number in the answer as its id,
+ * counted from 1. Comments and the event that ends the stream get no id.
  */
 export class NumberedRelay extends Relay {
   #offset: number
--- a/packages/worker/src/orders.ts
+++ b/packages/worker/src/orders.ts
@@ -46,7 +46,8 @@
   }
 
   /**
-   * Whether the engine has not loaded what the assignment asks for, and this node is granted to the assignment's head.
+   * Whether an order is needed and allowed: the engine answers but has not loaded what the assignment asks for, and
+   * this node is granted to the assignment's head.
    */
   #needsLoad ({ replica, generation, version, adapters }: ModelAssignment): boolean {
     const { healthy, loaded } = this.#board.read('upstream')
--- a/packages/worker/src/plain.ts
+++ b/packages/worker/src/plain.ts
@@ -45,13 +45,14 @@
   }
 
   /**
-   * Refuses an attempt. A header marks the answer if the request of its key has not run in any earlier attempt either.
+   * Refuses an attempt. The answer has the header `judged` if it is certain that no earlier attempt with the key has
+   * run either.
    */
   #refuse (inbound: InboundRequest, fault: Fault): void {
     const { book, clock } = this.#options
     const key = inbound.key === undefined ? undefined : readKey(inbound.key).unwrapOr(undefined)
-    const unrun = key !== undefined && book(key)?.unrun(key, clock.wall()) === true
-    if (unrun || fault.code === 'key-in-future') inbound.response.setHeader(wireHeaders.judged, '1')
+    const hasNotRun = key !== undefined && book(key)?.unrun(key, clock.wall()) === true
+    if (hasNotRun || fault.code === 'key-in-future') inbound.response.setHeader(wireHeaders.judged, '1')
     answerFault(inbound.response, fault)
   }
 
@@ -76,8 +77,8 @@
   }
 
   /**
-   * Runs a request with a key, unless the home's book refuses it or already has its answer. A request that runs
-   * continues when the entry closes the connection: its answer is stored in the book.
+   * Runs a request with a key, unless the home's book refuses it or already has its answer. The request continues if
+   * the entry closes the connection, since its answer is stored in the book. Returns the fault of a refused request.
    */
   #runKeyed (inbound: InboundRequest, text: string, ticket: Ticket): Fault | undefined {
     const { clock, attempts, upstream, book } = this.#options
@@ -86,7 +87,7 @@
     const key = read.value
     const slotBook = book(key)
     if (slotBook === undefined) return new Fault('not-home')
-    const decision = slotBook.begin(key, requestDigest(inbound), clock.wall(), inbound.fresh)
+    const decision = slotBook.begin(key, requestDigest(inbound), clock.wall(), inbound.mintedFor)
     if (decision.type === 'refuse') return decision.fault
     if (decision.type === 'replay') {
       ticket.done()
--- a/packages/worker/src/reporter.ts
+++ b/packages/worker/src/reporter.ts
@@ -81,7 +81,8 @@
   }
 
   /**
-   * Writes an answer to the board, unless its configuration is older than the known one. Returns true in both cases.
+   * Writes an answer to the board, unless its configuration is older than the known one. Returns true in both cases,
+   * since the entry has answered.
    */
   #applyAnswer (answer: ReportAnswer): boolean {
     const { board } = this.#options
--- a/packages/worker/src/sessions.ts
+++ b/packages/worker/src/sessions.ts
@@ -6,21 +6,26 @@
 import { ranked } from '@eiderwind/hash'
 import { type Peer } from '@eiderwind/schema'
 
-/** Upper bound of the sessions that are remembered. */
+/** Maximum number of sessions that are remembered. */
 const maxSessions = 2000
 
 /** Number of sessions that are moved concurrently. */
 const concurrentMoves = 8
 
-/** How long a hand-over may take, in ms. It is short because the nodes of the replica serve nothing meanwhile. */
+/**
+ * Time after which the hand-over of a replica's sessions starts no further move, in ms. It is short because the nodes
+ * of the replica serve nothing meanwhile.
+ */
 const maxHandoverTime = 3000
 
-/** Moves one session to the replica of a head. Resolves with whether it arrived. May reject. */
+/** Moves one session to the replica of a head. Resolves with whether the session arrived. May reject. */
 export type MoveSession = (session: string, head: Peer) => Promise<boolean>
 
 /** Counts of the sessions of a replica that stopped. */
 export interface HandoverCounts {
+  /** Sessions that were remembered. */
   readonly known: number
+  /** Sessions that arrived at another replica. */
   readonly moved: number
 }
 
@@ -47,8 +52,8 @@
   }
 
   /**
-   * Moves every session, the latest first, to one of the replicas with these heads. Sessions that have not been moved
-   * after `maxHandoverTime` are dropped.
+   * Moves every session, the latest first, to one of the replicas with these heads. After `maxHandoverTime` no further
+   * move starts, and the remaining sessions are dropped.
    */
   async handOver (heads: readonly Peer[], move: MoveSession): Promise<HandoverCounts> {
     const known = this.#known.size
--- a/packages/worker/src/transfer.ts
+++ b/packages/worker/src/transfer.ts
@@ -34,7 +34,7 @@
     this.#options = options
   }
 
-  /** Hands over the sessions of a replica that stops to other replicas of its service. */
+  /** Hands over the sessions of a stopping replica to other replicas of its service. */
   async handOver ({ service, replica, version }: ModelAssignment): Promise<void> {
     const { sessions, log } = this.#options
     const heads = (await this.#readHeads(service)).filter(each => each.id !== replica)
@@ -52,7 +52,7 @@
     response.end()
   }
 
-  /** The heads that serve, from the first entry that answers. */
+  /** The heads of the service's serving replicas, from the first entry that answers. Each `id` is the replica's id. */
   async #readHeads (service: string): Promise<Peer[]> {
     const { board, clients } = this.#options
     for (const entry of board.read('entries')) {
--- a/packages/worker/src/worker.ts
+++ b/packages/worker/src/worker.ts
@@ -49,12 +49,15 @@
   readonly upstream: UpstreamOptions
   /** Peer addresses of some entries, to report to first. */
   readonly seeds: readonly string[]
+  /** Lease period. */
   readonly period: number
+  /** Interval at which leases are renewed. */
   readonly interval: number
+  /** Maximum difference between the wall clocks of two processes. */
   readonly skew: number
   /** How long an idempotency key is retained. */
   readonly keep: number
-  /** How long a stop waits for requests in flight. */
+  /** Maximum time for which a stop waits for requests in flight. */
   readonly stop: number
 }
 
@@ -69,7 +72,7 @@
 /** The process beside one upstream node. */
 export class Worker {
   readonly #options: WorkerOptions
-  /** Names one run of this process. A version 7 UUID: that of a later start compares greater. */
+  /** Names one run of this process. A version 7 UUID: the incarnation of a later run compares greater. */
   readonly #incarnation = v7()
   readonly #board = workerBoard()
   readonly #clients = new Clients()
@@ -80,8 +83,9 @@
   readonly #upstream: Upstream
   readonly #scheduler: Scheduler
   readonly #server: Server
+  // Set by `start`, by the kind of the upstream. Until then requests are refused.
   #receiveSession = async (_request: IncomingMessage, response: ServerResponse): Promise<void> => answerFault(response, new Fault('not-serving'))
-  #stopHead = async (): Promise<void> => {}
+  #releaseGrants = async (): Promise<void> => {}
   #takeBook = (_handover: Handover): boolean => false
   #serve: (inbound: InboundRequest) => Promise<void> = async ({ response }) => answerFault(response, new Fault('not-serving'))
 
@@ -108,7 +112,10 @@
     return address
   }
 
-  /** Takes no new requests, finishes those in flight, releases the grants that it holds and ends. */
+  /**
+   * Takes no new requests and waits until no request runs and no head holds this node, at most for
+   * `WorkerOptions.stop`. Then releases the grants that this worker's leases have, and ends.
+   */
   async stop (): Promise<void> {
     const { clock, stop } = this.#options
     this.#board.write('stopping', true)
@@ -116,7 +123,7 @@
     this.#scheduler.wake('plain-state')
     const end = clock.now() + stop
     while (clock.now() < end && this.#isBusy) await clock.wait(stopInterval)
-    await this.#stopHead()
+    await this.#releaseGrants()
     this.#scheduler.stop()
     await this.kill()
   }
@@ -154,7 +161,7 @@
     })
     const path = new ModelPath({ clock, queue: this.#queue, attempts: this.#attempts, upstream: engine, flights: this.#flights, head, sessions })
     this.#serve = inbound => path.serve(inbound)
-    this.#stopHead = () => head.stop()
+    this.#releaseGrants = () => head.stop()
     this.#scheduler.add(head)
     this.#scheduler.add(new Orders(this.#board, engine, this.#grants, log))
     this.#board.listen('assignment', () => this.#scheduler.wake('head'))
@@ -175,10 +182,10 @@
       skew,
       keyRetention: keep
     })
-    this.#takeBook = handover => homes.inherit(handover)
+    this.#takeBook = handover => homes.takeBook(handover)
     const path = new PlainPath({ clock, board: this.#board, queue: this.#queue, attempts: this.#attempts, upstream: this.#upstream, book: key => homes.book(key) })
     this.#serve = inbound => path.serve(inbound)
-    this.#stopHead = () => homes.stop()
+    this.#releaseGrants = () => homes.stop()
     this.#scheduler.add(new PlainState(this.#board, this.#queue))
     this.#scheduler.add(homes)
     this.#board.listen('mustLeave', () => {
--- a/packages/worker/test/calls.test.ts
+++ b/packages/worker/test/calls.test.ts
@@ -73,7 +73,7 @@
   t.false(await granted(harness, node(2)))
 })
 
-test('only its own incarnation settles an attempt, and an attempt that was settled before its start never starts', async t => {
+test('a worker settles no attempt at another incarnation, and an attempt settled before its start never starts', async t => {
   const clock = new ManualClock()
   const attempts = new Attempts()
   const calls = new Calls({ clock, board: workerBoard(), grants: new Grants(clock, { longest: period, origin: 'i2' }), attempts, incarnation: 'i2', takeBook: () => false })
--- a/packages/worker/test/sessions.test.ts
+++ b/packages/worker/test/sessions.test.ts
@@ -34,7 +34,7 @@
   t.deepEqual(await sessions.handOver(heads, session => session === 's1' ? Promise.reject(new Error('cut')) : Promise.resolve(session !== 's2')), { known: 5, moved: 3 })
 })
 
-test('the hand-over of a replica that stops ends after 3 s', async t => {
+test('after 3 s the hand-over of a replica that stops starts no further move', async t => {
   const { clock, sessions } = makeSessions(1000)
   const handed = await sessions.handOver(heads, async () => {
     clock.advance(10)
