--- a/packages/plan/src/draft.ts
+++ b/packages/plan/src/draft.ts
@@ -3,7 +3,7 @@
  * It never offers a node that a replica of the domain uses.
  */
 import { type ModelService, type Placement, type Replica } from '@eiderwind/schema'
-import { emptyPlacement, type Action, type Facts, type NodeFact, type Order, type Plan } from './facts.js'
+import { emptyPlacement, type Action, type Facts, type NodeFact, type PlanStep, type Plan } from './facts.js'
 
 /**
  * A placement that a planner changes step by step. A step that forms or changes a replica gives it a new generation, a
@@ -13,7 +13,7 @@
   readonly domain: string
   readonly #before: Placement
   readonly #facts: ReadonlyMap<string, NodeFact>
-  readonly #orders: Order[] = []
+  readonly #steps: PlanStep[] = []
   #replicas: readonly Replica[]
   #generation: number
 
@@ -58,30 +58,30 @@
     const { name, version, adapters } = service
     const replica: Replica = { id, service: name, generation, members: [...members], version, adapters, state: 'serving' }
     this.#replicas = [...this.#replicas, replica]
-    this.#recordOrder('form', replica)
+    this.#recordStep('form', replica)
   }
 
   /** Changes the members or the version of a replica, under a new generation. */
   change (action: Action, replica: Replica, difference: Partial<Pick<Replica, 'members' | 'version' | 'adapters'>>): void {
     const changed = { ...replica, ...difference, generation: ++this.#generation }
     this.#replicas = this.#replicas.map(each => each.id === replica.id ? changed : each)
-    this.#recordOrder(action, changed)
+    this.#recordStep(action, changed)
   }
 
   /** Removes a replica. Its head finishes its requests before it releases the members. */
   remove (action: Action, replica: Replica): void {
     this.#replicas = this.#replicas.filter(each => each.id !== replica.id)
-    this.#recordOrder(action, replica)
+    this.#recordStep(action, replica)
   }
 
   /** The plan: the changed placement with its steps, or the placement as it was if there are no steps. */
   finish (): Plan {
-    if (this.#orders.length === 0) return { placement: this.#before, orders: [] }
+    if (this.#steps.length === 0) return { placement: this.#before, orders: [] }
     const placement = { domain: this.domain, revision: this.#before.revision + 1, generation: this.#generation, replicas: [...this.#replicas] }
-    return { placement, orders: this.#orders }
+    return { placement, orders: this.#steps }
   }
 
-  #recordOrder (action: Action, replica: Replica): void {
-    this.#orders.push({ action, replica: replica.id, members: replica.members })
+  #recordStep (action: Action, replica: Replica): void {
+    this.#steps.push({ action, replica: replica.id, members: replica.members })
   }
 }
--- a/packages/plan/src/facts.ts
+++ b/packages/plan/src/facts.ts
@@ -33,11 +33,15 @@
   readonly restart: number
 }
 
-/** The kind of a step. */
+/**
+ * The kind of a step. `form` adds a replica. `repair` replaces members of a replica. `dissolve` removes a broken
+ * replica so that its nodes can repair another. `retire` removes a replica above the wanted number. `upgrade` changes
+ * the version or the adapters of a replica.
+ */
 export type Action = 'form' | 'repair' | 'dissolve' | 'retire' | 'upgrade'
 
 /** One step of a plan. */
-export interface Order {
+export interface PlanStep {
   readonly action: Action
   readonly replica: string
   readonly members: readonly string[]
@@ -46,7 +50,7 @@
 /** A placement for one domain and the steps that lead to it. Without steps, the placement is the old one. */
 export interface Plan {
   readonly placement: Placement
-  readonly orders: readonly Order[]
+  readonly orders: readonly PlanStep[]
 }
 
 /** The placement of a domain that has no stored placement yet. */
--- a/packages/plan/src/repairing.ts
+++ b/packages/plan/src/repairing.ts
@@ -42,7 +42,9 @@
 
   /**
    * Repairs broken replicas, those with the fewest lost members first. A spare is used at once. Waiting for the lost
-   * node is never faster while there is a spare, since a node that returns has to load its weights as well.
+   * node is never faster while there is a spare, since a node that returns has to load its weights as well. If
+   * there are too few spares, the broken replica with the most lost members is dissolved to repair another, once these
+   * members have been lost for longer than a restart takes.
    */
   #repair (draft: Draft): void {
     const broken = draft.replicas.filter(replica => draft.lost(replica).length > 0)
@@ -104,8 +106,8 @@
   }
 
   /**
-   * The first `count` nodes: those that have loaded the version first, then by rendezvous hashing, so that planners
-   * choose alike.
+   * Chooses `count` nodes. Nodes that have loaded the version come first. Among equal nodes, rendezvous hashing
+   * decides, so that planners choose alike.
    */
   #choose (free: readonly NodeFact[], count: number, version: string, key: string): string[] {
     const order = [...free].sort((a, b) => {
--- a/packages/plan/test/plan.test.ts
+++ b/packages/plan/test/plan.test.ts
@@ -47,7 +47,7 @@
   t.true(new Repairing({ restart }).plan('d', facts(nodes, before)).placement.replicas[0].members.includes('e'))
 })
 
-test('without a spare, one of two broken replicas is dissolved to repair the other, once its node is lost for longer than a restart', t => {
+test('without a spare, a broken replica whose own node is lost for longer than a restart is dissolved to repair another', t => {
   const before = formed(['a', 'b', 'c', 'e'], { replicas: 2 })
   const lost = new Set(before.replicas.map(each => each.members[0]))
   const plan = (lostFor: number) => {
--- a/packages/route/src/affinity.ts
+++ b/packages/route/src/affinity.ts
@@ -31,6 +31,7 @@
 /** Stores which replicas served which prefixes last. The least recently used block is evicted first. */
 export class Affinity {
   readonly #maxStoredBlocks: number
+  /** By digest of the prefix that ends with the block: the replicas that served it, latest first. */
   readonly #blocks = new Map<number, string[]>()
 
   /** @param limit maximum number of stored blocks. Default: 20,000 */
@@ -38,7 +39,11 @@
     this.#maxStoredBlocks = limit
   }
 
-  /** The replicas that served the longest known prefix of a prompt, latest first. */
+  /**
+   * The replicas that served the longest known prefix of a prompt, latest first.
+   *
+   * @param blocks the digests that `prefixes` returns for the prompt
+   */
   prefix (blocks: readonly number[]): readonly string[] {
     for (let index = blocks.length - 1; index >= 0; index--) {
       const replicas = this.#blocks.get(blocks[index])
--- a/packages/route/src/balanced.ts
+++ b/packages/route/src/balanced.ts
@@ -10,9 +10,12 @@
 export interface BalancedOptions {
   /** Makes entries that start at the same time begin with different replicas. */
   readonly random: Random
-  /** Maximum number of open requests of this entry at a warm replica above the least busy candidate's. Default: 4. */
+  /** How many more open requests than the least busy candidate a warm candidate may have. Default: 4. */
   readonly slack?: number
-  /** Maximum ratio of the two numbers, where it allows more than `slack`. Default: 1.5. */
+  /**
+   * How many times as many open requests as the least busy candidate a warm candidate may have, if this allows more
+   * than `slack`. Default: 1.5.
+   */
   readonly factor?: number
 }
 
@@ -30,9 +33,9 @@
 
 /**
  * Chooses a replica, or a worker of a plain service. A candidate is warm if entries prefer it for the session or if it
- * served the prompt's prefix. A warm candidate is picked while this entry has few more open requests there than
- * elsewhere. Otherwise the candidate with the fewest open requests of this entry is picked; of equal ones, the one
- * that was picked longest ago.
+ * served the prompt's prefix. A warm candidate is picked while this entry has only a few more open requests there
+ * than at the least busy candidate. Otherwise the candidate with the fewest open requests of this entry is picked; of
+ * equal ones, the one that was picked longest ago.
  *
  * The load that replicas report is not used. Reports lag, and entries that read the same old reports would all choose
  * the same replicas (docs/design/routing.md has the figures). The number of open requests of an entry is exact, and it
@@ -66,7 +69,10 @@
     return minBy(candidates.filter(each => each.open === minOpen), each => this.#lastTurn(each))
   }
 
-  /** The first of the session's replicas that is not too busy; if none, the least busy one that served the prefix. */
+  /**
+   * The first of the session's replicas that is not too busy. If there is none, the least busy replica that served the
+   * prefix, if that one is not too busy.
+   */
   #warmCandidate (candidates: readonly Candidate[], { session, prefix }: Preference, minOpen: number): Candidate | undefined {
     const allowed = candidates.filter(each => each.open <= Math.max(minOpen + this.#slack, minOpen * this.#factor))
     for (const id of session) {
--- a/packages/spread/src/reports.ts
+++ b/packages/spread/src/reports.ts
@@ -21,17 +21,21 @@
   /** When this process received the report, on `Clock.now`. */
   readonly receivedAt: number
   readonly source: Source
-  /** When another entry last sent a report or beat of this worker, newer or not, on `Clock.now`. */
+  /** When another entry last sent a report or beat of this worker, newer or not, on `Clock.now`; -Infinity if never. */
   readonly relayedAt: number
 }
 
-/** A report as entries send it to each other. The sender adds the time that it held the report to the age, in ms. */
+/** A report as entries send it to each other. */
 export interface AgedReport {
   readonly report: Report
+  /** Time since the worker made the report, in ms. Each sender adds the time for which it held the report. */
   readonly age: number
 }
 
-/** The result of a beat: `lacking` if this process does not have the report that the beat refers to. */
+/**
+ * The result of a beat. `taken`: its counts are stored. `old`: the known report is as new or newer. `lacking`: this
+ * process does not have the report that the beat refers to.
+ */
 export type BeatResult = 'taken' | 'old' | 'lacking'
 
 /** Stores the latest report of each worker. Older reports and those of earlier incarnations are dropped. */
--- a/packages/spread/src/topology.ts
+++ b/packages/spread/src/topology.ts
@@ -1,7 +1,7 @@
 /**
- * Computes which entries exchange reports, which two entries a worker reports to, and which entry acts on a subject.
- * Pure functions of the entries believed live, by rendezvous hashing. docs/design/spread.md has the rule, its cost at
- * size and the alternatives that were dropped.
+ * Computes which entries exchange reports, which two entries a worker reports to, and which entry acts on a subject,
+ * such as the placement of a domain. Pure functions of the entries believed live, by rendezvous hashing.
+ * docs/design/spread.md has the rule, its cost at scale and the alternatives that were dropped.
  */
 import { ranked } from '@eiderwind/hash'
 import { type EntryAddress } from '@eiderwind/schema'
@@ -57,7 +57,11 @@
   return pick(subject, entries, 1)[0]
 }
 
-/** The entries among those given that watch `subject` at the platform. */
+/**
+ * The entries that watch `subject` at the platform.
+ *
+ * @param entries the entries of one data centre
+ */
 export function watchers (subject: string, entries: readonly EntryAddress[]): EntryAddress[] {
   return pick(`watch/${subject}`, entries, watchersPerSubject)
 }
--- a/packages/spread/test/spread.test.ts
+++ b/packages/spread/test/spread.test.ts
@@ -57,7 +57,7 @@
   t.is(watchers('configuration', entries).length, 2)
 })
 
-test('older reports and those of earlier incarnations are dropped', t => {
+test('older reports and those of earlier incarnations are dropped, in whatever order they arrive', t => {
   const clock = new ManualClock()
   const reports = new Reports(clock)
   const taken = [report('w', '0190-b', 5), report('w', '0190-b', 4), report('w', '0190-a', 9), report('w', '0190-b', 5), report('w', '0190-c', 1)]
