--- a/packages/trial/src/engine.ts
+++ b/packages/trial/src/engine.ts
@@ -1,12 +1,13 @@
 /**
- * The stand-in of a model engine: completions, streams, fenced orders, export and import of KV caches. It owns what it has loaded
- * and a record of what has happened; its answers depend on the prompt alone, so that tests can check them.
+ * Stand-in of a model engine. It serves completions and streams, accepts fenced orders, and exports and imports KV
+ * caches. It owns the loaded version, the sessions' caches and a record of events. An answer depends only on the
+ * prompt, so that tests can check it.
  */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { digest } from '@eiderwind/hash'
 import { StandIn, answerJson, bodyText } from './http.js'
 
-/** How an engine stand-in behaves. Spans are in ms. */
+/** Behaviour of an engine stand-in. Durations are in ms. */
 export interface EngineOptions {
   /** Time between two tokens. Default: 20. */
   readonly tokenTime?: number
@@ -14,23 +15,23 @@
   readonly firstTime?: number
   /** Time to load a version. Default: 50. */
   readonly loadTime?: number
-  /** Whether it refuses an order with a lower token than it has seen. Default: true. */
+  /** Whether it refuses an order whose generation is lower than one it has accepted. Default: true. */
   readonly checks?: boolean
-  /** Whether it exports the KV caches of sessions. Default: true. */
+  /** Whether it exports KV caches of sessions. Default: true. */
   readonly exports?: boolean
-  /** Tokens of an answer that asks for no other number. Default: 24. */
+  /** Number of tokens in an answer to a request without `max_tokens`. Default: 24. */
   readonly tokens?: number
 }
 
-/** Where the KV caches of sessions are exported and imported. */
+/** Path prefix at which KV caches are exported (GET) and imported (PUT). The session's key follows. */
 const kvPath = '/kv/'
 
-/** What has happened at an engine. */
+/** Counts of events at an engine, and the orders that it has received. */
 export interface EngineRecord {
   started: number
   finished: number
   cancelled: number
-  /** Sessions whose KV cache was there when a request of theirs came. */
+  /** Requests whose session already had a KV cache here. */
   reused: number
   exported: number
   imported: number
@@ -52,16 +53,16 @@
 }
 
 /**
- * A stand-in of a model engine. Its answer to a prompt is always the same words, so that a test can tell whether an
- * answer that was resumed elsewhere is whole. It cancels when its caller goes away, goes on with an answer from a
- * given text, and takes fenced orders at `/orders/load`. `GET /record` tells what has happened.
+ * A stand-in of a model engine. It answers a prompt with the same words each time, so that a test can check whether an
+ * answer resumed at another engine is complete. It cancels a request when the caller disconnects, resumes an answer
+ * after a given text, and accepts fenced orders at `/orders/load`. `GET /record` returns its record.
  */
 export class EngineStandIn extends StandIn {
   readonly record: EngineRecord = { started: 0, finished: 0, cancelled: 0, reused: 0, exported: 0, imported: 0, orders: [] }
   readonly #options: Required<EngineOptions>
   #loaded: Order = { version: '', adapters: [], generation: 0 }
   readonly #sessions = new Map<string, string>()
-  #highest = 0
+  #highestGeneration = 0
 
   constructor (options: EngineOptions = {}) {
     super()
@@ -71,16 +72,16 @@
   protected async serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (request.url === '/health') return answerJson(response, 200, this.#loaded)
     if (request.url === '/record') return answerJson(response, 200, this.record)
-    if (request.url?.startsWith(kvPath) === true) return await this.#kv(request, response)
+    if (request.url?.startsWith(kvPath) === true) return await this.#transferCache(request, response)
     const session = request.headers['eiderwind-session-key']
-    if (typeof session === 'string') this.#meet(session)
+    if (typeof session === 'string') this.#useSession(session)
     const body = JSON.parse(await bodyText(request)) as unknown
     if (request.url === '/orders/load') return await this.#load(body as Order, response)
     await this.#complete(body as Completion, response)
   }
 
-  /** Exports or imports what stands for the KV cache of a session. */
-  async #kv (request: IncomingMessage, response: ServerResponse): Promise<void> {
+  /** Exports or imports the text that represents a session's KV cache. */
+  async #transferCache (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const session = (request.url ?? '').slice(kvPath.length)
     if (request.method === 'PUT') {
       this.#sessions.set(session, await bodyText(request))
@@ -93,18 +94,18 @@
     response.end(cache)
   }
 
-  #meet (session: string): void {
+  #useSession (session: string): void {
     if (this.#sessions.has(session)) this.record.reused++
     this.#sessions.set(session, `cache of ${session}`)
   }
 
   async #load (order: Order, response: ServerResponse): Promise<void> {
-    const accepted = !this.#options.checks || order.generation >= this.#highest
+    const accepted = !this.#options.checks || order.generation >= this.#highestGeneration
     this.record.orders.push({ version: order.version, generation: order.generation, accepted })
-    if (!accepted) return answerJson(response, 409, { error: 'an order with a higher token came before' })
-    this.#highest = Math.max(this.#highest, order.generation)
+    if (!accepted) return answerJson(response, 409, { error: 'an order with a higher generation was accepted earlier' })
+    this.#highestGeneration = Math.max(this.#highestGeneration, order.generation)
     await pause(this.#options.loadTime)
-    if (!this.#options.checks || order.generation >= this.#highest) this.#loaded = order
+    if (!this.#options.checks || order.generation >= this.#highestGeneration) this.#loaded = order
     answerJson(response, 200, this.#loaded)
   }
 
@@ -113,42 +114,43 @@
     const words = answerWords(completion.messages.map(each => each.content).join('\n'), completion.max_tokens ?? this.#options.tokens)
     const start = completion.resume?.offset ?? 0
     if (words.slice(0, start).join('') !== (completion.resume?.text ?? '')) {
-      return answerJson(response, 400, { error: 'the text to go on from is not the start of the answer' })
+      return answerJson(response, 400, { error: 'the text to resume from is not the start of the answer' })
     }
     response.once('close', () => {
       if (response.writableFinished) this.record.finished++
       else this.record.cancelled++
     })
     await pause(this.#options.firstTime)
-    if (completion.stream === true) await this.#stream(completion.model, words.slice(start), response)
-    else await this.#whole(completion.model, words, response)
+    if (completion.stream === true) await this.#answerStreamed(completion.model, words.slice(start), response)
+    else await this.#answerUnstreamed(completion.model, words, response)
   }
 
-  async #stream (model: string, words: readonly string[], response: ServerResponse): Promise<void> {
+  async #answerStreamed (model: string, words: readonly string[], response: ServerResponse): Promise<void> {
     response.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-cache' })
     for (const word of words) {
       if (response.destroyed) return
-      response.write(event(model, { content: word }, null))
+      response.write(streamEvent(model, { content: word }, null))
       await pause(this.#options.tokenTime)
     }
-    response.write(event(model, {}, 'stop'))
+    response.write(streamEvent(model, {}, 'stop'))
     response.end('data: [DONE]\n\n')
   }
 
-  async #whole (model: string, words: readonly string[], response: ServerResponse): Promise<void> {
+  async #answerUnstreamed (model: string, words: readonly string[], response: ServerResponse): Promise<void> {
     for (let index = 0; index < words.length && !response.destroyed; index++) await pause(this.#options.tokenTime)
     const choice = { index: 0, message: { role: 'assistant', content: words.join('') }, finish_reason: 'stop' }
     answerJson(response, 200, { id: 'cmpl', object: 'chat.completion', model, choices: [choice], usage: { completion_tokens: words.length } })
   }
 }
 
-/** The words with which every engine stand-in answers a prompt. */
+/** The words of every engine stand-in's answer to a prompt. */
 export function answerWords (prompt: string, count: number): string[] {
   const seed = digest(prompt).toString(36)
   return Array.from({ length: count }, (_each, index) => `${seed}-${index + 1} `)
 }
 
-function event (model: string, delta: object, finish: string | null): string {
+/** A server-sent event with one chunk of a streamed completion. */
+function streamEvent (model: string, delta: object, finish: string | null): string {
   const choice = { index: 0, delta, finish_reason: finish }
   return `data: ${JSON.stringify({ id: 'cmpl', object: 'chat.completion.chunk', model, choices: [choice] })}\n\n`
 }
--- a/packages/trial/src/fleet.ts
+++ b/packages/trial/src/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Entries, workers and stand-ins as processes on loopback, for the local trial, the bench and tests. It owns the processes and a
- * folder with their settings, and ends and removes all of them with `stop`.
+ * Runs entries, workers and stand-ins as processes on loopback, for the local trial, the bench and tests. A fleet owns
+ * its processes and a folder with their settings files. `stop` ends the processes and removes the folder.
  */
 import { createHash } from 'node:crypto'
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
@@ -17,46 +17,47 @@
 import { type EngineOptions } from './engine.js'
 import { type PlatformFault } from './platform.js'
 
-/** The API key of a trial's team. It opens nothing else. */
+/** The API key of a trial's team. It is valid only in a trial. */
 export const trialKey = 'trial-key'
-/** The token of a trial's operator. It opens nothing else. */
+/** The token of a trial's operator. It is valid only in a trial. */
 export const trialToken = 'trial-token'
 
-/** The model service of a trial. */
+/** Name of the trial's model service. */
 export const modelName = 'support'
-/** The plain service of a trial. */
+/** Name of the trial's plain service. */
 export const plainName = 'receipts'
 
 const daemonScript = fileURLToPath(new URL('../../../daemon/bin/eiderwind.js', import.meta.url))
 const standInScript = fileURLToPath(new URL('./standin.js', import.meta.url))
 
-/** What a trial fleet consists of. */
+/** Size and timing of a fleet. */
 export interface FleetOptions {
-  /** Entries. Default: 2. */
+  /** Number of entries. Default: 2. */
   readonly entries?: number
-  /** Nodes with an engine, all in one fabric domain. Default: 4. */
+  /** Number of nodes with an engine. Those of one data centre share a fabric domain. Default: 4. */
   readonly engines?: number
-  /** Nodes with the plain service. Default: 3. */
+  /** Number of nodes with the plain service. Default: 3. */
   readonly plain?: number
-  /** Data centres, all in one region; entries and nodes take turns. Default: 1. */
+  /** Number of data centres, all in one region. Entries and nodes are assigned to them in turn. Default: 1. */
   readonly dataCentres?: number
-  /** Replicas of the model service. Default: 1. */
+  /** Number of replicas of the model service. Default: 1. */
   readonly replicas?: number
-  /** Nodes in a replica. Default: 4. */
+  /** Number of nodes in a replica. Default: 4. */
   readonly members?: number
   readonly engine?: EngineOptions
-  /** Lease period and interval, in ms. Default: 1500 and 300. */
+  /** Lease period, in ms. Default: 1500. */
   readonly period?: number
+  /** Lease interval, in ms. Default: 300. */
   readonly interval?: number
-  /** How far wall clocks may differ, in ms. Default: 300. */
+  /** Maximum difference between wall clocks, in ms. Default: 300. */
   readonly skew?: number
-  /** Silence after which a node counts as lost, in ms. Default: 2500. */
+  /** Time without a report after which a node counts as lost, in ms. Default: 2500. */
   readonly lostAfter?: number
-  /** How long a node that restarts is away, as a rule, in ms. Default: 3000. */
+  /** Usual duration of a node's restart, in ms. Default: 3000. */
   readonly restartTime?: number
 }
 
-/** An entry of a fleet, with its addresses. */
+/** An entry of a fleet: its process, addresses and settings file. */
 export interface FleetEntry {
   readonly id: string
   child: Child
@@ -66,7 +67,7 @@
   readonly settings: string
 }
 
-/** A worker of a fleet, with what stands beside it. */
+/** A worker of a fleet and the upstream beside it. */
 export interface FleetWorker {
   readonly id: string
   child: Child
@@ -77,7 +78,7 @@
   readonly service: string | undefined
 }
 
-/** Real daemons and stand-ins, each a process on loopback. For the local trial and for tests; the daemons themselves start no process. */
+/** Real daemons and stand-ins, each a process on loopback. The fleet starts every process; the daemons start none. */
 export class Fleet {
   readonly entries: FleetEntry[] = []
   readonly workers: FleetWorker[] = []
@@ -91,21 +92,21 @@
     this.#options = { entries: 2, engines: 4, plain: 3, dataCentres: 1, replicas: 1, members: 4, engine: {}, period: 1500, interval: 300, skew: 300, lostAfter: 2500, restartTime: 3000, ...options }
   }
 
-  /** Starts everything and waits until every replica and plain worker serves. */
+  /** Starts all processes, then waits until every replica and plain worker serves. */
   async start (): Promise<void> {
     const { entries, engines, plain } = this.#options
-    this.platform = this.#standIn('platform', ['platform'])
-    this.platformUrl = await urlOf(this.platform)
+    this.platform = this.#startStandIn('platform', ['platform'])
+    this.platformUrl = await reportedUrl(this.platform)
     for (let index = 1; index <= entries; index++) await this.addEntry(`entry-${index}`)
-    const nodes = [...names('engine', engines), ...names('plain', plain)]
+    const nodes = [...numberedIds('engine', engines), ...numberedIds('plain', plain)]
     await Promise.all(nodes.map(id => this.#addWorker(id, id.startsWith('plain') ? plainName : undefined)))
     this.workers.sort((a, b) => a.id < b.id ? -1 : 1)
     await this.setNodes(this.nodes())
     await this.#configure()
-    await this.serving()
+    await this.waitUntilServing()
   }
 
-  /** The node list of the fleet. */
+  /** The fleet's node list. */
   nodes (): Node[] {
     return this.workers.map(({ id, address, service }) => ({
       id,
@@ -119,35 +120,36 @@
     }))
   }
 
-  /** Gives the platform another node list. */
+  /** Replaces the platform's node list. */
   async setNodes (nodes: readonly Node[]): Promise<void> {
     await this.control('nodes', nodes)
   }
 
-  /** Waits until every entry has `address` for the node `id`, so that the next tenure of a head that needs it has it too. */
-  async knowAddress (id: string, address: string): Promise<void> {
+  /** Waits until every entry has `address` for node `id`. A head's next tenure then uses this address. */
+  async waitForAddress (id: string, address: string): Promise<void> {
     const clients = new Clients()
     for (const entry of this.entries) {
-      const end = Date.now() + 10_000
+      const deadline = Date.now() + 10_000
       while (!(await clients.entry(entry.peers).known()).nodes.some(node => node.id === id && node.address === address)) {
-        if (Date.now() > end) throw new Error(`Entry ${entry.id} never learned the address ${address} of ${id}.`)
+        if (Date.now() > deadline) throw new Error(`Entry ${entry.id} did not receive the address ${address} of node ${id} within 10 s.`)
         await new Promise(resolve => setTimeout(resolve, 20))
       }
     }
     await clients.close()
   }
 
-  /** Has the platform fail, or work again. */
+  /** Sets the platform's fault; `{}` ends it. */
   async failPlatform (fault: PlatformFault): Promise<void> {
     await this.control('fault', fault)
   }
 
-  async control (what: string, value: unknown): Promise<unknown> {
-    const response = await fetch(`${this.platformUrl}/control/${what}`, { method: 'PUT', body: JSON.stringify(value) })
+  /** Calls a control path of the platform stand-in and returns its answer. */
+  async control (action: string, value: unknown): Promise<unknown> {
+    const response = await fetch(`${this.platformUrl}/control/${action}`, { method: 'PUT', body: JSON.stringify(value) })
     return await response.json()
   }
 
-  /** The operators' calls, through one entry. */
+  /** A client for operators' calls at one entry. */
   operators (entry = this.entries[0]): Client<typeof Operators> {
     return createClient(Operators, createConnectTransport({
       baseUrl: `http://${entry.operators}`,
@@ -161,38 +163,38 @@
 
   worker (id: string): FleetWorker {
     const found = this.workers.find(each => each.id === id)
-    if (found === undefined) throw new Error(`There is no worker ${id}.`)
+    if (found === undefined) throw new Error(`The fleet has no worker ${id}.`)
     return found
   }
 
-  /** Waits until a status fits, as one entry tells it. */
-  async status (fits: (status: Status) => boolean, entry = this.entries[0], patience = 30_000): Promise<Status> {
-    const end = Date.now() + patience
+  /** Waits until the status that one entry reports matches, and returns it. */
+  async waitForStatus (matches: (status: Status) => boolean, entry = this.entries[0], maxWaitMs = 30_000): Promise<Status> {
+    const deadline = Date.now() + maxWaitMs
     let last: unknown
-    while (Date.now() < end) {
+    while (Date.now() < deadline) {
       const status = await this.operators(entry).readStatus({}).catch(error => { last = error })
       if (status !== undefined) {
-        if (fits(status)) return status
+        if (matches(status)) return status
         last = status
       }
       await new Promise(resolve => setTimeout(resolve, 50))
     }
-    throw new Error(`The status never fitted: ${JSON.stringify(last, (_key, value) => typeof value === 'bigint' ? Number(value) : value as unknown)}`)
+    throw new Error(`The status did not match in time; last status or error: ${JSON.stringify(last, (_key, value) => typeof value === 'bigint' ? Number(value) : value as unknown)}`)
   }
 
-  /** Waits until every replica and every plain worker serves, as every entry tells it. */
-  async serving (): Promise<void> {
+  /** Waits until every running entry reports that all replicas serve and that each slot has a home. */
+  async waitUntilServing (): Promise<void> {
     const { replicas, plain } = this.#options
     for (const entry of this.entries.filter(each => each.child.running)) {
-      await this.status(status => {
+      await this.waitForStatus(status => {
         const slots = status.nodes.flatMap(each => each.slots)
         return status.replicas.filter(each => each.serving).length >= replicas && (plain === 0 || new Set(slots).size === slotCount)
       }, entry)
     }
   }
 
-  /** Waits until every home has been open for so long that it takes callers' new keys. */
-  async opened (): Promise<void> {
+  /** Waits until every home has been open long enough to accept new keys from callers. */
+  async waitUntilKeysAccepted (): Promise<void> {
     const url = `http://${this.entries[0].callers}/services/${plainName}/topups`
     for (let tries = 0; tries < 100; tries++) {
       const probes = keysOfEachSlot().map(key => fetch(url, { method: 'POST', headers: { authorization: `Bearer ${trialKey}`, 'idempotency-key': key }, body: 'probe' }))
@@ -200,32 +202,32 @@
       await Promise.all(answers.map(each => each.text()))
       if (answers.every(each => each.status === 200)) return
     }
-    throw new Error('The homes never took new keys.')
+    throw new Error('The homes did not accept new keys of every slot in 100 rounds.')
   }
 
-  /** Starts one more entry. */
+  /** Starts another entry. */
   async addEntry (id: string): Promise<FleetEntry> {
-    const settings = this.#write(id, this.#entrySettings(id))
-    const child = this.#start(id, ['entry', settings])
-    const { callers, operators, peers } = await child.line(line => line.event === 100) as unknown as FleetEntry
+    const settings = this.#writeSettings(id, this.#entrySettings(id))
+    const child = this.#startDaemon(id, ['entry', settings])
+    const { callers, operators, peers } = await child.waitForLine(line => line.event === 100) as unknown as FleetEntry
     const entry = { id, child, callers, operators, peers, settings }
     this.entries.push(entry)
     return entry
   }
 
-  /** Starts an entry again that has ended, on other ports. */
+  /** Restarts an entry that has ended. It listens on other ports. */
   async restartEntry (entry: FleetEntry): Promise<FleetEntry> {
     this.entries.splice(this.entries.indexOf(entry), 1)
     return await this.addEntry(entry.id)
   }
 
-  /** Starts a worker again that has ended, on the same port. */
+  /** Restarts a worker that has ended. It listens on the same port. */
   async restartWorker (worker: FleetWorker): Promise<void> {
-    worker.child = this.#start(worker.id, ['worker', worker.settings])
-    await worker.child.line(line => line.event === 100)
+    worker.child = this.#startDaemon(worker.id, ['worker', worker.settings])
+    await worker.child.waitForLine(line => line.event === 100)
   }
 
-  /** Ends everything at once. */
+  /** Kills all processes and removes the folder with their settings. */
   async stop (): Promise<void> {
     const running = this.#children.filter(each => each.running)
     for (const child of running) {
@@ -235,14 +237,15 @@
     rmSync(this.#folder, { recursive: true })
   }
 
+  /** Starts a worker on any free port. Its settings file is then rewritten with that port, which a restart reuses. */
   async #addWorker (id: string, service: string | undefined): Promise<void> {
-    const words = service === undefined ? ['engine', JSON.stringify(this.#options.engine)] : ['plain', id]
-    const upstream = this.#standIn(`${id}-upstream`, words)
-    const upstreamUrl = await urlOf(upstream)
-    const first = this.#write(id, this.#workerSettings(id, '127.0.0.1:0', upstreamUrl, service))
-    const child = this.#start(id, ['worker', first])
-    const address = String((await child.line(line => line.event === 100)).peers)
-    const settings = this.#write(id, this.#workerSettings(id, address, upstreamUrl, service))
+    const args = service === undefined ? ['engine', JSON.stringify(this.#options.engine)] : ['plain', id]
+    const upstream = this.#startStandIn(`${id}-upstream`, args)
+    const upstreamUrl = await reportedUrl(upstream)
+    const initialSettings = this.#writeSettings(id, this.#workerSettings(id, '127.0.0.1:0', upstreamUrl, service))
+    const child = this.#startDaemon(id, ['worker', initialSettings])
+    const address = String((await child.waitForLine(line => line.event === 100)).peers)
+    const settings = this.#writeSettings(id, this.#workerSettings(id, address, upstreamUrl, service))
     this.workers.push({ id, child, address, settings, upstream, upstreamUrl, service })
   }
 
@@ -259,7 +262,7 @@
 
   #entrySettings (id: string): string {
     const { lostAfter, restartTime } = this.#options
-    return lines([
+    return joinLines([
       '[process]', `id = ${id}`, `data_centre = ${this.#dataCentre(id)}`, 'region = region-1',
       '[listen]', 'callers = 127.0.0.1:0', 'operators = 127.0.0.1:0', 'peers = 127.0.0.1:0',
       '[platform]', `url = ${this.platformUrl}`, 'timeout = 1000',
@@ -272,7 +275,7 @@
 
   #workerSettings (id: string, address: string, upstream: string, service: string | undefined): string {
     const { period, interval, skew } = this.#options
-    return lines([
+    return joinLines([
       '[process]', `id = ${id}`, `data_centre = ${this.#dataCentre(id)}`, 'region = region-1',
       '[listen]', `peers = ${address}`,
       '[node]', `id = ${id}`,
@@ -283,49 +286,50 @@
     ])
   }
 
-  /** The data centre of an entry or node, by the number at the end of its id. */
+  /** The data centre of an entry or node, derived from the number at the end of its id. */
   #dataCentre (id: string): string {
     const number = Number(/\d+$/.exec(id)?.[0] ?? 1)
     return `dc-${(number - 1) % this.#options.dataCentres + 1}`
   }
 
-  #write (id: string, text: string): string {
+  #writeSettings (id: string, text: string): string {
     const file = join(this.#folder, `${id}.ini`)
     writeFileSync(file, text)
     return file
   }
 
-  #start (name: string, words: readonly string[]): Child {
-    const child = new Child(name, daemonScript, words)
+  #startDaemon (name: string, args: readonly string[]): Child {
+    const child = new Child(name, daemonScript, args)
     this.#children.push(child)
     return child
   }
 
-  #standIn (name: string, words: readonly string[]): Child {
-    const child = new Child(name, standInScript, words)
+  #startStandIn (name: string, args: readonly string[]): Child {
+    const child = new Child(name, standInScript, args)
     this.#children.push(child)
     return child
   }
 }
 
-/** SHA-256 of a secret, in hex. */
+/** The SHA-256 of a secret, in hex. */
 function sha256 (secret: string): string {
   return createHash('sha256').update(secret).digest('hex')
 }
 
-async function urlOf (child: Child): Promise<string> {
-  return String((await child.line(line => typeof line.url === 'string')).url)
+/** The URL that a stand-in prints when it listens. */
+async function reportedUrl (child: Child): Promise<string> {
+  return String((await child.waitForLine(line => typeof line.url === 'string')).url)
 }
 
-function names (prefix: string, count: number): string[] {
+function numberedIds (prefix: string, count: number): string[] {
   return Array.from({ length: count }, (_each, index) => `${prefix}-${index + 1}`)
 }
 
-function lines (all: readonly string[]): string {
+function joinLines (all: readonly string[]): string {
   return `${all.join('\n')}\n`
 }
 
-/** New keys of a caller: one of each slot. Keys drawn at random leave out a slot in four of ten times. */
+/** New keys of a caller, one for each slot. Keys drawn only at random missed a slot in four of ten draws. */
 export function keysOfEachSlot (): string[] {
   const keys = new Map<number, string>()
   while (keys.size < slotCount) {
--- a/packages/trial/src/forwarder.ts
+++ b/packages/trial/src/forwarder.ts
@@ -1,7 +1,10 @@
-/** A TCP proxy on loopback that counts bytes and can be cut, for the bench and tests. It owns its listener and its connections. */
+/**
+ * A TCP proxy on loopback for the bench and tests. It counts forwarded bytes and can simulate a network cut.
+ * It owns its listener and its connections.
+ */
 import { connect, createServer, type Server, type Socket } from 'node:net'
 
-/** Forwards TCP connections on loopback, until they are cut. */
+/** Forwards TCP connections to one target until `cut` is called. */
 export class Forwarder {
   readonly #server: Server
   readonly #sockets = new Set<Socket>()
@@ -10,18 +13,18 @@
   #bytes = 0
   #port = 0
 
-  /** @param target `host:port` */
+  /** @param target Address to forward to, as `host:port`. */
   constructor (target: string) {
     this.#target = target
     this.#server = createServer(socket => this.#forward(socket))
   }
 
-  /** `host:port` at which it listens. */
+  /** Address of the listener, as `host:port`. */
   get address (): string {
     return `127.0.0.1:${this.#port}`
   }
 
-  /** Bytes that have passed, both ways. */
+  /** Bytes received so far, both directions together. */
   get bytes (): number {
     return this.#bytes
   }
@@ -33,7 +36,7 @@
     }))
   }
 
-  /** Lets nothing through any more: open connections go silent, as when a network is cut, and new ones get no answer. */
+  /** Stops forwarding, as a network cut does: open connections stay open without data, and new ones get no answer. */
   cut (): void {
     this.#cut = true
     for (const socket of this.#sockets) socket.pause()
@@ -44,10 +47,10 @@
     for (const socket of this.#sockets) socket.destroy()
   }
 
-  #forward (near: Socket): void {
+  #forward (inbound: Socket): void {
     const colon = this.#target.lastIndexOf(':')
-    const far = connect(Number(this.#target.slice(colon + 1)), this.#target.slice(0, colon))
-    for (const [from, to] of [[near, far], [far, near]]) {
+    const outbound = connect(Number(this.#target.slice(colon + 1)), this.#target.slice(0, colon))
+    for (const [from, to] of [[inbound, outbound], [outbound, inbound]]) {
       this.#sockets.add(from)
       if (this.#cut) from.pause()
       from.on('data', (chunk: Buffer) => {
--- a/packages/trial/src/http.ts
+++ b/packages/trial/src/http.ts
@@ -1,4 +1,4 @@
-/** What the stand-ins have in common: a server on loopback, reading a body, answering with JSON. */
+/** Common parts of the stand-ins: an HTTP server on loopback, reading a request body, answering with JSON. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 
 /** A stand-in that serves HTTP on loopback. */
@@ -12,7 +12,7 @@
     })
   }
 
-  /** Such as `http://127.0.0.1:7000`. */
+  /** Base URL, such as `http://127.0.0.1:7000`. */
   get url (): string {
     return `http://127.0.0.1:${this.#port}`
   }
@@ -21,7 +21,7 @@
     return this.#port
   }
 
-  /** Listens on loopback; port 0 takes any. */
+  /** Listens on loopback. With port 0 the system chooses a free port. */
   start (port = 0): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject)
@@ -32,7 +32,7 @@
     })
   }
 
-  /** Ends at once, with every connection. */
+  /** Closes the listener and all connections immediately. */
   stop (): Promise<void> {
     return new Promise(resolve => {
       this.#server.close(() => resolve())
@@ -40,10 +40,11 @@
     })
   }
 
+  /** Answers one request. If it rejects, the connection is closed. */
   protected abstract serve (request: IncomingMessage, response: ServerResponse): Promise<void>
 }
 
-/** The whole body of a request as text. */
+/** Reads the complete body of a request as text. */
 export async function bodyText (request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = []
   for await (const chunk of request as AsyncIterable<Buffer>) chunks.push(chunk)
--- a/packages/trial/src/index.ts
+++ b/packages/trial/src/index.ts
@@ -1,4 +1,7 @@
-/** Development tools: stand-ins of platform, engine and plain service, and fleets of real daemons against them. */
+/**
+ * Development tools: stand-ins of the platform, an engine and a plain service, and fleets of real daemons that use
+ * them.
+ */
 export { answerWords, type EngineOptions, type EngineRecord } from './engine.js'
 export { type Execution } from './plainservice.js'
 export { Child } from './child.js'
--- a/packages/trial/src/main.ts
+++ b/packages/trial/src/main.ts
@@ -1,23 +1,26 @@
-/** The local trial: `npm start` brings up real daemons on loopback, sends two requests and stays until Ctrl-C; `-- --once` ends after the answers. */
+/**
+ * The local trial. `npm start` starts real daemons on loopback, sends two requests and runs until Ctrl-C.
+ * `npm start -- --once` ends after the answers.
+ */
 import { Fleet, modelName, plainName, trialKey, trialToken } from './fleet.js'
 
 const fleet = new Fleet()
 const once = process.argv.includes('--once')
 const print = (line: string): void => { process.stdout.write(`${line}\n`) }
-const stopped = new Promise(resolve => {
+const signalled = new Promise(resolve => {
   process.once('SIGINT', resolve)
   process.once('SIGTERM', resolve)
 })
 
 try {
   print('Starting the platform stand-in, 2 entries, 4 workers with engine stand-ins, 3 workers with a plain service ...')
-  await Promise.race([fleet.start(), stopped.then(() => { throw new Error('told to stop') })])
+  await Promise.race([fleet.start(), signalled.then(() => { throw new Error('stopped by a signal during the start') })])
   const [entry] = fleet.entries
   await complete(entry.callers)
   await topUp(entry.callers)
   if (!once) {
-    tell()
-    await stopped
+    printInstructions()
+    await signalled
   }
 } catch (error) {
   print(`The trial failed: ${(error as Error).message}`)
@@ -46,10 +49,10 @@
   })
   const text = await response.text()
   if (response.status !== 200) throw new Error(`the top-up was answered ${response.status} ${text}`)
-  print(`A request that may not be repeated: ${text}`)
+  print(`Answer to a request that may run only once: ${text}`)
 }
 
-function tell (): void {
+function printInstructions (): void {
   const [entry] = fleet.entries
   print('')
   for (const each of fleet.entries) print(`${each.id}: callers http://${each.callers}, operators http://${each.operators}`)
--- a/packages/trial/src/plainservice.ts
+++ b/packages/trial/src/plainservice.ts
@@ -1,4 +1,4 @@
-/** The stand-in of a plain service. It owns the list of requests that it has run, by which tests count executions. */
+/** Stand-in of a plain service. It owns the list of requests that it has run. Tests count executions with this list. */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { StandIn, answerJson, bodyText } from './http.js'
 
@@ -10,8 +10,8 @@
 }
 
 /**
- * A stand-in of a plain service: each request it runs gets a receipt. `?delay=<ms>` makes it slow, `/health` tells
- * that it is up, `GET /executions` lists what it has run.
+ * A stand-in of a plain service. It answers each request that it runs with a receipt. `?delay=<ms>` delays the answer.
+ * `/health` answers 200, and `GET /executions` lists the requests run so far.
  */
 export class PlainStandIn extends StandIn {
   readonly executions: Execution[] = []
--- a/packages/trial/src/platform.ts
+++ b/packages/trial/src/platform.ts
@@ -1,23 +1,23 @@
 /**
- * The stand-in of the platform's object API and node list, as docs/operators/platform.md describes them. It owns the objects, and
- * fails as it is ordered to.
+ * Stand-in of the platform's object API and node list, as docs/operators/platform.md describes them. It owns the
+ * objects and the node list. Tests can make it fail.
  */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { type Node } from '@eiderwind/schema'
 import { MemoryStore } from '@eiderwind/store'
 import { StandIn, answerJson, bodyText } from './http.js'
 
-/** How the platform stand-in fails. */
+/** A fault that the platform stand-in simulates. */
 export interface PlatformFault {
-  /** Every call is answered with 503. */
+  /** Whether every call is answered with 503. */
   readonly down?: boolean
-  /** Every call waits for so many ms first. */
+  /** Delay before each call is handled, in ms. */
   readonly delay?: number
-  /** The next so many writes take effect, but their connection is cut instead of an answer. */
+  /** Number of coming writes that take effect, but whose connection is closed without an answer. */
   readonly loseAnswers?: number
 }
 
-/** The calls that the platform has had, by kind. */
+/** Number of calls received, by kind. */
 export interface PlatformCalls {
   reads: number
   writes: number
@@ -25,19 +25,20 @@
 }
 
 /**
- * A stand-in of the platform's object API and node list: versions, conditional updates, watches. Objects stand at
- * `/objects/<key>`, the node list at `/nodes`. `/control/nodes` and `/control/fault` take a new node list and a fault.
+ * A stand-in of the platform's object API and node list, with versions, conditional updates and watches. Objects are at
+ * `/objects/<key>`, the node list is at `/nodes`. `/control/nodes` sets the node list, and `/control/fault` sets a
+ * fault. Each control call is answered with the call counts.
  */
 export class PlatformStandIn extends StandIn {
   readonly store = new MemoryStore()
   readonly calls: PlatformCalls = { reads: 0, writes: 0, watches: 0 }
   #fault: PlatformFault = {}
-  #lost = 0
+  #answersToLose = 0
 
-  /** Sets how it fails from now on. */
-  fail (fault: PlatformFault): void {
+  /** Replaces the current fault. */
+  setFault (fault: PlatformFault): void {
     this.#fault = fault
-    this.#lost = fault.loseAnswers ?? 0
+    this.#answersToLose = fault.loseAnswers ?? 0
   }
 
   protected async serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -55,7 +56,7 @@
   async #control (url: URL, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const text = await bodyText(request)
     if (url.pathname === '/control/nodes' && request.method === 'PUT') this.store.setNodes(JSON.parse(text) as Node[])
-    if (url.pathname === '/control/fault') this.fail(JSON.parse(text) as PlatformFault)
+    if (url.pathname === '/control/fault') this.setFault(JSON.parse(text) as PlatformFault)
     answerJson(response, 200, this.calls)
   }
 
@@ -88,8 +89,8 @@
     const match = request.headers['if-match']
     const version = match === undefined ? 0 : Number(match.replaceAll('"', ''))
     const written = await this.store.write(key, value, version)
-    if (this.#lost > 0) {
-      this.#lost--
+    if (this.#answersToLose > 0) {
+      this.#answersToLose--
       response.destroy()
       return
     }
--- a/packages/trial/test/callers.test.ts
+++ b/packages/trial/test/callers.test.ts
@@ -1,4 +1,4 @@
-/** What callers get from the real daemons when something is wrong with a request, or when they go away. */
+/** Real daemons answer faulty requests with typed errors, and cancel the work of callers that disconnect. */
 import { connect } from 'node:net'
 import test from 'ava'
 import { Fleet, modelName, plainName, trialKey, type EngineRecord } from '../src/index.js'
@@ -38,14 +38,14 @@
   { title: 'malformed JSON', path: '/v1/chat/completions', init: { method: 'POST', headers: authorized, body: '{' }, status: 400, code: 'bad-request' },
   { title: 'no messages', path: '/v1/chat/completions', init: { method: 'POST', headers: authorized, body: JSON.stringify({ model: modelName }) }, status: 400, code: 'bad-request' },
   { title: 'a body over the limit', path: '/v1/chat/completions', init: { method: 'POST', headers: authorized, body: 'x'.repeat(4 * 2 ** 20 + 1) }, status: 413, code: 'too-large' },
-  { title: 'a bad deadline', path: `/services/${plainName}/x`, init: { headers: { ...authorized, 'eiderwind-deadline-ms': 'soon' } }, status: 400, code: 'bad-request' },
-  { title: 'a bad mark', path: `/services/${plainName}/x`, init: { headers: { ...authorized, 'eiderwind-repeatable': 'maybe' } }, status: 400, code: 'bad-request' },
-  { title: 'a key that is no UUID of version 7', path: `/services/${plainName}/x`, init: { method: 'POST', headers: { ...authorized, 'idempotency-key': 'abc' } }, status: 400, code: 'key-invalid' },
-  { title: 'a resume without the text', path: '/v1/chat/completions', init: { method: 'POST', headers: { ...authorized, 'last-event-id': '3' }, body: JSON.stringify({ model: modelName, messages, stream: true }) }, status: 400, code: 'bad-request' }
+  { title: 'a deadline that is not a number', path: `/services/${plainName}/x`, init: { headers: { ...authorized, 'eiderwind-deadline-ms': 'soon' } }, status: 400, code: 'bad-request' },
+  { title: 'an unknown value of eiderwind-repeatable', path: `/services/${plainName}/x`, init: { headers: { ...authorized, 'eiderwind-repeatable': 'maybe' } }, status: 400, code: 'bad-request' },
+  { title: 'a key that is not a UUID of version 7', path: `/services/${plainName}/x`, init: { method: 'POST', headers: { ...authorized, 'idempotency-key': 'abc' } }, status: 400, code: 'key-invalid' },
+  { title: 'a last event id but no text to resume from', path: '/v1/chat/completions', init: { method: 'POST', headers: { ...authorized, 'last-event-id': '3' }, body: JSON.stringify({ model: modelName, messages, stream: true }) }, status: 400, code: 'bad-request' }
 ]
 
 for (const { title, path, init, status, code } of cases) {
-  test(`a request with ${title} gets a typed error that says it was not run`, async t => {
+  test(`a request with ${title} gets a typed error with the outcome "not-run"`, async t => {
     const response = await fetch(`http://${fleet.entries[0].callers}${path}`, init)
     const answer = await response.json() as FaultAnswer
     t.is(response.status, status)
@@ -56,7 +56,7 @@
   })
 }
 
-test('a body over the limit that declares no length is refused without being read whole', async t => {
+test('a body over the limit without a declared length is refused before all of it is read', async t => {
   const [host, port] = fleet.entries[0].callers.split(':')
   const socket = connect(Number(port), host)
   socket.on('error', () => {})
@@ -70,15 +70,15 @@
   t.regex(answer, /^HTTP\/1\.1 413/)
 })
 
-test('the list of models names the services', async t => {
+test('the list of models contains the model service', async t => {
   const response = await fetch(`http://${fleet.entries[0].callers}/v1/models`, { headers: authorized })
   const list = await response.json() as { data: { id: string }[] }
   t.deepEqual(list.data.map(each => each.id), [modelName])
 })
 
-test('when a caller goes away in the middle of a stream, the engine cancels its work', async t => {
+test('when a caller disconnects in the middle of a stream, the engine cancels the request', async t => {
   const abort = new AbortController()
-  const before = await record()
+  const before = await readRecord()
   const response = await fetch(`http://${fleet.entries[0].callers}/v1/chat/completions`, {
     method: 'POST',
     headers: authorized,
@@ -87,13 +87,13 @@
   })
   await response.body?.getReader().read()
   abort.abort()
-  let after = await record()
-  for (let tries = 0; after.cancelled === before.cancelled && tries < 100; tries++) after = await record()
+  let after = await readRecord()
+  for (let tries = 0; after.cancelled === before.cancelled && tries < 100; tries++) after = await readRecord()
   t.is(after.cancelled, before.cancelled + 1)
   t.is(after.finished, before.finished)
 })
 
-test('a deadline ends a request at once, and says that it may have run', async t => {
+test('a request past its deadline gets 504 with the outcome "unknown"', async t => {
   const response = await fetch(`http://${fleet.entries[0].callers}/services/${plainName}/slow?delay=5000`, {
     method: 'POST',
     headers: { ...authorized, 'eiderwind-deadline-ms': '300' }
@@ -104,7 +104,7 @@
   t.is(answer.error.outcome, 'unknown')
 })
 
-test('a plain service is reached with any method, its own path, query and status', async t => {
+test('a request to a plain service arrives with its method, path and query', async t => {
   for (const method of ['GET', 'PUT', 'DELETE', 'PATCH']) {
     const response = await fetch(`http://${fleet.entries[0].callers}/services/${plainName}/cards/7?delay=1`, { method, headers: authorized })
     const answer = await response.json() as { method: string, path: string }
@@ -112,7 +112,7 @@
   }
 })
 
-async function record (): Promise<EngineRecord> {
+async function readRecord (): Promise<EngineRecord> {
   const response = await fetch(`${fleet.worker('engine-1').upstreamUrl}/record`)
   return await response.json() as EngineRecord
 }
--- a/packages/trial/test/operators.test.ts
+++ b/packages/trial/test/operators.test.ts
@@ -1,4 +1,4 @@
-/** The operators' side of the real daemons, through the command line and through the RPC by other clients. */
+/** The operators' interface of real daemons, through the command line and through RPC clients of other kinds. */
 import { mkdtempSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -25,17 +25,17 @@
   await fleet.stop()
 })
 
-interface Ran {
+interface CommandResult {
   readonly status: number
   readonly out: string[]
   readonly error: string[]
 }
 
-async function run (words: string, token = tokenFile): Promise<Ran> {
+async function run (commandLine: string, token = tokenFile): Promise<CommandResult> {
   const out: string[] = []
   const error: string[] = []
   const common = ['--server', `http://${fleet.entries[0].operators}`, '--token-file', token]
-  const status = await main(['node', 'eiderwindctl', ...words.split(' '), ...common], { out: line => out.push(line), error: line => error.push(line) })
+  const status = await main(['node', 'eiderwindctl', ...commandLine.split(' '), ...common], { out: line => out.push(line), error: line => error.push(line) })
   return { status, out, error }
 }
 
@@ -44,7 +44,7 @@
   return Number((JSON.parse(out[0]) as { revision: string }).revision)
 }
 
-test.serial('every change of the command line is accepted, seen and in the audit trail', async t => {
+test.serial('every change made on the command line is accepted, shown in the configuration and listed in the audit trail', async t => {
   const changes = [
     'service model almanac --replicas 0 --members 4 --engine v3 --adapters coffee,maize --unchecked',
     'service plain deeds --once POST:/deeds',
@@ -69,14 +69,14 @@
   t.regex(audit.out[0], /^\d{4}-\S+ trial: put service almanac \(revision \d+ to \d+, operation \S+\)$/)
 })
 
-test.serial('a change on a stale revision is refused with its own status and a remedy', async t => {
+test.serial('a change on a stale revision is refused with exit status 3 and a message that says what to do', async t => {
   const stale = await revision() - 1
   const { status, error } = await run(`leave node-y --revision ${stale}`)
   t.is(status, 3)
   t.regex(error[0], /^stale-revision: The change was made on revision \d+; the present one is \d+\. Read the configuration again/)
 })
 
-test.serial('the same operation id never makes a change twice', async t => {
+test.serial('a change repeated with the same operation id is made once', async t => {
   const before = await revision()
   const first = await run('leave node-z --operation once-1')
   const second = await run('leave node-z --operation once-1')
@@ -85,7 +85,7 @@
   t.is(first.out[0].split(';')[0], second.out[0].split(';')[0])
 })
 
-test.serial('bad words, bad changes, a bad token and an entry that is not there have statuses of their own', async t => {
+test.serial('faulty arguments, invalid changes, a wrong token and an unreachable entry have different exit statuses', async t => {
   t.is((await run('service plain deeds --once nonsense')).status, 2)
   t.is((await run('audit --after=-1')).status, 2)
   const bad = await run('service model Bad_Name --engine v1')
@@ -97,7 +97,7 @@
   t.is(await main(['node', 'eiderwindctl', 'status', '--server', 'http://127.0.0.1:1', '--token-file', tokenFile], { out: () => {}, error: () => {} }), 4)
 })
 
-test.serial('the status names every entry, replica and node', async t => {
+test.serial('the status lists entries, replicas and nodes', async t => {
   const { out } = await run('status')
   t.regex(out[0], /^revision \d+, platform answers$/)
   t.true(out.includes('entry entry-2 (dc-1): live'))
@@ -105,7 +105,7 @@
   t.true(out.some(line => line.startsWith('node plain-1 (fabric-plain): live, receipts, home of slots 0 1')))
 })
 
-test.serial('a gRPC client and a plain JSON client both reach the same calls on the same port', async t => {
+test.serial('a gRPC client and a JSON client make the same call on the same port', async t => {
   const grpc = createClient(Operators, createGrpcTransport({
     baseUrl: `http://${fleet.entries[1].operators}`,
     interceptors: [next => request => {
@@ -123,22 +123,22 @@
   t.is(byJson.revision, String(byGrpc.revision))
 })
 
-test.serial('a watch tells each later revision', async t => {
+test.serial('a watch yields the present revision and then the next one', async t => {
   const abort = new AbortController()
-  const seen: bigint[] = []
+  const revisions: bigint[] = []
   const watching = (async () => {
     for await (const { revision: each } of fleet.operators(fleet.entries[1]).watchConfiguration({}, { signal: abort.signal })) {
-      seen.push(each)
-      if (seen.length === 1) await run('leave node-w')
-      if (seen.length === 2) return
+      revisions.push(each)
+      if (revisions.length === 1) await run('leave node-w')
+      if (revisions.length === 2) return
     }
   })()
   await watching
   abort.abort()
-  t.is(seen[1], seen[0] + 1n)
+  t.is(revisions[1], revisions[0] + 1n)
 })
 
-test.serial('no key or token stands in any log', async t => {
+test.serial('no log of an entry contains a key or token', async t => {
   const lines = fleet.entries.flatMap(each => each.child.lines).map(each => JSON.stringify(each)).join('\n')
   t.true(lines.includes('"event":203'))
   for (const secret of [trialToken, 'trial-key', 'a-secret-key']) t.false(lines.includes(secret))
--- a/packages/trial/test/path.test.ts
+++ b/packages/trial/test/path.test.ts
@@ -1,4 +1,7 @@
-/** The whole path with the real daemons: caller, entry, worker, engine or plain service, platform, each a process. */
+/**
+ * Requests over the complete path: caller, entry, worker, then engine or plain service. Daemons and stand-ins are
+ * processes.
+ */
 import test from 'ava'
 import { Fleet, answerWords, modelName, plainName, trialKey } from '../src/index.js'
 
@@ -8,7 +11,7 @@
 test.before(async () => {
   fleet = new Fleet()
   await fleet.start()
-  await fleet.opened()
+  await fleet.waitUntilKeysAccepted()
 })
 
 test.after.always(async () => {
@@ -23,7 +26,7 @@
   })
 }
 
-test('a streamed completion is whole, in order, and ends with its end mark', async t => {
+test('a streamed completion is complete and in order, and ends with [DONE]', async t => {
   const response = await complete(true)
   const text = await response.text()
   t.is(response.headers.get('content-type'), 'text/event-stream')
@@ -33,27 +36,27 @@
   t.true(text.endsWith('data: [DONE]\n\n'))
 })
 
-test('a completion that is not streamed comes whole', async t => {
+test('a completion that is not streamed is complete', async t => {
   const response = await complete(false)
   const answer = await response.json() as { choices: { message: { content: string } }[] }
   t.is(answer.choices[0].message.content, answerWords(prompt, 24).join(''))
 })
 
-test('a request that may not be repeated runs once, and its key gives the same answer through the other entry', async t => {
+test('a request sent with one key through two entries at once runs once, and both get the same answer', async t => {
   const key = '0190b0a0-0000-7000-8000-000000000001'.replace('0190b0a0-0000', hexNow())
-  const ask = (entry: number): Promise<Response> => fetch(`http://${fleet.entries[entry].callers}/services/${plainName}/topups`, {
+  const postTopUp = (entry: number): Promise<Response> => fetch(`http://${fleet.entries[entry].callers}/services/${plainName}/topups`, {
     method: 'POST',
     headers: { authorization: `Bearer ${trialKey}`, 'idempotency-key': key },
     body: '{"amount":200}'
   })
-  const [first, second] = await Promise.all([ask(0), ask(1)])
+  const [first, second] = await Promise.all([postTopUp(0), postTopUp(1)])
   t.is(first.status, 200)
   t.is(second.status, 200)
   t.is(await first.text(), await second.text())
-  t.is(await executions('{"amount":200}'), 1)
+  t.is(await executionCount('{"amount":200}'), 1)
 })
 
-async function executions (body: string): Promise<number> {
+async function executionCount (body: string): Promise<number> {
   const lists = await Promise.all(fleet.workers.filter(each => each.service !== undefined).map(async worker => {
     const response = await fetch(`${worker.upstreamUrl}/executions`)
     return await response.json() as { body: string }[]
@@ -61,6 +64,7 @@
   return lists.flat().filter(each => each.body === body).length
 }
 
+/** The present time as the first 48 bits of a UUID of version 7. */
 function hexNow (): string {
   const hex = Date.now().toString(16).padStart(12, '0')
   return `${hex.slice(0, 8)}-${hex.slice(8)}`
