--- a/packages/bench/src/control.ts
+++ b/packages/bench/src/control.ts
@@ -7,7 +7,7 @@
 import { Fleet, Forwarder } from '@eiderwind/trial'
 import { ManualClock } from '@eiderwind/clock'
 import { Reports, columns, type Beats } from '@eiderwind/spread'
-import { Clients, type Exchange } from '@eiderwind/wire'
+import { Clients, type ExchangeMessage } from '@eiderwind/wire'
 import { type Figures, ofRuns } from './figures.js'
 import { fit, slopeFigure, type Point } from './fit.js'
 import { atRate, pause, processorTime, residentMemory } from './usage.js'
@@ -82,7 +82,7 @@
   const fullReports = Array.from({ length: 300 }, (_each, index) => ({ report: report(index, sequence), age: 10 }))
   const { revision, known } = await clients.entry(peers).exchange({ from, revision: 0, known: 0, reports: fullReports, beats: columns([]) })
   for (const count of [1, 20, 100, 300]) {
-    const message = (): Exchange => ({ from, revision, known, reports: [], beats: beats(count, ++sequence) })
+    const message = (): ExchangeMessage => ({ from, revision, known, reports: [], beats: beats(count, ++sequence) })
     const cpu = processorTime(child.pid)
     const done = await atRate(20, spanMs, () => clients.entry(peers).exchange(message()))
     points.push({ size: count, value: (processorTime(child.pid) - cpu) / done })
--- a/packages/entry/src/assignment.ts
+++ b/packages/entry/src/assignment.ts
@@ -2,14 +2,14 @@
  * Derives the assignment of a worker from the configuration, the placements and the lists of voters. Pure functions. An
  * entry sends the assignment to the worker in its answer to a report.
  */
-import { type Assignment, type Configuration, type Homes, type Node, type Peer, type Placement, type PlainService } from '@eiderwind/schema'
+import { type Assignment, type Configuration, type VoterList, type Node, type Peer, type Placement, type PlainService } from '@eiderwind/schema'
 
 /** Inputs of an assignment. */
 export interface AssignmentFacts {
   readonly configuration: Configuration
   readonly nodes: readonly Node[]
   readonly placements: ReadonlyMap<string, Placement>
-  readonly homes: ReadonlyMap<string, Homes>
+  readonly homes: ReadonlyMap<string, VoterList>
 }
 
 /** The assignment of the worker of node `id`, or undefined if this entry does not know enough to give one. */
--- a/packages/entry/src/calls.ts
+++ b/packages/entry/src/calls.ts
@@ -5,7 +5,7 @@
 import { type Current } from '@eiderwind/config'
 import { type Configuration, type Peer, type Report, type ReportAnswer } from '@eiderwind/schema'
 import { beatsOf, reportTargets, type Reports } from '@eiderwind/spread'
-import { EntryCalls, type Exchange, type ExchangeAnswer, type Known } from '@eiderwind/wire'
+import { EntryCalls, type ExchangeMessage, type ExchangeAnswer, type KnownState } from '@eiderwind/wire'
 import { assignment } from './assignment.js'
 import { knownDigest, updateSender, type EntryBoard } from './facts.js'
 import { type Peers } from './peers.js'
@@ -48,7 +48,7 @@
     }
   }
 
-  async exchange ({ from, revision, known, reports, beats }: Exchange): Promise<ExchangeAnswer> {
+  async exchange ({ from, revision, known, reports, beats }: ExchangeMessage): Promise<ExchangeAnswer> {
     const { board, current, peers, fetchMissing } = this.#options
     updateSender(board, from)
     peers.recordContact(from.id)
@@ -69,7 +69,7 @@
     return this.#options.heads(service)
   }
 
-  async known (): Promise<Known> {
+  async known (): Promise<KnownState> {
     const { board } = this.#options
     const nodes = board.read('nodes')
     return {
--- a/packages/entry/src/facts.ts
+++ b/packages/entry/src/facts.ts
@@ -4,7 +4,7 @@
  */
 import { Board } from '@eiderwind/board'
 import { digest } from '@eiderwind/hash'
-import { type EntryAddress, type Homes, type Node, type Placement } from '@eiderwind/schema'
+import { type EntryAddress, type VoterList, type Node, type Placement } from '@eiderwind/schema'
 
 /** The node list as an entry read it from the platform. */
 export interface NodeList {
@@ -26,7 +26,7 @@
   /** Placements by domain. */
   readonly placements: ReadonlyMap<string, Placement>
   /** Lists of voters by service. */
-  readonly homes: ReadonlyMap<string, Homes>
+  readonly homes: ReadonlyMap<string, VoterList>
   /** Whether the platform answered the latest call. */
   readonly platformAnswers: boolean
   /** Whether a later configuration, which this entry could not fetch, is in force elsewhere. */
@@ -67,9 +67,9 @@
 }
 
 /** Stores a list of voters if it is newer than the known one. */
-export function mergeVoters (board: EntryBoard, homes: Homes): void {
+export function mergeVoters (board: EntryBoard, list: VoterList): void {
   const known = board.read('homes')
-  if (isNewer(homes, known.get(homes.service))) board.write('homes', new Map(known).set(homes.service, homes))
+  if (isNewer(list, known.get(list.service))) board.write('homes', new Map(known).set(list.service, list))
 }
 
 /** Stores a node list if it was read later than the known one. */
--- a/packages/entry/src/modelpath.ts
+++ b/packages/entry/src/modelpath.ts
@@ -5,7 +5,7 @@
 import { Fault } from '@eiderwind/fault'
 import { ranked } from '@eiderwind/hash'
 import { prefixes } from '@eiderwind/route'
-import { answerFault, endToEnd, type Collected } from '@eiderwind/wire'
+import { answerFault, endToEndHeaders, type Collected } from '@eiderwind/wire'
 import { collectAttempt } from './attempting.js'
 import { promptText, type Completion } from './completion.js'
 import { type Context } from './context.js'
@@ -98,6 +98,6 @@
 /** Answers the caller with an upstream's complete answer. */
 export function sendAnswer ({ response }: Exchange, { status, headers, body }: Collected): void {
   if (response.destroyed) return
-  response.writeHead(status, { ...endToEnd(headers), 'content-length': body.length })
+  response.writeHead(status, { ...endToEndHeaders(headers), 'content-length': body.length })
   response.end(body)
 }
--- a/packages/entry/src/outcome.ts
+++ b/packages/entry/src/outcome.ts
@@ -28,7 +28,7 @@
 /** The fault in a worker's answer, or undefined if the answer comes from the upstream. */
 export function workerFault (status: number, headers: AnswerHeaders, body: Buffer): Fault | undefined {
   if (status < 400 || headers[wireHeaders.attempt] !== undefined) return undefined
-  const fault = Fault.read(body.toString())
+  const fault = Fault.parse(body.toString())
   if (fault === undefined) return new Fault('lost', { detail: `The worker answered with status ${status}.` })
   const retryAfter = Number(headers['retry-after'])
   return Number.isFinite(retryAfter) ? new Fault(fault.code, { retryAfter, outcome: fault.outcome }) : fault
@@ -53,5 +53,5 @@
  */
 export function accountForEarlierTries (fault: Fault, key: string | undefined): Fault {
   if (key === undefined || fault.outcome !== 'not-run' || fault.code === 'key-invalid') return fault
-  return fault.doubted('An earlier try with this key may have run. Use the same key for the next try.')
+  return fault.withUnknownOutcome('An earlier try with this key may have run. Use the same key for the next try.')
 }
--- a/packages/entry/src/registrar.ts
+++ b/packages/entry/src/registrar.ts
@@ -3,7 +3,7 @@
  * updates since the last full read. Between full reads, changes arrive from other entries.
  */
 import { Controller } from '@eiderwind/board'
-import { EntryList, Homes, Placement, type EntryAddress } from '@eiderwind/schema'
+import { EntryList, VoterList, Placement, type EntryAddress } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { watchers } from '@eiderwind/spread'
 import { mergeVoters, mergeListedEntries, mergePlacement, type EntryBoard } from './facts.js'
@@ -68,6 +68,6 @@
     this.#board.write('platformAnswers', entries.isOk())
     for (const { value } of entries.unwrapOr([])) mergeListedEntries(this.#board, EntryList.parse(value).entries)
     for (const { value } of placements.unwrapOr([])) mergePlacement(this.#board, Placement.parse(value))
-    for (const { value } of homes.unwrapOr([])) mergeVoters(this.#board, Homes.parse(value))
+    for (const { value } of homes.unwrapOr([])) mergeVoters(this.#board, VoterList.parse(value))
   }
 }
--- a/packages/entry/src/stream.ts
+++ b/packages/entry/src/stream.ts
@@ -3,7 +3,7 @@
  * has received (`transcript.ts`). A stream is complete only with its end mark.
  */
 import { Fault } from '@eiderwind/fault'
-import { answerFault, callerHeaders, endToEnd, send, wireHeaders, type AnswerHeaders } from '@eiderwind/wire'
+import { answerFault, callerHeaders, endToEndHeaders, send, wireHeaders, type AnswerHeaders } from '@eiderwind/wire'
 import { attemptCall } from './attempting.js'
 import { type Completion } from './completion.js'
 import { type Context } from './context.js'
@@ -125,7 +125,7 @@
     if (this.#begun) return
     this.#begun = true
     metric.timing('request.first_byte_ms', clock.now() - this.#exchange.startedAt, { service: this.#exchange.service })
-    const { [wireHeaders.attempt]: _attempt, ...kept } = endToEnd(headers)
+    const { [wireHeaders.attempt]: _attempt, ...kept } = endToEndHeaders(headers)
     this.#exchange.response.writeHead(200, kept)
     this.#exchange.response.flushHeaders()
   }
@@ -140,7 +140,7 @@
   #forwardAnswer (status: number, headers: AnswerHeaders, body: Buffer): PartEnd {
     const { response } = this.#exchange
     if (this.#begun) return { type: 'failed', failure: failure(new Fault('interrupted')) }
-    const { [wireHeaders.attempt]: _attempt, ...kept } = endToEnd(headers)
+    const { [wireHeaders.attempt]: _attempt, ...kept } = endToEndHeaders(headers)
     response.writeHead(status, { ...kept, 'content-length': body.length })
     response.end(body)
     return { type: 'done' }
--- a/packages/entry/src/voting.ts
+++ b/packages/entry/src/voting.ts
@@ -6,7 +6,7 @@
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
 import { type Current } from '@eiderwind/config'
-import { Homes, type EntryAddress } from '@eiderwind/schema'
+import { VoterList, type EntryAddress } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { actor, type Reports } from '@eiderwind/spread'
 import { mergeVoters, type EntryBoard } from './facts.js'
@@ -61,16 +61,16 @@
     const written = await store.write(`homes/${service}`, next, next.revision - 1)
     if (written.isOk()) return mergeVoters(board, next)
     const found = await store.read(`homes/${service}`)
-    if (found.isOk() && found.value.version > 0) mergeVoters(board, Homes.parse(found.value.value))
+    if (found.isOk() && found.value.version > 0) mergeVoters(board, VoterList.parse(found.value.value))
   }
 
-  #firstList (service: string): Homes | undefined {
+  #firstList (service: string): VoterList | undefined {
     const voters = this.#liveWorkers(service)
     return voters.length === 0 ? undefined : { service, revision: 1, voters }
   }
 
   /** The next list, if a voter must be added or removed and the current list has settled. */
-  #nextList (known: Homes): Homes | undefined {
+  #nextList (known: VoterList): VoterList | undefined {
     const { service, revision, voters } = known
     const candidates = this.#liveWorkers(service)
     const added = candidates.find(id => !voters.includes(id) && this.#silence(id) < removeAfter)
@@ -82,7 +82,7 @@
   }
 
   /** Whether a majority of the voters has reported this list's revision for `settleTime`. */
-  #isSettled ({ service, revision, voters }: Homes): boolean {
+  #isSettled ({ service, revision, voters }: VoterList): boolean {
     const { reports, clock } = this.#options
     const listKey = `${service}@${revision}`
     const adopted = voters.filter(id => reports.of(id)?.report.votersRevision === revision)
--- a/packages/entry/test/addresses.test.ts
+++ b/packages/entry/test/addresses.test.ts
@@ -7,7 +7,7 @@
 import { Current } from '@eiderwind/config'
 import { type EntryAddress } from '@eiderwind/schema'
 import { Reports } from '@eiderwind/spread'
-import { type Clients, type EntryCalls, type Exchange } from '@eiderwind/wire'
+import { type Clients, type EntryCalls, type ExchangeMessage } from '@eiderwind/wire'
 import { Calls } from '../src/calls.js'
 import { entryBoard, mergeEntries, mergeListedEntries, type EntryBoard } from '../src/facts.js'
 import { Peers } from '../src/peers.js'
@@ -104,7 +104,7 @@
     const entry = new Network().add(secondAddress)
     mergeEntries(entry.board, [oldAddress])
     const none = { workers: [], stamps: [], sequences: [], running: [], queued: [], ages: [] }
-    const message: Exchange = { from: self, revision: 0, known: 0, reports: [], beats: none }
+    const message: ExchangeMessage = { from: self, revision: 0, known: 0, reports: [], beats: none }
     await entry.calls.exchange(message)
     t.is(entry.peer('e1'), newAddress.peer)
   }
--- a/packages/fault/src/fault.ts
+++ b/packages/fault/src/fault.ts
@@ -48,7 +48,7 @@
   }
 
   /** A copy of the fault with the outcome `unknown` and with `reason` appended to its detail. */
-  doubted (reason: string): Fault {
+  withUnknownOutcome (reason: string): Fault {
     const detail = this.#detail === undefined ? reason : `${this.#detail} ${reason}`
     return new Fault(this.code, { detail, remedy: this.#remedy, outcome: 'unknown', retryAfter: this.retryAfter })
   }
@@ -59,7 +59,7 @@
   }
 
   /** Parses the fault in a body that another process of the system sent. Undefined if the body contains no fault. */
-  static read (text: string): Fault | undefined {
+  static parse (text: string): Fault | undefined {
     try {
       const error = (JSON.parse(text) as { error?: Partial<FaultBody> }).error
       if (error?.code === undefined || !(error.code in kinds)) return undefined
--- a/packages/fault/test/fault.test.ts
+++ b/packages/fault/test/fault.test.ts
@@ -9,7 +9,7 @@
 })
 
 test('a fault whose outcome becomes unknown keeps its remedy and its Retry-After', t => {
-  const { message, outcome, retryAfter } = new Fault('busy', { detail: 'Full.', remedy: 'Wait.', retryAfter: 3 }).doubted('It may have run.')
+  const { message, outcome, retryAfter } = new Fault('busy', { detail: 'Full.', remedy: 'Wait.', retryAfter: 3 }).withUnknownOutcome('It may have run.')
   t.is(message, 'Full. It may have run. Wait.')
   t.is(outcome, 'unknown')
   t.is(retryAfter, 3)
--- a/packages/forward/src/answers.ts
+++ b/packages/forward/src/answers.ts
@@ -5,7 +5,7 @@
  */
 import { type ServerResponse } from 'node:http'
 import { type Answered } from '@eiderwind/dispatch'
-import { endToEnd, type AnswerHeaders } from '@eiderwind/wire'
+import { endToEndHeaders, type AnswerHeaders } from '@eiderwind/wire'
 import { type HeaderNames } from './names.js'
 import { type CallerRequest } from './request.js'
 
@@ -49,7 +49,7 @@
   if (!framed) endWithConnection(response)
   const length = framed ? { 'content-length': String(body.length) } : {}
   request.recordForwarded()
-  response.writeHead(status, { ...endToEnd(headers), ...length })
+  response.writeHead(status, { ...endToEndHeaders(headers), ...length })
   delivery.end(incoming.method === 'HEAD' ? undefined : body)
   request.finish(`answered ${status}`)
 }
--- a/packages/forward/src/streamattempt.ts
+++ b/packages/forward/src/streamattempt.ts
@@ -3,7 +3,7 @@
  * attempt has forwarded some of them. It owns the bytes of the incomplete event and relies on increasing event ids,
  * which the upstreams' protocol guarantees.
  */
-import { endToEnd, type AnswerHeaders } from '@eiderwind/wire'
+import { endToEndHeaders, type AnswerHeaders } from '@eiderwind/wire'
 import { endWithConnection, isFramed } from './answers.js'
 import { Attempt, maxCollectedBytes, type AttemptOptions } from './attempt.js'
 import { EventSplitter, type StreamEvent } from './events.js'
@@ -56,7 +56,7 @@
     this.#progress.framed = this.#framed
     const { response } = this.request
     if (!this.#framed) endWithConnection(response)
-    const { 'content-length': _length, ...forwardedHeaders } = endToEnd(headers)
+    const { 'content-length': _length, ...forwardedHeaders } = endToEndHeaders(headers)
     response.writeHead(status, forwardedHeaders)
     response.flushHeaders()
   }
--- a/packages/run/src/book.ts
+++ b/packages/run/src/book.ts
@@ -6,7 +6,7 @@
  * The home of a slot is the worker that holds the lease of the slot. A tenure is one uninterrupted period as its home.
  */
 import { Fault } from '@eiderwind/fault'
-import { type KeptAnswer, type KeptBook, type KeptRun } from '@eiderwind/schema'
+import { type EncodedAnswer, type BookSnapshot, type RunSnapshot } from '@eiderwind/schema'
 import { readKey, type Key } from './key.js'
 
 /** The answer that the first caller received. */
@@ -98,7 +98,7 @@
   }
 
   /** Returns a book that continues the book of the previous home. It can decide on the same keys as that book. */
-  static inherited (book: KeptBook, tenure: number, options: BookOptions = {}): Book {
+  static inherited (book: BookSnapshot, tenure: number, options: BookOptions = {}): Book {
     const inheritor = new Book(-Infinity, tenure, options)
     inheritor.#takeoverFloor = book.floor
     for (const kept of book.runs) inheritor.#restore(kept)
@@ -109,9 +109,9 @@
    * Returns a copy of the book for the next home. Requests that still run have the state `unknown` there. The newest
    * answers are included, up to `bytes` in total.
    */
-  snapshot (wall: number, bytes: number): KeptBook {
+  snapshot (wall: number, bytes: number): BookSnapshot {
     let bytesLeft = bytes
-    const runs = [...this.#records.values()].reverse().map(({ key, run }): KeptRun => {
+    const runs = [...this.#records.values()].reverse().map(({ key, run }): RunSnapshot => {
       if (run.state === 'running') return { key: key.text, request: run.request, state: 'unknown' }
       if (run.state !== 'answered') return { key: key.text, request: run.request, state: run.state }
       bytesLeft -= run.answer.body.length
@@ -185,7 +185,7 @@
     if (record !== undefined) record.run = { state: 'unknown', request: record.run.request }
   }
 
-  #restore ({ key: text, request, state, answer }: KeptRun): void {
+  #restore ({ key: text, request, state, answer }: RunSnapshot): void {
     const read = readKey(text)
     if (read.isErr()) return
     if (state !== 'answered' || answer === undefined) {
@@ -227,7 +227,7 @@
   }
 }
 
-function encodeAnswer ({ status, headers, body }: StoredAnswer): KeptAnswer {
+function encodeAnswer ({ status, headers, body }: StoredAnswer): EncodedAnswer {
   return { status, headers: { ...headers }, body: body.toString('base64') }
 }
 
--- a/packages/schema/src/handover.ts
+++ b/packages/schema/src/handover.ts
@@ -13,26 +13,26 @@
 export type Mark = z.infer<typeof Mark>
 
 /** The stored answer to the request with a key. The body is in Base64. */
-export const KeptAnswer = z.object({ status: z.int(), headers: z.record(z.string(), z.string()), body: z.string() })
-export type KeptAnswer = z.infer<typeof KeptAnswer>
+export const EncodedAnswer = z.object({ status: z.int(), headers: z.record(z.string(), z.string()), body: z.string() })
+export type EncodedAnswer = z.infer<typeof EncodedAnswer>
 
 /** A home's record of one key. */
-export const KeptRun = z.object({
+export const RunSnapshot = z.object({
   key: z.string(),
   /** Digest of the request. */
   request: z.int(),
   state: z.enum(['answered', 'ran', 'unknown']),
-  answer: KeptAnswer.optional()
+  answer: EncodedAnswer.optional()
 })
-export type KeptRun = z.infer<typeof KeptRun>
+export type RunSnapshot = z.infer<typeof RunSnapshot>
 
 /** All records of a home for the keys of its slot. */
-export const KeptBook = z.object({
+export const BookSnapshot = z.object({
   /** For keys created up to this time, the home cannot tell whether a request ran. In ms since the Unix epoch. */
   floor: z.number(),
-  runs: z.array(KeptRun)
+  runs: z.array(RunSnapshot)
 })
-export type KeptBook = z.infer<typeof KeptBook>
+export type BookSnapshot = z.infer<typeof BookSnapshot>
 
 /** The book of a slot, as a leaving home sends it to the next home. */
 export const Handover = z.object({
@@ -42,6 +42,6 @@
   voters: z.array(z.string()),
   /** The mark of the grant that each voter gave to the old home. */
   marks: z.array(z.object({ voter: z.string(), mark: Mark })),
-  book: KeptBook
+  book: BookSnapshot
 })
 export type Handover = z.infer<typeof Handover>
--- a/packages/schema/src/placement.ts
+++ b/packages/schema/src/placement.ts
@@ -47,12 +47,12 @@
  * The workers that vote on the homes of a plain service's idempotency keys: the object `homes/<service>`. See
  * `handover.ts` for homes.
  */
-export const Homes = z.object({
+export const VoterList = z.object({
   service: z.string(),
   revision: z.int(),
   voters: z.array(z.string())
 })
-export type Homes = z.infer<typeof Homes>
+export type VoterList = z.infer<typeof VoterList>
 
 /** The registration of an entry in the object `entries/<data centre>`. */
 export const EntryAddress = z.object({
--- a/packages/wire/src/ask.ts
+++ b/packages/wire/src/ask.ts
@@ -8,7 +8,7 @@
 import { type Connections } from './connections.js'
 
 /** The error of a call that received no complete answer. */
-export class Unanswered extends Error {
+export class CallError extends Error {
   /** Whether the request may have reached the other side. */
   readonly sent: boolean
   /** Whether the connection was refused: no process listens at the address any more. */
@@ -23,14 +23,14 @@
 }
 
 /**
- * Sends a call and resolves to the complete answer, whatever its status. Rejects with `Unanswered` if the call fails or
+ * Sends a call and resolves to the complete answer, whatever its status. Rejects with `CallError` if the call fails or
  * no complete answer arrives within `timeout` ms. The connection is then closed.
  */
 export function ask (connections: Connections, clock: Clock, call: Call, timeout: number): Promise<Collected> {
   return new Promise((resolve, reject) => {
     const failed = (error: Error, sent: boolean): void => {
       timer.cancel()
-      reject(new Unanswered(error, sent))
+      reject(new CallError(error, sent))
     }
     const collector = new Collector({
       whole: answer => {
--- a/packages/wire/src/calls.ts
+++ b/packages/wire/src/calls.ts
@@ -6,7 +6,7 @@
 import { initTRPC } from '@trpc/server'
 import { z } from 'zod'
 import { type Answer } from '@eiderwind/lease'
-import { Configuration, EntryAddress, Handover, Report, type Homes, type Node, type Peer, type Placement, type ReportAnswer } from '@eiderwind/schema'
+import { Configuration, EntryAddress, Handover, Report, type VoterList, type Node, type Peer, type Placement, type ReportAnswer } from '@eiderwind/schema'
 
 const Claim = z.object({
   resource: z.string(),
@@ -54,7 +54,7 @@
 export type SettleAnswer = 'tombstoned' | 'started' | 'stranger'
 
 /** The message that an entry sends to another entry at intervals. */
-export const Exchange = z.object({
+export const ExchangeMessage = z.object({
   from: EntryAddress,
   /** The configuration revision in force at the sender. */
   revision: z.int(),
@@ -65,7 +65,7 @@
   /** Only the counters of reports that the receiver already has, one array for each column. */
   beats: ReportCounters
 })
-export type Exchange = z.infer<typeof Exchange>
+export type ExchangeMessage = z.infer<typeof ExchangeMessage>
 
 /** The state of the receiver of an exchange, from which the sender sees what it should fetch itself. */
 export interface ExchangeAnswer {
@@ -76,9 +76,9 @@
 }
 
 /** An entry's copies of placements, homes, entries and nodes. */
-export interface Known {
+export interface KnownState {
   readonly placements: readonly Placement[]
-  readonly homes: readonly Homes[]
+  readonly homes: readonly VoterList[]
   readonly entries: readonly EntryAddress[]
   readonly nodes: readonly Node[]
   /** When the current node list was first seen, in ms of the wall clock. */
@@ -97,9 +97,9 @@
 /** The calls that an entry answers to workers and other entries. */
 export abstract class EntryCalls {
   abstract report (report: Report): Promise<ReportAnswer>
-  abstract exchange (message: Exchange): Promise<ExchangeAnswer>
+  abstract exchange (message: ExchangeMessage): Promise<ExchangeAnswer>
   abstract configuration (): Promise<Configuration>
-  abstract known (): Promise<Known>
+  abstract known (): Promise<KnownState>
   /** The heads of the serving replicas of a model service in the entry's region. Each `id` is the id of the replica. */
   abstract heads (message: { readonly service: string }): Promise<Peer[]>
   /** Sends a configuration that has just been accepted. Resolves to the revision in force afterwards. */
@@ -124,7 +124,7 @@
 export function entryRouter (calls: EntryCalls) {
   return trpc.router({
     report: trpc.procedure.input(Report).mutation(({ input }) => calls.report(input)),
-    exchange: trpc.procedure.input(Exchange).mutation(({ input }) => calls.exchange(input)),
+    exchange: trpc.procedure.input(ExchangeMessage).mutation(({ input }) => calls.exchange(input)),
     configuration: trpc.procedure.query(() => calls.configuration()),
     heads: trpc.procedure.input(HeadsInput).mutation(({ input }) => calls.heads(input)),
     known: trpc.procedure.query(() => calls.known()),
--- a/packages/wire/src/client.ts
+++ b/packages/wire/src/client.ts
@@ -4,7 +4,7 @@
  */
 import { Agent, request, type Dispatcher } from 'undici'
 import { type Configuration, type Handover, type Peer, type Report, type ReportAnswer } from '@eiderwind/schema'
-import { EntryCalls, WorkerCalls, type ClaimAnswer, type ClaimMessage, type Exchange, type ExchangeAnswer, type Known, type SettleAnswer, type SettleMessage } from './calls.js'
+import { EntryCalls, WorkerCalls, type ClaimAnswer, type ClaimMessage, type ExchangeMessage, type ExchangeAnswer, type KnownState, type SettleAnswer, type SettleMessage } from './calls.js'
 import { callsPath } from './headers.js'
 import { callStatuses } from './serve.js'
 
@@ -114,7 +114,7 @@
     return this.#caller.call('report', report)
   }
 
-  exchange (message: Exchange): Promise<ExchangeAnswer> {
+  exchange (message: ExchangeMessage): Promise<ExchangeAnswer> {
     return this.#caller.call('exchange', message)
   }
 
@@ -122,7 +122,7 @@
     return this.#caller.call('configuration')
   }
 
-  known (): Promise<Known> {
+  known (): Promise<KnownState> {
     return this.#caller.call('known')
   }
 
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,17 +1,17 @@
 /** HTTP between processes: connections, calls, receivers of answers, servers, and the calls of `entry` and `worker`. */
 export { callerHeaders, callsPath, header, hopHeaders, sessionsPath, wireHeaders } from './headers.js'
 export {
-  EntryCalls, Exchange, WorkerCalls, entryRouter, workerRouter,
-  type ClaimAnswer, type ClaimMessage, type EntryRouter, type ExchangeAnswer, type Known, type SettleAnswer, type SettleMessage, type WorkerRouter
+  EntryCalls, ExchangeMessage, WorkerCalls, entryRouter, workerRouter,
+  type ClaimAnswer, type ClaimMessage, type EntryRouter, type ExchangeAnswer, type KnownState, type SettleAnswer, type SettleMessage, type WorkerRouter
 } from './calls.js'
 export { Clients } from './client.js'
 export { answerFault, refuse } from './answer.js'
 export { listen, makeServer, serve, splitAddress, type Handler, type ServeOptions } from './serve.js'
 export { readBody } from './body.js'
 export { Receiver, send, type AnswerHeaders, type CallFailure, type Call, type Cancel, type Flow } from './call.js'
-export { Relay, endToEnd, type RelayOptions } from './relay.js'
+export { Relay, endToEndHeaders, type RelayOptions } from './relay.js'
 export { Collector, type Collected, type CollectorOptions } from './collector.js'
 export { Connections, type ConnectionsOptions } from './connections.js'
 export { parseJson } from './json.js'
 export { listensAt } from './listens.js'
-export { Unanswered, ask } from './ask.js'
+export { CallError, ask } from './ask.js'
--- a/packages/wire/src/relay.ts
+++ b/packages/wire/src/relay.ts
@@ -35,7 +35,7 @@
     if (!this.#checkGuard()) return
     this.#begun = true
     const { response, headers: more } = this.#options
-    response.writeHead(status, { ...endToEnd(headers), ...more })
+    response.writeHead(status, { ...endToEndHeaders(headers), ...more })
     response.flushHeaders()
   }
 
@@ -76,7 +76,7 @@
 }
 
 /** The headers of an answer, without the headers that belong to one connection (RFC 9110, section 7.6.1). */
-export function endToEnd (headers: AnswerHeaders): Record<string, string | string[]> {
+export function endToEndHeaders (headers: AnswerHeaders): Record<string, string | string[]> {
   const forwarded: Record<string, string | string[]> = {}
   for (const [name, value] of Object.entries(headers)) {
     if (value !== undefined && !hopHeaders.has(name)) forwarded[name] = value
--- a/packages/worker/src/plain.ts
+++ b/packages/worker/src/plain.ts
@@ -7,7 +7,7 @@
 import { Fault } from '@eiderwind/fault'
 import { type Queue, type Ticket } from '@eiderwind/admit'
 import { readKey, type Attempts, type Book, type Key, type StoredAnswer } from '@eiderwind/run'
-import { Collector, Relay, answerFault, endToEnd, send, wireHeaders, type Call, type Collected } from '@eiderwind/wire'
+import { Collector, Relay, answerFault, endToEndHeaders, send, wireHeaders, type Call, type Collected } from '@eiderwind/wire'
 import { type WorkerBoard } from './facts.js'
 import { upstreamHeaders, type InboundRequest } from './inbound.js'
 import { callFault } from './model.js'
@@ -127,7 +127,7 @@
 
 function storedAnswer ({ status, headers, body }: Collected): StoredAnswer {
   const joinedHeaders: Record<string, string> = {}
-  for (const [name, value] of Object.entries(endToEnd(headers))) joinedHeaders[name] = Array.isArray(value) ? value.join(', ') : value
+  for (const [name, value] of Object.entries(endToEndHeaders(headers))) joinedHeaders[name] = Array.isArray(value) ? value.join(', ') : value
   return { status, headers: joinedHeaders, body }
 }
 
