--- a/packages/bench/src/decisions.ts
+++ b/packages/bench/src/decisions.ts
@@ -1,16 +1,16 @@
 /** Measures the cost of decisions within one process: a plan, reading a configuration and choosing a replica. */
 import { seeded } from '@eiderwind/clock'
 import { apply } from '@eiderwind/config'
-import { Repairing, emptyPlacement, type Facts } from '@eiderwind/plan'
-import { Balanced, type Candidate } from '@eiderwind/route'
+import { RepairingPlanner, emptyPlacement, type Facts } from '@eiderwind/plan'
+import { BalancedPolicy, type Candidate } from '@eiderwind/route'
 import { Configuration, emptyConfiguration, type Node, type Placement } from '@eiderwind/schema'
 import { ofRuns, type Figures } from './figures.js'
 import { slopeFigure, type Point } from './fit.js'
 
 const runs = 9
 
-/** Options of the planner: `restart` in ms. */
-const options = { restart: 30_000 }
+/** Options of the planner: `restartTime` in ms. */
+const options = { restartTime: 30_000 }
 
 /** Measures each cost at several sizes. */
 export function measureDecisions (figures: Figures): void {
@@ -23,7 +23,7 @@
 function plannedFacts (count: number): Facts {
   const nodes = Array.from({ length: count }, (_each, index) => fact(index))
   const services = [{ kind: 'model' as const, name: 'support', replicas: Math.floor(count / 4) - 2, members: 4, version: 'v1', adapters: [], checksOrders: true, concurrency: 64, queue: 256 }]
-  const planner = new Repairing(options)
+  const planner = new RepairingPlanner(options)
   let placements: Placement[] = [...new Set(nodes.map(each => each.node.domain))].map(emptyPlacement)
   for (const { domain } of placements) {
     const { placement } = planner.plan(domain, { services, nodes, placements, serving: new Set() })
@@ -43,7 +43,7 @@
   const points: Point[] = []
   for (const count of [30, 300, 1300]) {
     const facts = plannedFacts(count)
-    const planner = new Repairing(options)
+    const planner = new RepairingPlanner(options)
     const spans = timesOf(() => planner.plan('fabric-0', facts))
     points.push(...spans.map(value => ({ size: count, value })))
     figures.add(ofRuns(`planner.decision_${count}`, 'ms', spans, `one plan of one domain with ${count} nodes known in all, one of them lost`))
@@ -69,7 +69,7 @@
 
 function measureChoice (figures: Figures): void {
   const random = seeded(1)
-  const policy = new Balanced({ random })
+  const policy = new BalancedPolicy({ random })
   const points: Point[] = []
   for (const count of [10, 100, 325]) {
     const candidates: Candidate[] = Array.from({ length: count }, (_each, index) => ({ id: `r${index}`, reported: Math.floor(random() * 64), concurrency: 64, open: 1, unseen: 0 }))
--- a/packages/config/src/current.ts
+++ b/packages/config/src/current.ts
@@ -8,7 +8,7 @@
 export type ConfigurationListener = (configuration: Configuration) => void
 
 /** The current configuration of one process. Its revision never decreases, in whichever order configurations arrive. */
-export class Current {
+export class CurrentConfiguration {
   #configuration = emptyConfiguration
   readonly #listeners = new Set<ConfigurationListener>()
 
--- a/packages/config/test/writer.test.ts
+++ b/packages/config/test/writer.test.ts
@@ -7,7 +7,7 @@
 import { type Configuration } from '@eiderwind/schema'
 import { MemoryStore } from '@eiderwind/store'
 import { FaultyStore, type CallOutcome } from '@eiderwind/store/testing'
-import { Current, Writer, configurationKey, type Change, type ChangeRequest } from '../src/index.js'
+import { CurrentConfiguration, Writer, configurationKey, type Change, type ChangeRequest } from '../src/index.js'
 
 const seed = 20261204
 
@@ -102,7 +102,7 @@
 })
 
 test('the revision of a process never decreases, in whichever order configurations arrive', t => {
-  const current = new Current()
+  const current = new CurrentConfiguration()
   const notified: number[] = []
   current.listen(({ revision }) => notified.push(revision))
   const configuration = (revision: number): Configuration => ({ ...current.configuration, revision })
--- a/packages/daemon/src/roles.ts
+++ b/packages/daemon/src/roles.ts
@@ -30,12 +30,12 @@
     region,
     ...listen,
     seeds: settings.entries.seeds,
-    first: firstOperator,
+    firstOperator,
     bodyLimit: limits.body,
     deadline: limits.deadline,
-    stop: limits.stop,
-    notice: limits.notice,
-    restart: planner.restart_time,
+    maxStopTime: limits.stop,
+    noticeTime: limits.notice,
+    restartTime: planner.restart_time,
     lostAfter: planner.lost_after
   })
   return {
@@ -65,8 +65,8 @@
     period: lease.period,
     interval: lease.interval,
     skew: lease.skew,
-    keep: limits.keep_keys,
-    stop: limits.stop
+    keyRetention: limits.keep_keys,
+    maxStopTime: limits.stop
   })
   return {
     log,
--- a/packages/entry/src/calls.ts
+++ b/packages/entry/src/calls.ts
@@ -2,7 +2,7 @@
  * Answers the calls of workers and other entries: reports of workers, exchanges between entries, and reads of the
  * configuration. Owns no state. It reads and writes the board.
  */
-import { type Current } from '@eiderwind/config'
+import { type CurrentConfiguration } from '@eiderwind/config'
 import { type Configuration, type Peer, type Report, type ReportAnswer } from '@eiderwind/schema'
 import { beatsOf, reportTargets, type Reports } from '@eiderwind/spread'
 import { EntryCalls, type ExchangeMessage, type ExchangeAnswer, type KnownState } from '@eiderwind/wire'
@@ -13,7 +13,7 @@
 /** Dependencies of the calls of an entry. */
 export interface CallsOptions {
   readonly board: EntryBoard
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly reports: Reports
   readonly peers: Peers
   /** Data centre of this entry. */
--- a/packages/entry/src/context.ts
+++ b/packages/entry/src/context.ts
@@ -4,9 +4,9 @@
  */
 import { type Dispatcher } from 'undici'
 import { type Clock } from '@eiderwind/clock'
-import { type Current } from '@eiderwind/config'
+import { type CurrentConfiguration } from '@eiderwind/config'
 import { type Log, type Metric } from '@eiderwind/log'
-import { type Affinity, type Balanced, type Budget } from '@eiderwind/route'
+import { type Affinity, type BalancedPolicy, type RetryBudget } from '@eiderwind/route'
 import { type Clients } from '@eiderwind/wire'
 import { type AttemptsInFlight } from './inflight.js'
 import { type Targets } from './targets.js'
@@ -14,12 +14,12 @@
 /** Dependencies of the request paths. */
 export interface Context {
   readonly clock: Clock
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly targets: Targets
   readonly inFlight: AttemptsInFlight
-  readonly policy: Balanced
+  readonly policy: BalancedPolicy
   readonly affinity: Affinity
-  readonly budget: Budget
+  readonly budget: RetryBudget
   readonly clients: Clients
   /** Connections to workers. */
   readonly dispatcher: Dispatcher
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -10,11 +10,11 @@
 import { v7 } from 'uuid'
 import { Scheduler } from '@eiderwind/board'
 import { seeded, type Clock } from '@eiderwind/clock'
-import { Current } from '@eiderwind/config'
+import { CurrentConfiguration } from '@eiderwind/config'
 import { digest } from '@eiderwind/hash'
 import { type Log, type Metric } from '@eiderwind/log'
-import { Repairing } from '@eiderwind/plan'
-import { Affinity, Balanced, Budget } from '@eiderwind/route'
+import { RepairingPlanner } from '@eiderwind/plan'
+import { Affinity, BalancedPolicy, RetryBudget } from '@eiderwind/route'
 import { type EntryAddress, type Operator, type Peer } from '@eiderwind/schema'
 import { Reports } from '@eiderwind/spread'
 import { type Store } from '@eiderwind/store'
@@ -65,17 +65,17 @@
   /** Peer addresses of entries to ask while no other entry is known. */
   readonly seeds: readonly string[]
   /** An operator who may call before the configuration names any. */
-  readonly first: Operator | undefined
+  readonly firstOperator: Operator | undefined
   /** Maximum size of a request body, in bytes. */
   readonly bodyLimit: number
   /** Deadline of a request that gives none, and upper bound of the others. */
   readonly deadline: number
   /** Maximum time that a planned stop waits for open requests. Closing the connections takes extra time. */
-  readonly stop: number
+  readonly maxStopTime: number
   /** Time for the balancer to notice that this entry leaves, before the entry stops listening. */
-  readonly notice: number
+  readonly noticeTime: number
   /** Usual time that a restarting node is away. */
-  readonly restart: number
+  readonly restartTime: number
   /** Silence after which a node counts as lost. */
   readonly lostAfter: number
 }
@@ -90,7 +90,7 @@
 /** The process that takes the requests of callers and the calls of operators. */
 export class Entry {
   readonly #options: EntryOptions
-  readonly #current = new Current()
+  readonly #current = new CurrentConfiguration()
   readonly #clients = new Clients()
   readonly #dispatcher = new Agent({ pipelining: 1, bodyTimeout: 0, headersTimeout: 0, keepAliveTimeout: 30_000, connect: { timeout: 2000 } })
   readonly #scheduler: Scheduler
@@ -136,10 +136,10 @@
 
   /** Refuses new requests, answers the open ones, and ends. Each refusal asks the caller to close its connection. */
   async stop (): Promise<void> {
-    const { clock, stop, notice } = this.#options
+    const { clock, maxStopTime, noticeTime } = this.#options
     this.#board?.write('stopping', true)
-    const answerBy = clock.now() + stop
-    await clock.wait(notice)
+    const answerBy = clock.now() + maxStopTime
+    await clock.wait(noticeTime)
     while (clock.now() < answerBy && (this.#callers?.openRequests ?? 0) > 0) await clock.wait(stopCheckInterval)
     for (const server of this.#servers) stopAccepting(server)
     const closeBy = clock.now() + maxCloseTime
@@ -162,7 +162,7 @@
   }
 
   #startControllers (board: EntryBoard, self: EntryAddress, peers: Peers): Spreader {
-    const { clock, log, store, seeds, restart, lostAfter, metric } = this.#options
+    const { clock, log, store, seeds, restartTime, lostAfter, metric } = this.#options
     const current = this.#current
     const reports = this.#reports
     const spreader = new Spreader({ board, clock, current, reports, peers, clients: this.#clients, self, seeds })
@@ -171,7 +171,7 @@
     this.#scheduler.add(new Fence({ board, clock, current, reports, log }))
     this.#scheduler.add(new NodeReader(board, store, clock, self))
     this.#scheduler.add(spreader)
-    this.#scheduler.add(new Planning({ board, clock, current, reports, store, planner: new Repairing({ restart }), self, log, lostAfter }))
+    this.#scheduler.add(new Planning({ board, clock, current, reports, store, planner: new RepairingPlanner({ restartTime }), self, log, lostAfter }))
     this.#scheduler.add(new Voting({ board, clock, current, reports, store, self }))
     board.listen('platformAnswers', up => log.write(up ? 'store-back' : 'store-lost'))
     board.listen('placements', () => this.#scheduler.wake('spreader'))
@@ -200,9 +200,9 @@
       current,
       targets,
       inFlight: this.#inFlight,
-      policy: new Balanced({ random: seeded(digest(self.id)) }),
+      policy: new BalancedPolicy({ random: seeded(digest(self.id)) }),
       affinity: new Affinity(),
-      budget: new Budget(clock),
+      budget: new RetryBudget(clock),
       clients: this.#clients,
       dispatcher: this.#dispatcher,
       log,
@@ -217,12 +217,12 @@
   }
 
   async #startOperators (board: EntryBoard, self: EntryAddress): Promise<string> {
-    const { clock, log, store, first, lostAfter, operators } = this.#options
+    const { clock, log, store, firstOperator, lostAfter, operators } = this.#options
     const current = this.#current
-    const calls = new OperatorCalls({ board, clock, current, reports: this.#reports, store, clients: this.#clients, log, self, firstOperator: first, lostAfter })
+    const calls = new OperatorCalls({ board, clock, current, reports: this.#reports, store, clients: this.#clients, log, self, firstOperator, lostAfter })
     const listener = new DualListener(connectNodeAdapter({
       routes: router => calls.register(router),
-      interceptors: [operatorCheck({ current, firstOperator: first })]
+      interceptors: [operatorCheck({ current, firstOperator })]
     }))
     this.#operators = listener
     const { host, port } = splitAddress(operators)
--- a/packages/entry/src/fence.ts
+++ b/packages/entry/src/fence.ts
@@ -4,7 +4,7 @@
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
-import { type Current } from '@eiderwind/config'
+import { type CurrentConfiguration } from '@eiderwind/config'
 import { type Log } from '@eiderwind/log'
 import { type Reports } from '@eiderwind/spread'
 import { type EntryBoard } from './facts.js'
@@ -19,7 +19,7 @@
 export interface FenceOptions {
   readonly board: EntryBoard
   readonly clock: Clock
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly reports: Reports
   readonly log: Log
 }
--- a/packages/entry/src/modelpath.ts
+++ b/packages/entry/src/modelpath.ts
@@ -4,7 +4,7 @@
  */
 import { Fault } from '@eiderwind/fault'
 import { ranked } from '@eiderwind/hash'
-import { prefixes } from '@eiderwind/route'
+import { prefixDigests } from '@eiderwind/route'
 import { answerFault, endToEndHeaders, type Collected } from '@eiderwind/wire'
 import { collectAttempt } from './attempting.js'
 import { promptText, type Completion } from './completion.js'
@@ -27,7 +27,7 @@
   constructor (context: Context, exchange: Exchange, completion: Completion) {
     this.#context = context
     this.#exchange = exchange
-    this.#blocks = prefixes(promptText(completion))
+    this.#blocks = prefixDigests(promptText(completion))
   }
 
   /** The next replica to try, or undefined if none is left. */
@@ -35,7 +35,7 @@
     const { targets, policy, affinity } = this.#context
     const untried = targets.heads(this.#exchange.service).filter(({ candidate }) => !this.#tried.has(candidate.id))
     if (untried.length === 0) return undefined
-    const preference = { session: this.#replicasOfSession(untried), prefix: affinity.prefix(this.#blocks) }
+    const preference = { session: this.#replicasOfSession(untried), prefix: affinity.replicasFor(this.#blocks) }
     const preferred = untried.filter(({ candidate: { id } }) => preference.session.includes(id) || preference.prefix.includes(id))
     const near = [...new Set([...targets.nearest(untried), ...preferred])]
     const picked = policy.pick(near.map(each => each.candidate), preference)
@@ -61,7 +61,7 @@
 
   /** Records that a replica serves this request. */
   recordServed (target: Target): void {
-    this.#context.affinity.served(target.candidate.id, this.#blocks)
+    this.#context.affinity.recordServed(target.candidate.id, this.#blocks)
   }
 }
 
--- a/packages/entry/src/operators.ts
+++ b/packages/entry/src/operators.ts
@@ -7,7 +7,7 @@
 import { type Result } from 'ts-results-es'
 import { v7 } from 'uuid'
 import { type Clock } from '@eiderwind/clock'
-import { Writer, type Change, type Current } from '@eiderwind/config'
+import { Writer, type Change, type CurrentConfiguration } from '@eiderwind/config'
 import { Fault, kinds } from '@eiderwind/fault'
 import { type Log } from '@eiderwind/log'
 import { ChangeResponseSchema, Operators, type AuditSchema, type ChangeHeader, type ChangeResponse } from '@eiderwind/rpc'
@@ -30,7 +30,7 @@
 export interface OperatorsOptions {
   readonly board: EntryBoard
   readonly clock: Clock
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly reports: Reports
   readonly store: Store
   readonly clients: Clients
--- a/packages/entry/src/planning.ts
+++ b/packages/entry/src/planning.ts
@@ -4,9 +4,9 @@
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
-import { type Current } from '@eiderwind/config'
+import { type CurrentConfiguration } from '@eiderwind/config'
 import { type Log } from '@eiderwind/log'
-import { emptyPlacement, type Facts, type Repairing } from '@eiderwind/plan'
+import { emptyPlacement, type Facts, type RepairingPlanner } from '@eiderwind/plan'
 import { Placement, type EntryAddress, type ModelService } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { actor, type Reports } from '@eiderwind/spread'
@@ -17,10 +17,10 @@
 export interface PlanningOptions {
   readonly board: EntryBoard
   readonly clock: Clock
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly reports: Reports
   readonly store: Store
-  readonly planner: Repairing
+  readonly planner: RepairingPlanner
   readonly self: EntryAddress
   readonly log: Log
   /** Silence after which a node counts as lost, in ms. */
@@ -72,12 +72,12 @@
       await this.#read(domain)
       if (!board.read('placements').has(domain)) return
     }
-    const { placement, orders } = planner.plan(domain, this.#facts())
-    if (orders.length === 0) return
+    const { placement, steps } = planner.plan(domain, this.#facts())
+    if (steps.length === 0) return
     const written = await store.write(`placement/${domain}`, placement, placement.revision - 1)
     if (written.isOk()) {
       mergePlacement(board, placement)
-      for (const { action, replica, members } of orders) log.write('placement-changed', { domain, action, replica, members: members.join(','), revision: placement.revision })
+      for (const { action, replica, members } of steps) log.write('placement-changed', { domain, action, replica, members: members.join(','), revision: placement.revision })
       return
     }
     if (written.error.code === 'stale-revision') log.write('placement-lost-race', { domain })
--- a/packages/entry/src/spreader.ts
+++ b/packages/entry/src/spreader.ts
@@ -4,7 +4,7 @@
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
-import { type Current } from '@eiderwind/config'
+import { type CurrentConfiguration } from '@eiderwind/config'
 import { Configuration, type EntryAddress } from '@eiderwind/schema'
 import { Telling, columns, duties, reportTargets, type Heard, type Reports } from '@eiderwind/spread'
 import { type Clients } from '@eiderwind/wire'
@@ -33,7 +33,7 @@
 export interface SpreaderOptions {
   readonly board: EntryBoard
   readonly clock: Clock
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly reports: Reports
   readonly peers: Peers
   readonly clients: Clients
--- a/packages/entry/src/status.ts
+++ b/packages/entry/src/status.ts
@@ -2,7 +2,7 @@
  * The status of the system for operators, derived from the state that this entry has received. Pure functions.
  */
 import { type MessageInitShape } from '@bufbuild/protobuf'
-import { type Current } from '@eiderwind/config'
+import { type CurrentConfiguration } from '@eiderwind/config'
 import { type NodeFact } from '@eiderwind/plan'
 import { type StatusSchema } from '@eiderwind/rpc'
 import { type EntryAddress, type Replica } from '@eiderwind/schema'
@@ -13,7 +13,7 @@
 /** Inputs of a status. */
 export interface StatusFacts {
   readonly board: EntryBoard
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly reports: Reports
   /** Silence after which a node counts as lost, in ms. */
   readonly lostAfter: number
--- a/packages/entry/src/targets.ts
+++ b/packages/entry/src/targets.ts
@@ -4,7 +4,7 @@
  * requests at each worker. Relies on the reports of workers and on the placements on the board.
  */
 import { type Clock } from '@eiderwind/clock'
-import { type Current } from '@eiderwind/config'
+import { type CurrentConfiguration } from '@eiderwind/config'
 import { load, type Candidate } from '@eiderwind/route'
 import { type EntryAddress, type Node, type Replica, type Report } from '@eiderwind/schema'
 import { type Heard, type Reports } from '@eiderwind/spread'
@@ -44,7 +44,7 @@
 export interface TargetsOptions {
   readonly board: EntryBoard
   readonly clock: Clock
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly reports: Reports
   readonly self: EntryAddress
   /** Age at which a report of a worker in this data centre is too old, in ms. */
--- a/packages/entry/src/teams.ts
+++ b/packages/entry/src/teams.ts
@@ -2,7 +2,7 @@
  * Finds the team of a request by the key in its Authorization header. Owns a table of the keys' digests. Stores no key.
  */
 import { createHash } from 'node:crypto'
-import { type Current } from '@eiderwind/config'
+import { type CurrentConfiguration } from '@eiderwind/config'
 import { type Configuration, type Team } from '@eiderwind/schema'
 
 /** Form of an Authorization header with a key or token (RFC 6750). */
@@ -22,7 +22,7 @@
 export class Teams {
   #byDigest = new Map<string, Team>()
 
-  constructor (current: Current) {
+  constructor (current: CurrentConfiguration) {
     this.#update(current.configuration)
     current.listen(configuration => this.#update(configuration))
   }
--- a/packages/entry/src/voting.ts
+++ b/packages/entry/src/voting.ts
@@ -5,7 +5,7 @@
  */
 import { Controller } from '@eiderwind/board'
 import { type Clock } from '@eiderwind/clock'
-import { type Current } from '@eiderwind/config'
+import { type CurrentConfiguration } from '@eiderwind/config'
 import { VoterList, type EntryAddress } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { actor, type Reports } from '@eiderwind/spread'
@@ -21,7 +21,7 @@
 export interface VotingOptions {
   readonly board: EntryBoard
   readonly clock: Clock
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly reports: Reports
   readonly store: Store
   readonly self: EntryAddress
--- a/packages/entry/src/watcher.ts
+++ b/packages/entry/src/watcher.ts
@@ -3,7 +3,7 @@
  * `spread` for which entries watch it.
  */
 import { Controller } from '@eiderwind/board'
-import { configurationKey, type Current } from '@eiderwind/config'
+import { configurationKey, type CurrentConfiguration } from '@eiderwind/config'
 import { Configuration, type EntryAddress } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
 import { watchers } from '@eiderwind/spread'
@@ -17,11 +17,11 @@
   readonly name = 'watcher'
   readonly interval = 500
   readonly #board: EntryBoard
-  readonly #current: Current
+  readonly #current: CurrentConfiguration
   readonly #store: Store
   readonly #self: EntryAddress
 
-  constructor (board: EntryBoard, current: Current, store: Store, self: EntryAddress) {
+  constructor (board: EntryBoard, current: CurrentConfiguration, store: Store, self: EntryAddress) {
     super()
     this.#board = board
     this.#current = current
--- a/packages/entry/test/addresses.test.ts
+++ b/packages/entry/test/addresses.test.ts
@@ -4,7 +4,7 @@
  */
 import test from 'ava'
 import { ManualClock, seeded } from '@eiderwind/clock'
-import { Current } from '@eiderwind/config'
+import { CurrentConfiguration } from '@eiderwind/config'
 import { type EntryAddress } from '@eiderwind/schema'
 import { Reports } from '@eiderwind/spread'
 import { type Clients, type EntryCalls, type ExchangeMessage } from '@eiderwind/wire'
@@ -31,7 +31,7 @@
   constructor (self: EntryAddress, clients: Clients, seeds: readonly string[] = []) {
     const clock = new ManualClock()
     const board = entryBoard(self)
-    const current = new Current()
+    const current = new CurrentConfiguration()
     const reports = new Reports(clock)
     const peers = new Peers(clock, self)
     this.board = board
--- a/packages/entry/test/fence.test.ts
+++ b/packages/entry/test/fence.test.ts
@@ -4,7 +4,7 @@
  */
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
-import { Current } from '@eiderwind/config'
+import { CurrentConfiguration } from '@eiderwind/config'
 import { Log } from '@eiderwind/log'
 import { emptyConfiguration, type EntryAddress } from '@eiderwind/schema'
 import { Reports } from '@eiderwind/spread'
@@ -16,7 +16,7 @@
 interface Fixture {
   readonly clock: ManualClock
   readonly board: EntryBoard
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly reports: Reports
   readonly fence: Fence
   readonly targets: Targets
@@ -28,7 +28,7 @@
 function setUp (): Fixture {
   const clock = new ManualClock()
   const board = entryBoard(self)
-  const current = new Current()
+  const current = new CurrentConfiguration()
   current.accept({ ...emptyConfiguration, revision: 4 })
   const reports = new Reports(clock)
   const fence = new Fence({ board, clock, current, reports, log: new Log({ sink: () => {} }) })
--- a/packages/entry/test/harness.ts
+++ b/packages/entry/test/harness.ts
@@ -1,9 +1,9 @@
 import { type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { Agent } from 'undici'
 import { SystemClock } from '@eiderwind/clock'
-import { Current } from '@eiderwind/config'
+import { CurrentConfiguration } from '@eiderwind/config'
 import { Log, Metric } from '@eiderwind/log'
-import { Affinity, Balanced, Budget } from '@eiderwind/route'
+import { Affinity, BalancedPolicy, RetryBudget } from '@eiderwind/route'
 import { emptyConfiguration, type EntryAddress, type Report, type Service } from '@eiderwind/schema'
 import { Reports } from '@eiderwind/spread'
 import { Clients, answerFault, listen, makeServer, type SettleAnswer } from '@eiderwind/wire'
@@ -43,7 +43,7 @@
 /** The callers' side of an entry, with real sockets and the fake workers that a test adds. */
 export class Harness {
   readonly board: EntryBoard = entryBoard(self)
-  readonly current = new Current()
+  readonly current = new CurrentConfiguration()
   readonly reports: Reports
   readonly #clock = new SystemClock()
   readonly #servers: Server[] = []
@@ -71,9 +71,9 @@
       targets,
       inFlight: this.#inFlight,
       // With this random source, workers of equal rank and without requests are tried in the order of their reports.
-      policy: new Balanced({ random: () => 0 }),
+      policy: new BalancedPolicy({ random: () => 0 }),
       affinity: new Affinity(),
-      budget: new Budget(this.#clock),
+      budget: new RetryBudget(this.#clock),
       clients: this.#clients,
       dispatcher: this.#dispatcher,
       log: new Log({ sink: line => this.#note(line) }),
--- a/packages/entry/test/planning.test.ts
+++ b/packages/entry/test/planning.test.ts
@@ -5,9 +5,9 @@
 import test from 'ava'
 import fc from 'fast-check'
 import { ManualClock } from '@eiderwind/clock'
-import { Current } from '@eiderwind/config'
+import { CurrentConfiguration } from '@eiderwind/config'
 import { Log } from '@eiderwind/log'
-import { Repairing } from '@eiderwind/plan'
+import { RepairingPlanner } from '@eiderwind/plan'
 import { disjoint } from '@eiderwind/plan/testing'
 import { Placement, emptyConfiguration, type EntryAddress, type Node } from '@eiderwind/schema'
 import { Reports } from '@eiderwind/spread'
@@ -35,7 +35,7 @@
 
   constructor (id: string, store: MemoryStore, clock: ManualClock) {
     const self: EntryAddress = { id, dataCentre: 'd1', region: 'r1', peer: `${id}:1` }
-    const current = new Current()
+    const current = new CurrentConfiguration()
     current.accept({
       ...emptyConfiguration,
       revision: 1,
@@ -44,7 +44,7 @@
     this.board = entryBoard(self)
     this.board.write('nodes', { seen: 1, nodes })
     this.#reports = new Reports(clock)
-    this.#planning = new Planning({ board: this.board, clock, current, reports: this.#reports, store, planner: new Repairing({ restart: 1000 }), self, log: new Log({ sink: () => {} }), lostAfter })
+    this.#planning = new Planning({ board: this.board, clock, current, reports: this.#reports, store, planner: new RepairingPlanner({ restartTime: 1000 }), self, log: new Log({ sink: () => {} }), lostAfter })
   }
 
   /** Receives a report of each node. Nodes in `lost` report an unhealthy engine. */
--- a/packages/lease/src/granter.ts
+++ b/packages/lease/src/granter.ts
@@ -62,7 +62,7 @@
 /** Options of a granter. */
 export interface GranterOptions {
   /** Maximum period of a claim, in ms. It must be the same in all processes. */
-  readonly longest: number
+  readonly maxPeriod: number
   /** Maximum relative difference between the rates of two clocks. Default: 0.01. */
   readonly drift?: number
   /** Identifies this incarnation of the granter. No other incarnation uses the same name. */
@@ -95,7 +95,7 @@
   /** Returns a granter that starts at `now` without any grants in memory. */
   static started (now: number, options: GranterOptions): Granter {
     const driftFactor = 1 + (options.drift ?? defaultDrift)
-    return new Granter(options.origin, options.longest, driftFactor, now + options.longest * driftFactor, new Map())
+    return new Granter(options.origin, options.maxPeriod, driftFactor, now + options.maxPeriod * driftFactor, new Map())
   }
 
   /** The time at which the granter starts to give grants. */
--- a/packages/lease/test/exclusion.test.ts
+++ b/packages/lease/test/exclusion.test.ts
@@ -21,11 +21,11 @@
 
   constructor (base: ManualClock, rate: number) {
     this.clock = new ViewClock(base, rate)
-    this.#granter = Granter.started(this.clock.now(), { longest: period, drift, origin: '' })
+    this.#granter = Granter.started(this.clock.now(), { maxPeriod: period, drift, origin: '' })
   }
 
   restart (): void {
-    this.#granter = Granter.started(this.clock.now(), { longest: period, drift, origin: '' })
+    this.#granter = Granter.started(this.clock.now(), { maxPeriod: period, drift, origin: '' })
   }
 
   handle (kind: 'request' | 'release', claim: Claim, answer: (answer: Answer) => void): void {
--- a/packages/lease/test/granter.test.ts
+++ b/packages/lease/test/granter.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { Granter, Holding, type Claim } from '../src/index.js'
 
-const options = { longest: 1000, drift: 0.01, origin: 'g' }
+const options = { maxPeriod: 1000, drift: 0.01, origin: 'g' }
 
 function claim (holder: string, term = '1', more: Partial<Claim> = {}): Claim {
   return { resource: 'node', holder, term, period: 1000, ...more }
@@ -36,7 +36,7 @@
   })
 }
 
-test('a granter that has started refuses claims until the longest grant of its predecessor has expired', t => {
+test('a granter that has started refuses claims until the longest possible grant of its predecessor has expired', t => {
   const granter = Granter.started(5000, options)
   t.deepEqual(granter.request(claim('a'), 6009).answer, { granted: false, reason: 'starting', wait: 1 })
   t.true(granter.request(claim('a'), 6010).answer.granted)
--- a/packages/plan/src/draft.ts
+++ b/packages/plan/src/draft.ts
@@ -76,9 +76,9 @@
 
   /** The plan: the changed placement with its steps, or the placement as it was if there are no steps. */
   finish (): Plan {
-    if (this.#steps.length === 0) return { placement: this.#before, orders: [] }
+    if (this.#steps.length === 0) return { placement: this.#before, steps: [] }
     const placement = { domain: this.domain, revision: this.#before.revision + 1, generation: this.#generation, replicas: [...this.#replicas] }
-    return { placement, orders: this.#steps }
+    return { placement, steps: this.#steps }
   }
 
   #recordStep (action: Action, replica: Replica): void {
--- a/packages/plan/src/facts.ts
+++ b/packages/plan/src/facts.ts
@@ -30,7 +30,7 @@
 /** Options of a planner. */
 export interface PlannerOptions {
   /** How long a restart of a node usually takes, in ms. */
-  readonly restart: number
+  readonly restartTime: number
 }
 
 /**
@@ -50,7 +50,7 @@
 /** A placement for one domain and the steps that lead to it. Without steps, the placement is the old one. */
 export interface Plan {
   readonly placement: Placement
-  readonly orders: readonly PlanStep[]
+  readonly steps: readonly PlanStep[]
 }
 
 /** The placement of a domain that has no stored placement yet. */
--- a/packages/plan/src/repairing.ts
+++ b/packages/plan/src/repairing.ts
@@ -14,7 +14,7 @@
  * weights stay loaded. Without spares it dissolves one broken replica to repair others. When a version changes, it
  * changes one serving replica of a service at a time.
  */
-export class Repairing {
+export class RepairingPlanner {
   readonly #options: PlannerOptions
 
   constructor (options: PlannerOptions) {
@@ -65,7 +65,7 @@
    * Whether a replica's lost nodes have been lost for longer than a restart takes, and will probably not return soon.
    */
   #isGoneForLong (draft: Draft, replica: Replica): boolean {
-    return draft.lost(replica).every(id => (draft.fact(id)?.lostFor ?? Infinity) > this.#options.restart)
+    return draft.lost(replica).every(id => (draft.fact(id)?.lostFor ?? Infinity) > this.#options.restartTime)
   }
 
   /** Replaces the leaving members of one replica per plan, if the other replicas of the service serve. */
--- a/packages/route/src/affinity.ts
+++ b/packages/route/src/affinity.ts
@@ -18,7 +18,7 @@
 const defaultMaxStoredBlocks = 20_000
 
 /** The digests of a prompt's prefixes, one for each complete block, shortest first. */
-export function prefixes (prompt: string): number[] {
+export function prefixDigests (prompt: string): number[] {
   const found: number[] = []
   let chain = 0
   for (let end = blockSize; end <= prompt.length && found.length < maxBlocksPerPrompt; end += blockSize) {
@@ -42,9 +42,9 @@
   /**
    * The replicas that served the longest known prefix of a prompt, latest first.
    *
-   * @param blocks the digests that `prefixes` returns for the prompt
+   * @param blocks the digests that `prefixDigests` returns for the prompt
    */
-  prefix (blocks: readonly number[]): readonly string[] {
+  replicasFor (blocks: readonly number[]): readonly string[] {
     for (let index = blocks.length - 1; index >= 0; index--) {
       const replicas = this.#blocks.get(blocks[index])
       if (replicas !== undefined) return replicas
@@ -53,7 +53,7 @@
   }
 
   /** Records that `replica` serves a prompt. */
-  served (replica: string, blocks: readonly number[]): void {
+  recordServed (replica: string, blocks: readonly number[]): void {
     for (const block of blocks) {
       const others = (this.#blocks.get(block) ?? []).filter(each => each !== replica)
       setNewest(this.#blocks, block, [replica, ...others].slice(0, replicasPerBlock), this.#maxStoredBlocks)
--- a/packages/route/src/balanced.ts
+++ b/packages/route/src/balanced.ts
@@ -41,7 +41,7 @@
  * the same replicas (docs/design/routing.md has the figures). The number of open requests of an entry is exact, and it
  * rises at a replica that is slow.
  */
-export class Balanced {
+export class BalancedPolicy {
   readonly #random: Random
   readonly #slack: number
   readonly #factor: number
--- a/packages/route/src/budget.ts
+++ b/packages/route/src/budget.ts
@@ -17,7 +17,7 @@
 const startSeconds = 5
 
 /** The settings of a retry budget. */
-export interface BudgetOptions {
+export interface RetryBudgetOptions {
   /** Number of retries allowed for each first attempt. Default: 0.1. */
   readonly share?: number
   /**
@@ -29,7 +29,7 @@
 }
 
 /** Limits retries to a share of the traffic, so that retries cannot multiply an overload. */
-export class Budget {
+export class RetryBudget {
   readonly #clock: Clock
   readonly #share: number
   readonly #floor: number
@@ -37,7 +37,7 @@
   #tokens: number
   #refilledAt: number
 
-  constructor (clock: Clock, options: BudgetOptions = {}) {
+  constructor (clock: Clock, options: RetryBudgetOptions = {}) {
     this.#clock = clock
     this.#share = options.share ?? defaultShare
     this.#floor = options.floor ?? defaultFloor
--- a/packages/route/test/route.test.ts
+++ b/packages/route/test/route.test.ts
@@ -1,7 +1,7 @@
 /** The choice of a replica by open requests, session and prefix; the table of prefixes; the retry budget. */
 import test from 'ava'
 import { ManualClock, seeded } from '@eiderwind/clock'
-import { Affinity, Balanced, Budget, noPreference, prefixes, type Candidate, type Preference } from '../src/index.js'
+import { Affinity, BalancedPolicy, RetryBudget, noPreference, prefixDigests, type Candidate, type Preference } from '../src/index.js'
 
 function candidate (id: string, more: Partial<Candidate> = {}): Candidate {
   return { id, reported: 0, concurrency: 10, open: 0, unseen: 0, ...more }
@@ -29,12 +29,12 @@
 for (const { title, preference, open, picked } of cases) {
   test(`the policy picks ${title}`, t => {
     const candidates = open.map((each, index) => candidate('abcd'[index], { open: each }))
-    t.is(new Balanced({ random: seeded(1) }).pick(candidates, preference).id, picked)
+    t.is(new BalancedPolicy({ random: seeded(1) }).pick(candidates, preference).id, picked)
   })
 }
 
 test('of equally busy replicas, the one that was picked longest ago is picked, so that requests rotate', t => {
-  const policy = new Balanced({ random: seeded(1) })
+  const policy = new BalancedPolicy({ random: seeded(1) })
   const candidates = ['a', 'b', 'c', 'd'].map(id => candidate(id))
   const picks = Array.from({ length: 12 }, () => policy.pick(candidates, noPreference).id)
   t.is(new Set(picks.slice(0, 4)).size, 4)
@@ -45,7 +45,7 @@
 test('reported load does not affect the choice, since many entries receive the same old reports', t => {
   const reported = (order: readonly number[]): string => {
     const candidates = order.map((each, index) => candidate('abc'[index], { reported: each, open: index }))
-    return new Balanced({ random: seeded(1) }).pick(candidates, noPreference).id
+    return new BalancedPolicy({ random: seeded(1) }).pick(candidates, noPreference).id
   }
   t.is(reported([9, 0, 0]), 'a')
   t.is(reported([0, 9, 9]), 'a')
@@ -53,29 +53,29 @@
 
 test('entries that start together begin with different replicas', t => {
   const candidates = Array.from({ length: 20 }, (_each, index) => candidate(`r${index}`))
-  const picked = new Set(Array.from({ length: 50 }, (_each, index) => new Balanced({ random: seeded(index) }).pick(candidates, noPreference).id))
+  const picked = new Set(Array.from({ length: 50 }, (_each, index) => new BalancedPolicy({ random: seeded(index) }).pick(candidates, noPreference).id))
   t.true(picked.size > 5)
 })
 
 test('affinity returns the replicas that served the longest known prefix, latest first', t => {
   const affinity = new Affinity()
   const prompt = 'x'.repeat(1000)
-  affinity.served('a', prefixes(prompt))
-  affinity.served('b', prefixes(prompt.slice(0, 600)))
-  t.deepEqual([...affinity.prefix(prefixes(`${prompt}y`))], ['a'])
-  t.deepEqual([...affinity.prefix(prefixes(`${prompt.slice(0, 600)}${'y'.repeat(600)}`))], ['b', 'a'])
-  t.deepEqual([...affinity.prefix(prefixes('short'))], [])
+  affinity.recordServed('a', prefixDigests(prompt))
+  affinity.recordServed('b', prefixDigests(prompt.slice(0, 600)))
+  t.deepEqual([...affinity.replicasFor(prefixDigests(`${prompt}y`))], ['a'])
+  t.deepEqual([...affinity.replicasFor(prefixDigests(`${prompt.slice(0, 600)}${'y'.repeat(600)}`))], ['b', 'a'])
+  t.deepEqual([...affinity.replicasFor(prefixDigests('short'))], [])
 })
 
 test('affinity evicts the least recently used block first', t => {
   const affinity = new Affinity(2)
-  for (const block of [1, 2, 1, 3]) affinity.served(`r-${block}`, [block])
-  t.deepEqual([1, 2, 3].map(block => [...affinity.prefix([block])]), [['r-1'], [], ['r-3']])
+  for (const block of [1, 2, 1, 3]) affinity.recordServed(`r-${block}`, [block])
+  t.deepEqual([1, 2, 3].map(block => [...affinity.replicasFor([block])]), [['r-1'], [], ['r-3']])
 })
 
 test('retries are limited to a share of the traffic, and saved-up retries to a maximum', t => {
   const clock = new ManualClock()
-  const budget = new Budget(clock, { share: 0.1, floor: 0, maxTokens: 5 })
+  const budget = new RetryBudget(clock, { share: 0.1, floor: 0, maxTokens: 5 })
   t.false(budget.withdraw())
   for (let index = 0; index < 25; index++) budget.deposit()
   t.deepEqual([1, 2, 3].map(() => budget.withdraw()), [true, true, false])
--- a/packages/run/test/home.test.ts
+++ b/packages/run/test/home.test.ts
@@ -14,7 +14,7 @@
   constructor (clock: ManualClock, names: readonly string[]) {
     super()
     this.#clock = clock
-    for (const name of names) this.#granters.set(name, Granter.started(clock.now(), { longest: period, origin: name }))
+    for (const name of names) this.#granters.set(name, Granter.started(clock.now(), { maxPeriod: period, origin: name }))
   }
 
   async request (voter: string, claim: Claim): Promise<Answer> {
--- a/packages/run/test/once.test.ts
+++ b/packages/run/test/once.test.ts
@@ -54,7 +54,7 @@
   /** Starts with empty memory. */
   begin (): void {
     this.incarnation++
-    this.#granter = Granter.started(this.clock.now(), { longest: period, origin: `${this.name}/${this.incarnation}` })
+    this.#granter = Granter.started(this.clock.now(), { maxPeriod: period, origin: `${this.name}/${this.incarnation}` })
     this.#open()
   }
 
--- a/packages/worker/src/worker.ts
+++ b/packages/worker/src/worker.ts
@@ -56,9 +56,9 @@
   /** Maximum difference between the wall clocks of two processes. */
   readonly skew: number
   /** How long an idempotency key is retained. */
-  readonly keep: number
+  readonly keyRetention: number
   /** Maximum time for which a stop waits for requests in flight. */
-  readonly stop: number
+  readonly maxStopTime: number
 }
 
 /** The upstream beside the worker. */
@@ -94,7 +94,7 @@
     const { clock, log } = options
     this.#queue = new Queue(clock, { concurrency: 1, queue: 0 })
     this.#queue.close('not-serving')
-    this.#grants = new Grants(clock, { longest: options.period, origin: this.#incarnation })
+    this.#grants = new Grants(clock, { maxPeriod: options.period, origin: this.#incarnation })
     this.#scheduler = new Scheduler(clock, (controller, error) => log.write('controller-failed', { controller, cause: String(error) }))
     this.#upstream = makeUpstream(options.upstream)
     const calls = new Calls({ clock, board: this.#board, grants: this.#grants, attempts: this.#attempts, incarnation: this.#incarnation, takeBook: handover => this.#takeBook(handover) })
@@ -114,14 +114,14 @@
 
   /**
    * Takes no new requests and waits until no request runs and no head holds this node, at most for
-   * `WorkerOptions.stop`. Then releases the grants that this worker's leases have, and ends.
+   * `WorkerOptions.maxStopTime`. Then releases the grants that this worker's leases have, and ends.
    */
   async stop (): Promise<void> {
-    const { clock, stop } = this.#options
+    const { clock, maxStopTime } = this.#options
     this.#board.write('stopping', true)
     this.#scheduler.wake('reporter')
     this.#scheduler.wake('plain-state')
-    const end = clock.now() + stop
+    const end = clock.now() + maxStopTime
     while (clock.now() < end && this.#isBusy) await clock.wait(stopInterval)
     await this.#releaseGrants()
     this.#scheduler.stop()
@@ -168,7 +168,7 @@
   }
 
   #startPlain (): void {
-    const { clock, log, node, period, interval, skew, keep } = this.#options
+    const { clock, log, node, period, interval, skew, keyRetention } = this.#options
     const homes = new HomeController({
       clock,
       board: this.#board,
@@ -180,7 +180,7 @@
       leaseInterval: interval,
       isIdle: () => this.#queue.running === 0,
       skew,
-      keyRetention: keep
+      keyRetention
     })
     this.#takeBook = handover => homes.takeBook(handover)
     const path = new PlainPath({ clock, board: this.#board, queue: this.#queue, attempts: this.#attempts, upstream: this.#upstream, book: key => homes.book(key) })
--- a/packages/worker/test/calls.test.ts
+++ b/packages/worker/test/calls.test.ts
@@ -22,7 +22,7 @@
 function makeHarness (): Harness {
   const clock = new ManualClock()
   const board = workerBoard()
-  const grants = new Grants(clock, { longest: period, origin: 'i1' })
+  const grants = new Grants(clock, { maxPeriod: period, origin: 'i1' })
   const calls = new Calls({ clock, board, grants, attempts: new Attempts(), incarnation: 'i1', takeBook: () => true })
   clock.advance(2 * period)
   return { calls, board, clock }
@@ -76,7 +76,7 @@
 test('a worker settles no attempt at another incarnation, and an attempt settled before its start never starts', async t => {
   const clock = new ManualClock()
   const attempts = new Attempts()
-  const calls = new Calls({ clock, board: workerBoard(), grants: new Grants(clock, { longest: period, origin: 'i2' }), attempts, incarnation: 'i2', takeBook: () => false })
+  const calls = new Calls({ clock, board: workerBoard(), grants: new Grants(clock, { maxPeriod: period, origin: 'i2' }), attempts, incarnation: 'i2', takeBook: () => false })
   t.is(await calls.settle({ attempt: 'x', incarnation: 'i1', age: 1 }), 'stranger')
   t.is(await calls.settle({ attempt: 'x', incarnation: 'i2', age: 1 }), 'tombstoned')
   t.false(attempts.start('x', clock.now()))
