--- a/packages/bench/src/control.ts
+++ b/packages/bench/src/control.ts
@@ -6,7 +6,7 @@
 import { type EntryAddress, type Node, type Report } from '@eiderwind/schema'
 import { Fleet, Forwarder } from '@eiderwind/trial'
 import { ManualClock } from '@eiderwind/clock'
-import { Reports, columns, type Beats } from '@eiderwind/spread'
+import { Reports, toColumns, type Beats } from '@eiderwind/spread'
 import { Clients, type ExchangeMessage } from '@eiderwind/wire'
 import { type Figures, ofRuns } from './figures.js'
 import { fit, slopeFigure, type Point } from './fit.js'
@@ -80,7 +80,7 @@
   const points: Point[] = []
   let sequence = 2_000_000
   const fullReports = Array.from({ length: 300 }, (_each, index) => ({ report: report(index, sequence), age: 10 }))
-  const { revision, known } = await clients.entry(peers).exchange({ from, revision: 0, known: 0, reports: fullReports, beats: columns([]) })
+  const { revision, known } = await clients.entry(peers).exchange({ from, revision: 0, known: 0, reports: fullReports, beats: toColumns([]) })
   for (const count of [1, 20, 100, 300]) {
     const message = (): ExchangeMessage => ({ from, revision, known, reports: [], beats: beats(count, ++sequence) })
     const cpu = processorTime(child.pid)
@@ -92,7 +92,7 @@
   figures.add(ofRuns('control.exchange_cpu', 'ms', [Math.max(line.intercept, 0)], 'processor time of an entry for an exchange, beside the reports in it'))
   figures.add(ofRuns('control.exchange_report_bytes', 'bytes', [jsonBytes({ report: report(200, 100_000), age: 12.345 })], 'one whole report in an exchange'))
   figures.add(ofRuns('control.beat_bytes', 'bytes', [(jsonBytes(beats(101, 100_000)) - jsonBytes(beats(1, 100_000))) / 100], 'one beat in an exchange'))
-  const bytes = await bytesOf(peers, address => clients.entry(address).exchange({ from, revision, known, reports: [], beats: columns([]) }))
+  const bytes = await bytesOf(peers, address => clients.entry(address).exchange({ from, revision, known, reports: [], beats: toColumns([]) }))
   figures.add(ofRuns('control.exchange_bytes', 'bytes', bytes, 'an exchange without reports and its answer, with their HTTP headers, counted on the socket'))
 }
 
@@ -123,7 +123,7 @@
     for (let sequence = 0; sequence < 10; sequence++) {
       for (let start = 0; start < count; start += 100) {
         const reports = Array.from({ length: Math.min(100, count - start) }, (_each, index) => ({ report: report(start + index, 3_000_000 + points.length * 100 + sequence), age: 5 }))
-        await clients.entry(peers).exchange({ from: { id: 'bench', dataCentre: 'dc-1', region: 'region-1', peer: peers }, revision: 0, known: 0, reports, beats: columns([]) })
+        await clients.entry(peers).exchange({ from: { id: 'bench', dataCentre: 'dc-1', region: 'region-1', peer: peers }, revision: 0, known: 0, reports, beats: toColumns([]) })
       }
     }
     await pause(2500)
@@ -137,7 +137,7 @@
 function beats (count: number, sequence: number): Beats {
   const reports = new Reports(new ManualClock())
   for (let index = 0; index < count; index++) reports.accept({ report: report(index, 1), age: 0 }, 'near')
-  return columns([...reports.all].map(({ report: { worker }, stamp }) => ({ worker, stamp, sequence, running: 41, queued: 2, age: 812 })))
+  return toColumns([...reports.all].map(({ report: { worker }, stamp }) => ({ worker, stamp, sequence, running: 41, queued: 2, age: 812 })))
 }
 
 function node (index: number): Node {
--- a/packages/entry/src/calls.ts
+++ b/packages/entry/src/calls.ts
@@ -4,7 +4,7 @@
  */
 import { type CurrentConfiguration } from '@eiderwind/config'
 import { type Configuration, type Peer, type Report, type ReportAnswer } from '@eiderwind/schema'
-import { beatsOf, reportTargets, type Reports } from '@eiderwind/spread'
+import { fromColumns, reportTargets, type Reports } from '@eiderwind/spread'
 import { EntryCalls, type ExchangeMessage, type ExchangeAnswer, type KnownState } from '@eiderwind/wire'
 import { assignment } from './assignment.js'
 import { knownDigest, updateSender, type EntryBoard } from './facts.js'
@@ -54,7 +54,7 @@
     peers.recordContact(from.id)
     const source = from.dataCentre === this.#options.dataCentre ? 'near' : 'far'
     for (const aged of reports) this.#options.reports.accept(aged, source)
-    const lacking = beatsOf(beats).filter(beat => this.#options.reports.beat(beat, source) === 'lacking').map(each => each.worker)
+    const lacking = fromColumns(beats).filter(beat => this.#options.reports.beat(beat, source) === 'lacking').map(each => each.worker)
     const local = { revision: current.revision, known: knownDigest(board), lacking }
     // A failed fetch is not repeated here. The next exchange finds the same difference and fetches again.
     if (revision > local.revision || known !== local.known) fetchMissing(from.peer, revision, known).catch(() => {})
--- a/packages/entry/src/planning.ts
+++ b/packages/entry/src/planning.ts
@@ -9,7 +9,7 @@
 import { emptyPlacement, type Facts, type RepairingPlanner } from '@eiderwind/plan'
 import { Placement, type EntryAddress, type ModelService } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
-import { actor, type Reports } from '@eiderwind/spread'
+import { responsibleEntry, type Reports } from '@eiderwind/spread'
 import { mergePlacement, type EntryBoard } from './facts.js'
 import { nodeFacts, servingReplicas } from './health.js'
 
@@ -62,7 +62,7 @@
     const dataCentreOf = new Map(nodes.filter(each => each.service === undefined).map(each => [each.domain, each.dataCentre]))
     return [...dataCentreOf].filter(([domain, dataCentre]) => {
       const near = live.filter(each => each.dataCentre === dataCentre)
-      return actor(`domain/${domain}`, near.length > 0 ? near : live)?.id === self.id
+      return responsibleEntry(`domain/${domain}`, near.length > 0 ? near : live)?.id === self.id
     }).map(([domain]) => domain)
   }
 
--- a/packages/entry/src/spreader.ts
+++ b/packages/entry/src/spreader.ts
@@ -6,7 +6,7 @@
 import { type Clock } from '@eiderwind/clock'
 import { type CurrentConfiguration } from '@eiderwind/config'
 import { Configuration, type EntryAddress } from '@eiderwind/schema'
-import { Telling, columns, duties, reportTargets, type Heard, type Reports } from '@eiderwind/spread'
+import { SentReports, toColumns, duties, reportTargets, type ReceivedReport, type Reports } from '@eiderwind/spread'
 import { type Clients } from '@eiderwind/wire'
 import { type EntryBoard, knownDigest, mergeEntries, mergeVoters, mergeNodes, mergePlacement } from './facts.js'
 import { type Peers } from './peers.js'
@@ -47,13 +47,13 @@
   readonly name = 'spreader'
   readonly interval = 1000
   readonly #options: SpreaderOptions
-  readonly #sentReports: Telling
+  readonly #sentReports: SentReports
   #turn = 0
 
   constructor (options: SpreaderOptions) {
     super()
     this.#options = options
-    this.#sentReports = new Telling(options.clock)
+    this.#sentReports = new SentReports(options.clock)
   }
 
   async update (): Promise<void> {
@@ -65,7 +65,7 @@
     const rounds = Math.max(1, Math.ceil(near.length / maxNearPeers))
     const turn = this.#turn++
     const recipients = turn === 0 ? near : near.filter((_peer, index) => index % rounds === turn % rounds)
-    const tasks: Promise<unknown>[] = recipients.map(peer => this.#exchange(peer, heard => this.#relaysNear(heard)))
+    const tasks: Promise<unknown>[] = recipients.map(peer => this.#exchange(peer, received => this.#relaysNear(received)))
     if (turn % updatesPerFarExchange === 0) {
       for (const { counterparts } of far) tasks.push(this.#exchangeWithFirst(counterparts))
     }
@@ -106,7 +106,7 @@
   async #exchangeWithFirst (counterparts: readonly EntryAddress[]): Promise<void> {
     const { self } = this.#options
     for (const peer of counterparts.slice(0, 2)) {
-      if (await this.#exchange(peer, heard => heard.report.dataCentre === self.dataCentre && takesRequests(heard))) return
+      if (await this.#exchange(peer, received => received.report.dataCentre === self.dataCentre && takesRequests(received))) return
     }
   }
 
@@ -115,29 +115,29 @@
    * centres, and those of workers that report to it. Of the two entries to which a worker reports, the first relays.
    * The second relays while the first relays nothing about that worker.
    */
-  #relaysNear ({ report, source, relayedAt }: Heard): boolean {
+  #relaysNear ({ report, source, relayedAt }: ReceivedReport): boolean {
     const { board, self, clock } = this.#options
     if (source !== 'worker') return source === 'far'
     const [first] = reportTargets(report.worker, report.dataCentre, board.read('live'))
     return first?.id === self.id || clock.now() - relayedAt > relayTakeoverAfter
   }
 
-  async #exchange (peer: EntryAddress, isChosen: (heard: Heard) => boolean): Promise<boolean> {
+  async #exchange (peer: EntryAddress, isChosen: (received: ReceivedReport) => boolean): Promise<boolean> {
     const { clock, reports, peers, clients, board, current, self } = this.#options
     const now = clock.now()
-    const heard = reports.after(this.#sentReports.since(peer.id), isChosen)
-    const news = this.#sentReports.news(peer.id, heard)
-    const message = { from: self, revision: current.revision, known: knownDigest(board), reports: [...news.reports], beats: columns(news.beats) }
+    const received = reports.receivedSince(this.#sentReports.since(peer.id), isChosen)
+    const content = this.#sentReports.messageFor(peer.id, received)
+    const message = { from: self, revision: current.revision, known: knownDigest(board), reports: [...content.reports], beats: toColumns(content.beats) }
     try {
       const { revision, known, lacking } = await clients.entry(peer.peer).exchange(message)
-      this.#sentReports.arrived(peer.id, now, heard, lacking)
+      this.#sentReports.recordArrival(peer.id, now, received, lacking)
       peers.recordContact(peer.id)
       await this.fetchMissing(peer.peer, revision, known)
       return true
     } catch {
       // Not logged, since this runs each second. A peer that stays silent drops out of `Peers.live`. The next exchange
       // sends everything again.
-      this.#sentReports.failed(peer.id)
+      this.#sentReports.recordFailure(peer.id)
       return false
     }
   }
@@ -155,7 +155,7 @@
  * Whether a worker takes requests itself: a worker of a plain service, or the head of a replica. The reports of other
  * workers are only used in their own data centre.
  */
-function takesRequests ({ report }: Heard): boolean {
+function takesRequests ({ report }: ReceivedReport): boolean {
   return report.service !== undefined && (report.replica === undefined || report.members !== undefined)
 }
 
--- a/packages/entry/src/targets.ts
+++ b/packages/entry/src/targets.ts
@@ -7,7 +7,7 @@
 import { type CurrentConfiguration } from '@eiderwind/config'
 import { load, type Candidate } from '@eiderwind/route'
 import { type EntryAddress, type Node, type Replica, type Report } from '@eiderwind/schema'
-import { type Heard, type Reports } from '@eiderwind/spread'
+import { type ReceivedReport, type Reports } from '@eiderwind/spread'
 import { type EntryBoard } from './facts.js'
 
 /** Age at which a report of a worker in another data centre is too old to send requests to that worker, in ms. */
@@ -81,10 +81,10 @@
   workers (service: string): Target[] {
     const leaving = new Set(this.#options.current.configuration.leaving)
     const targets: Target[] = []
-    for (const heard of this.#options.reports.all) {
-      const { report } = heard
+    for (const received of this.#options.reports.all) {
+      const { report } = received
       if (report.service !== service || report.replica !== undefined || leaving.has(report.worker)) continue
-      if (this.#isUsable(heard)) targets.push(this.#target(heard, report.worker))
+      if (this.#isUsable(received)) targets.push(this.#target(received, report.worker))
     }
     return targets
   }
@@ -94,11 +94,11 @@
    * decides.
    */
   home (service: string, slot: number): HomeTarget | undefined {
-    let latest: Heard | undefined
-    for (const heard of this.#options.reports.all) {
-      const { report, madeAt } = heard
-      if (report.service !== service || !this.#isUsable(heard) || madeAt <= (latest?.madeAt ?? -Infinity)) continue
-      if (report.slots.some(each => each.slot === slot)) latest = heard
+    let latest: ReceivedReport | undefined
+    for (const received of this.#options.reports.all) {
+      const { report, madeAt } = received
+      if (report.service !== service || !this.#isUsable(received) || madeAt <= (latest?.madeAt ?? -Infinity)) continue
+      if (report.slots.some(each => each.slot === slot)) latest = received
     }
     const held = latest?.report.slots.find(each => each.slot === slot)
     if (latest === undefined || held === undefined) return undefined
@@ -131,8 +131,8 @@
 
   /** Whether the worker process that a request was sent to still runs: same incarnation, and a recent report. */
   isLive ({ worker, incarnation }: Target): boolean {
-    const heard = this.#options.reports.of(worker)
-    return heard !== undefined && heard.report.incarnation === incarnation && this.#isFresh(heard)
+    const received = this.#options.reports.of(worker)
+    return received !== undefined && received.report.incarnation === incarnation && this.#isFresh(received)
   }
 
   /** Records that a request is sent to a worker. */
@@ -148,22 +148,22 @@
   }
 
   #head (replica: Replica): Target | undefined {
-    const heard = this.#options.reports.of(replica.members[0])
-    if (heard === undefined || heard.report.replica !== replica.id || !this.#isUsable(heard)) return undefined
-    return this.#target(heard, replica.id)
+    const received = this.#options.reports.of(replica.members[0])
+    if (received === undefined || received.report.replica !== replica.id || !this.#isUsable(received)) return undefined
+    return this.#target(received, replica.id)
   }
 
-  #isUsable (heard: Heard): boolean {
-    return heard.report.serving && !heard.report.leaving && this.#isFresh(heard)
+  #isUsable (received: ReceivedReport): boolean {
+    return received.report.serving && !received.report.leaving && this.#isFresh(received)
   }
 
-  #isFresh ({ report, madeAt }: Heard): boolean {
+  #isFresh ({ report, madeAt }: ReceivedReport): boolean {
     const { self, clock, maxNearReportAge } = this.#options
     const limit = report.dataCentre === self.dataCentre ? maxNearReportAge : maxFarReportAge
     return clock.now() - madeAt < limit
   }
 
-  #target ({ report, madeAt }: Heard, id: string): Target {
+  #target ({ report, madeAt }: ReceivedReport, id: string): Target {
     const counts = this.#countsOf(report.worker)
     while (counts.sentAt.length > 0 && counts.sentAt[0] < madeAt) counts.sentAt.shift()
     return { worker: report.worker, address: report.address, incarnation: report.incarnation, candidate: this.#candidate(report, counts, id) }
--- a/packages/entry/src/voting.ts
+++ b/packages/entry/src/voting.ts
@@ -8,7 +8,7 @@
 import { type CurrentConfiguration } from '@eiderwind/config'
 import { VoterList, type EntryAddress } from '@eiderwind/schema'
 import { type Store } from '@eiderwind/store'
-import { actor, type Reports } from '@eiderwind/spread'
+import { responsibleEntry, type Reports } from '@eiderwind/spread'
 import { mergeVoters, type EntryBoard } from './facts.js'
 
 /** Time for which a majority must have used a list before the next one is written, in ms. Longer than any lease. */
@@ -48,7 +48,7 @@
     const { board, current, self } = this.#options
     for (const service of current.configuration.services) {
       if (service.kind !== 'plain') continue
-      if (actor(`homes/${service.name}`, board.read('live'))?.id !== self.id) continue
+      if (responsibleEntry(`homes/${service.name}`, board.read('live'))?.id !== self.id) continue
       await this.#updateList(service.name)
     }
   }
--- a/packages/spread/src/beat.ts
+++ b/packages/spread/src/beat.ts
@@ -27,7 +27,7 @@
 }
 
 /** Converts beats to columns. */
-export function columns (beats: readonly Beat[]): Beats {
+export function toColumns (beats: readonly Beat[]): Beats {
   return {
     workers: beats.map(each => each.worker),
     stamps: beats.map(each => each.stamp),
@@ -39,7 +39,7 @@
 }
 
 /** Converts columns to beats. The shortest column ends the list, so that a truncated message gives no wrong beat. */
-export function beatsOf ({ workers, stamps, sequences, running, queued, ages }: Beats): Beat[] {
+export function fromColumns ({ workers, stamps, sequences, running, queued, ages }: Beats): Beat[] {
   const count = Math.min(...[workers, stamps, sequences, running, queued, ages].map(each => each.length))
   return workers.slice(0, count).map((worker, index) => ({
     worker,
--- a/packages/spread/src/reports.ts
+++ b/packages/spread/src/reports.ts
@@ -12,7 +12,7 @@
 export type Source = 'worker' | 'near' | 'far'
 
 /** A received report with its age and its sender. */
-export interface Heard {
+export interface ReceivedReport {
   readonly report: Report
   /** Digest of the parts of the report that seldom change. A beat carries the digest in place of these parts. */
   readonly stamp: number
@@ -41,7 +41,7 @@
 /** Stores the latest report of each worker. Older reports and those of earlier incarnations are dropped. */
 export class Reports {
   readonly #clock: Clock
-  readonly #latest = new Map<string, Heard>()
+  readonly #latest = new Map<string, ReceivedReport>()
 
   constructor (clock: Clock) {
     this.#clock = clock
@@ -67,12 +67,12 @@
   }
 
   /** The latest report of a worker. */
-  of (worker: string): Heard | undefined {
+  of (worker: string): ReceivedReport | undefined {
     return this.#latest.get(worker)
   }
 
   /** The latest reports of all workers. */
-  get all (): IterableIterator<Heard> {
+  get all (): IterableIterator<ReceivedReport> {
     return this.#latest.values()
   }
 
@@ -83,8 +83,8 @@
   }
 
   /** The latest reports that were received at `since` or later and that `matches` accepts. */
-  after (since: number, matches: (latest: Heard) => boolean): Heard[] {
-    const found: Heard[] = []
+  receivedSince (since: number, matches: (latest: ReceivedReport) => boolean): ReceivedReport[] {
+    const found: ReceivedReport[] = []
     for (const latest of this.#latest.values()) {
       if (latest.receivedAt >= since && matches(latest)) found.push(latest)
     }
--- a/packages/spread/src/sentreports.ts
+++ b/packages/spread/src/sentreports.ts
@@ -4,7 +4,7 @@
  */
 import { type Clock } from '@eiderwind/clock'
 import { type Beat } from './beat.js'
-import { type AgedReport, type Heard } from './reports.js'
+import { type AgedReport, type ReceivedReport } from './reports.js'
 
 /** The content of one message to a peer. */
 export interface ReportMessage {
@@ -23,7 +23,7 @@
 }
 
 /** Chooses what to send to each peer by what the peer has received before. */
-export class Telling {
+export class SentReports {
   readonly #clock: Clock
   readonly #peers = new Map<string, SentRecord>()
 
@@ -37,7 +37,7 @@
   }
 
   /** The message to a peer about these reports. */
-  news (peer: string, received: readonly Heard[]): ReportMessage {
+  messageFor (peer: string, received: readonly ReceivedReport[]): ReportMessage {
     const now = this.#clock.now()
     const stamps = this.#peers.get(peer)?.stamps
     const reports: AgedReport[] = []
@@ -52,7 +52,7 @@
   }
 
   /** Records that a message made at `at` arrived. `lacking` names the workers whose beats the peer could not use. */
-  arrived (peer: string, at: number, received: readonly Heard[], lacking: readonly string[]): void {
+  recordArrival (peer: string, at: number, received: readonly ReceivedReport[], lacking: readonly string[]): void {
     const record = this.#peers.get(peer) ?? { at, stamps: new Map<string, number>() }
     record.at = at
     for (const { report, stamp } of received) record.stamps.set(report.worker, stamp)
@@ -61,7 +61,7 @@
   }
 
   /** Records that a message failed. The peer may have restarted, so it is sent complete reports again. */
-  failed (peer: string): void {
+  recordFailure (peer: string): void {
     this.#peers.delete(peer)
   }
 }
--- a/packages/spread/src/topology.ts
+++ b/packages/spread/src/topology.ts
@@ -53,7 +53,7 @@
  * The entry among those believed live that acts on `subject`. Two entries with different beliefs may both act, which
  * only wastes work.
  */
-export function actor (subject: string, entries: readonly EntryAddress[]): EntryAddress | undefined {
+export function responsibleEntry (subject: string, entries: readonly EntryAddress[]): EntryAddress | undefined {
   return pick(subject, entries, 1)[0]
 }
 
--- a/packages/spread/test/spread.test.ts
+++ b/packages/spread/test/spread.test.ts
@@ -4,7 +4,7 @@
 import test from 'ava'
 import { ManualClock } from '@eiderwind/clock'
 import { type EntryAddress, type Report } from '@eiderwind/schema'
-import { Reports, Telling, actor, beatsOf, columns, duties, reportTargets, watchers } from '../src/index.js'
+import { Reports, SentReports, responsibleEntry, fromColumns, toColumns, duties, reportTargets, watchers } from '../src/index.js'
 
 /** 390 entries in 18 data centres: the size that the users named. */
 const entries: readonly EntryAddress[] = Array.from({ length: 390 }, (_each, index) => ({
@@ -51,9 +51,9 @@
 })
 
 test('one entry acts on a subject, the same for all entries with the same beliefs, and another one if it fails', t => {
-  const first = actor('domain/f1', entries)
-  t.is(actor('domain/f1', [...entries].reverse())?.id, first?.id)
-  t.not(actor('domain/f1', entries.filter(each => each.id !== first?.id))?.id, first?.id)
+  const first = responsibleEntry('domain/f1', entries)
+  t.is(responsibleEntry('domain/f1', [...entries].reverse())?.id, first?.id)
+  t.not(responsibleEntry('domain/f1', entries.filter(each => each.id !== first?.id))?.id, first?.id)
   t.is(watchers('configuration', entries).length, 2)
 })
 
@@ -71,8 +71,8 @@
   clock.advance(200)
   t.is(reports.age('w'), 500)
   t.is(reports.age('x'), undefined)
-  t.deepEqual(reports.after(0, () => true).map(each => each.madeAt), [-300])
-  t.deepEqual(reports.after(1, () => true), [])
+  t.deepEqual(reports.receivedSince(0, () => true).map(each => each.madeAt), [-300])
+  t.deepEqual(reports.receivedSince(1, () => true), [])
   clock.advance(1000)
   reports.forget(1000)
   t.is(reports.of('w'), undefined)
@@ -81,14 +81,14 @@
 test('a peer is sent a complete report once, then beats, until the report changes or the peer restarts', t => {
   const clock = new ManualClock()
   const [here, there] = [new Reports(clock), new Reports(clock)]
-  const telling = new Telling(clock)
+  const sentReports = new SentReports(clock)
   const send = (): string => {
     clock.advance(1)
-    const received = here.after(telling.since('p'), () => true)
-    const { reports, beats } = telling.news('p', received)
+    const received = here.receivedSince(sentReports.since('p'), () => true)
+    const { reports, beats } = sentReports.messageFor('p', received)
     for (const each of reports) there.accept(each, 'near')
-    const lacking = beatsOf(columns(beats)).filter(each => there.beat(each, 'near') === 'lacking').map(each => each.worker)
-    telling.arrived('p', clock.now(), received, lacking)
+    const lacking = fromColumns(toColumns(beats)).filter(each => there.beat(each, 'near') === 'lacking').map(each => each.worker)
+    sentReports.recordArrival('p', clock.now(), received, lacking)
     clock.advance(1000)
     return `${reports.length} whole, ${beats.length} beats, ${lacking.length} lacking`
   }
@@ -109,7 +109,7 @@
   t.is(send(), '0 whole, 1 beats, 1 lacking')
   next(5, { serving: false })
   t.is(send(), '1 whole, 0 beats, 0 lacking')
-  telling.failed('p')
+  sentReports.recordFailure('p')
   next(6, { serving: false })
   t.is(send(), '1 whole, 0 beats, 0 lacking')
 })
