--- a/packages/run/src/book.ts
+++ b/packages/run/src/book.ts
@@ -48,7 +48,7 @@
   /** Maximum difference between the wall clocks of any two callers or workers. Default: 2000. */
   readonly skew?: number
   /** How long a key is retained after its minting. Default: 600,000. */
-  readonly keep?: number
+  readonly retention?: number
   /** Maximum number of keys. Default: 50,000. */
   readonly maxKeys?: number
   /** Maximum size of all stored answers, in bytes. Default: 16 MiB. */
@@ -66,7 +66,7 @@
  * A key may run only if this book would contain any earlier run. The book therefore refuses every key minted up to
  * `openedAt` plus two skews. An earlier home admits keys with times up to one skew ahead of its own clock, and its
  * clock may be another skew ahead of the clock of this home. The book drops a key only when the key is older than
- * `keep`, and refuses older keys.
+ * `retention`, and refuses older keys.
  */
 export class Book {
   /** The number of the tenure. */
@@ -91,7 +91,7 @@
   constructor (openedAt: number, tenure: number, options: BookOptions = {}) {
     this.tenure = tenure
     this.#skew = options.skew ?? defaultSkewMs
-    this.#retention = options.keep ?? defaultRetentionMs
+    this.#retention = options.retention ?? defaultRetentionMs
     this.#maxKeys = options.maxKeys ?? defaultMaxKeys
     this.#maxBytes = options.maxBytes ?? defaultMaxBytes
     this.#takeoverFloor = openedAt + 2 * this.#skew
@@ -157,7 +157,7 @@
   }
 
   /** Whether the request of `key` has certainly not run, here or at an earlier home. */
-  unrun (key: Key, wall: number): boolean {
+  hasNotRun (key: Key, wall: number): boolean {
     return !this.#records.has(key.text) && key.minted > this.floor(wall)
   }
 
@@ -180,7 +180,7 @@
   }
 
   /** Records that the connection to the service broke after the request was sent. */
-  lose (key: Key): void {
+  markUnknown (key: Key): void {
     const record = this.#records.get(key.text)
     if (record !== undefined) record.run = { state: 'unknown', request: record.run.request }
   }
--- a/packages/run/src/home.ts
+++ b/packages/run/src/home.ts
@@ -132,12 +132,12 @@
   }
 
   /** Records that a worker holds the slot, so that this worker does not claim it. */
-  seen (slot: number, holder: string): void {
+  recordHolder (slot: number, holder: string): void {
     if (holder !== this.#options.worker) this.#vacantSince.set(slot, this.#options.clock.now())
   }
 
   /** Replaces the list of voters. The new list may differ from the current one by one voter only. */
-  move (voters: readonly string[]): void {
+  setVoters (voters: readonly string[]): void {
     this.#voters = voters
     for (const { lease } of this.#slots.values()) lease.setGranters(voters)
   }
@@ -170,12 +170,12 @@
    * Releases all leases at a planned stop, and hands each book over to the first other voter that accepts it. The next
    * home cannot tell how requests that still run will end, so this is best called when no request runs.
    */
-  async hand (send: HandoverSender): Promise<void> {
+  async handOver (send: HandoverSender): Promise<void> {
     this.#stopped = true
     const slots = [...this.#slots]
     this.#slots.clear()
     await Promise.all(slots.map(async ([slot, { lease, book }]) => {
-      if (book !== undefined && lease.valid) await this.#sendHandover(this.#handover(slot, lease, book), send)
+      if (book !== undefined && lease.valid) await this.#sendHandover(this.#makeHandover(slot, lease, book), send)
       await lease.release()
     }))
   }
@@ -188,7 +188,7 @@
    * If the voter refuses, this worker keeps the slot. If the voter may have accepted the book, this worker runs no
    * further request of the slot: the next home decides with the book as it was sent.
    */
-  async yield (send: HandoverSender): Promise<void> {
+  async yieldSlot (send: HandoverSender): Promise<void> {
     const { clock } = this.#options
     const misplaced = this.#stopped || clock.now() < this.#nextYieldAt ? undefined : this.#misplaced()
     if (misplaced === undefined) return
@@ -197,7 +197,7 @@
     this.#vacantSince.set(slot, clock.now())
     // After an error the voter may have the book. `undefined` makes this worker release the slot, as after an
     // acceptance.
-    const taken = await send(voter, this.#handover(slot, lease, book)).catch(() => undefined)
+    const taken = await send(voter, this.#makeHandover(slot, lease, book)).catch(() => undefined)
     if (taken !== false || this.#stopped || !lease.valid) return await lease.release()
     this.#slots.set(slot, { lease, book, openedAt: clock.now() })
     this.#nextYieldAt = clock.now() + this.#minStay
@@ -234,7 +234,7 @@
     return until > now
   }
 
-  #handover (slot: number, lease: Lease, book: Book): Handover {
+  #makeHandover (slot: number, lease: Lease, book: Book): Handover {
     const { clock, service } = this.#options
     const marks = [...lease.marks].map(([voter, mark]) => ({ voter, mark }))
     return { service, slot, voters: [...this.#voters], marks, book: book.snapshot(clock.wall(), maxHandoverBytes) }
--- a/packages/run/test/book.test.ts
+++ b/packages/run/test/book.test.ts
@@ -3,7 +3,7 @@
 
 const openedAt = 1_000_000
 const tenure = 7
-const options: BookOptions = { skew: 100, keep: 10_000, maxKeys: 3, maxBytes: 100 }
+const options: BookOptions = { skew: 100, retention: 10_000, maxKeys: 3, maxBytes: 100 }
 const answer: StoredAnswer = { status: 200, headers: {}, body: Buffer.from('receipt 1') }
 
 function key (minted: number): Key {
@@ -69,7 +69,7 @@
   const [lost, abandoned] = [key(openedAt + 500), key(openedAt + 501)]
   decide(book, lost, openedAt + 510)
   decide(book, abandoned, openedAt + 510)
-  book.lose(lost)
+  book.markUnknown(lost)
   book.abandon(abandoned)
   t.is(decide(book, lost, openedAt + 520), 'lost, unknown')
   t.is(decide(book, abandoned, openedAt + 520), 'run')
@@ -100,10 +100,10 @@
   const book = new Book(openedAt, tenure, options)
   const ran = key(openedAt + 500)
   decide(book, ran, openedAt + 500)
-  t.true(book.unrun(key(openedAt + 501), openedAt + 510))
-  t.false(book.unrun(ran, openedAt + 510))
-  t.false(book.unrun(key(openedAt + 200), openedAt + 510))
-  t.false(book.unrun(key(openedAt + 501), openedAt + 20_000))
+  t.true(book.hasNotRun(key(openedAt + 501), openedAt + 510))
+  t.false(book.hasNotRun(ran, openedAt + 510))
+  t.false(book.hasNotRun(key(openedAt + 200), openedAt + 510))
+  t.false(book.hasNotRun(key(openedAt + 501), openedAt + 20_000))
 })
 
 test('only UUIDs of version 7 are accepted as keys', t => {
--- a/packages/run/test/home.test.ts
+++ b/packages/run/test/home.test.ts
@@ -142,7 +142,7 @@
   expectDecision(begin(made, 0, running), 'run')
   made.homes[0].book(0)?.finish(ran, answer)
   const handovers: Handover[] = []
-  await made.homes[0].hand(async (voter, handover) => {
+  await made.homes[0].handOver(async (voter, handover) => {
     handovers.push(handover)
     return made.homes['abc'.indexOf(voter)].inherit(JSON.parse(JSON.stringify(handover)) as Handover)
   })
@@ -190,12 +190,12 @@
   const give = async (voter: string, handover: Handover): Promise<boolean> => all.homes['abc'.indexOf(voter)].inherit(handover)
   await advance(all, 31_000)
   for (let turn = 0; turn < slotCount; turn++) {
-    for (const each of all.homes) await each.yield(give)
+    for (const each of all.homes) await each.yieldSlot(give)
     await advance(all, period)
   }
   t.is(all.homes[0].book(0), undefined, 'a slot with a running key stays at its home')
   made.homes[holder].book(0)?.finish(ran, answer)
-  await made.homes[holder].yield(give)
+  await made.homes[holder].yieldSlot(give)
   await advance(all, period)
   t.deepEqual(all.homes.map(slots), [[0, 3, 6, 9], [1, 4, 7, 10], [2, 5, 8, 11]])
   t.is(begin(all, 0, ran)?.type, 'replay')
@@ -208,7 +208,7 @@
   expectDecision(begin(made, 0, ran), 'run')
   made.homes[0].book(0)?.finish(ran, answer)
   for (const voter of ['a', 'c']) made.channel.slowRelease.add(voter)
-  await made.homes[0].hand(async (voter, handover) => made.homes['abc'.indexOf(voter)].inherit(handover))
+  await made.homes[0].handOver(async (voter, handover) => made.homes['abc'.indexOf(voter)].inherit(handover))
   const rest = { clock: made.clock, homes: made.homes.slice(1) }
   await advance(rest, 600)
   t.is(made.homes[1].book(0), undefined, 'the other voters have not received the release yet')
@@ -224,14 +224,14 @@
   await advance(late, 10 * period)
   const [, holder] = made.homes
   const before = slots(holder).length
-  await holder.yield(() => Promise.reject(new Error('not offered so soon')))
+  await holder.yieldSlot(() => Promise.reject(new Error('not offered so soon')))
   t.is(slots(holder).length, before)
   await advance(late, 31_000)
-  await holder.yield(async () => false)
-  await holder.yield(() => Promise.reject(new Error('not offered again so soon')))
+  await holder.yieldSlot(async () => false)
+  await holder.yieldSlot(() => Promise.reject(new Error('not offered again so soon')))
   t.is(slots(holder).length, before)
   await advance(late, 31_000)
-  await holder.yield(() => Promise.reject(new Error('cut')))
+  await holder.yieldSlot(() => Promise.reject(new Error('cut')))
   t.is(slots(holder).length, before - 1)
 })
 
--- a/packages/run/test/once.test.ts
+++ b/packages/run/test/once.test.ts
@@ -59,9 +59,9 @@
   }
 
   /** Hands one slot over to its preferred voter. */
-  yield (): void {
+  yieldSlot (): void {
     const channel = new WorkerChannel(this, this.#fleet, this.#base, this.#random)
-    this.homes.yield((voter, handover) => channel.give(voter, handover))
+    this.homes.yieldSlot((voter, handover) => channel.give(voter, handover))
   }
 
   #open (): void {
@@ -76,7 +76,7 @@
       nonce: () => `${this.name}/${this.incarnation}/${++this.#terms}`,
       tenure: () => ++this.#tenures,
       preferred: () => names,
-      book: { skew, keep: 20_000 },
+      book: { skew, retention: 20_000 },
       minStay: 300
     })
   }
@@ -87,9 +87,9 @@
   }
 
   /** Hands every slot over, as at a planned stop, and starts again. The grants of its granter remain. */
-  hand (): void {
+  handOver (): void {
     const channel = new WorkerChannel(this, this.#fleet, this.#base, this.#random)
-    this.homes.hand((voter, handover) => channel.give(voter, handover))
+    this.homes.handOver((voter, handover) => channel.give(voter, handover))
     this.#open()
   }
 
@@ -200,8 +200,8 @@
     if (action === 'pause') worker.clock.pause()
     if (action === 'resume') for (const each of fleet.values()) each.clock.resume()
     if (action === 'restart') worker.restart()
-    if (action === 'hand') worker.hand()
-    if (action === 'yield') worker.clock.run(() => worker.yield())
+    if (action === 'hand') worker.handOver()
+    if (action === 'yield') worker.clock.run(() => worker.yieldSlot())
     if (action === 'cut') worker.cut.add(names[which % 3])
     if (action === 'mend') worker.cut.clear()
     if (action === 'new') traces.push({ key: readKey(mintKey(base.wall() + (random() - 0.5) * skew)).unwrap(), isFresh: span % 3 === 0, executions: 0, sent: 0, outcomes: [] })
--- a/packages/worker/src/homecontroller.ts
+++ b/packages/worker/src/homecontroller.ts
@@ -72,7 +72,7 @@
     else if (assignment.revision !== this.#revision) this.#changeVoters(assignment, this.#homes)
     this.#noteOtherHolders(assignment.service)
     if (board.read('upstream').healthy) this.#homes.update()
-    if (++this.#updateCount % updatesPerYield === 0) await this.#homes.yield((voter, handover) => this.#handOver(voter, handover))
+    if (++this.#updateCount % updatesPerYield === 0) await this.#homes.yieldSlot((voter, handover) => this.#handOver(voter, handover))
     this.#publishSlots()
   }
 
@@ -80,7 +80,7 @@
   async stop (): Promise<void> {
     const homes = this.#homes
     this.#homes = undefined
-    await homes?.hand((voter, handover) => this.#handOver(voter, handover))
+    await homes?.handOver((voter, handover) => this.#handOver(voter, handover))
     this.#publishSlots()
   }
 
@@ -120,7 +120,7 @@
       nonce: v7,
       tenure: () => ++this.#tenureCount,
       preferred: (slot, names) => ranked(`${service}/${slot}`, names),
-      book: { skew, keep: keyRetention },
+      book: { skew, retention: keyRetention },
       listener: {
         held: slot => { log.write('home-held', { slot }); this.#publishSlots() },
         lost: slot => { log.write('home-lost', { slot }); this.#publishSlots() }
@@ -141,14 +141,14 @@
     this.#revision = revision
     this.#voters = voters
     this.#channel?.setPeers(voters, revision)
-    homes.move(voters.map(each => each.id))
+    homes.setVoters(voters.map(each => each.id))
   }
 
   /** Notes the slots that this worker has granted to other workers, so that it does not claim them. */
   #noteOtherHolders (service: string): void {
     for (let slot = 0; slot < slotCount; slot++) {
       const holder = this.#options.grants.holder(`home/${service}/${slot}`)
-      if (holder !== undefined) this.#homes?.seen(slot, holder)
+      if (holder !== undefined) this.#homes?.recordHolder(slot, holder)
     }
   }
 
--- a/packages/worker/src/plain.ts
+++ b/packages/worker/src/plain.ts
@@ -51,7 +51,7 @@
   #refuse (inbound: InboundRequest, fault: Fault): void {
     const { book, clock } = this.#options
     const key = inbound.key === undefined ? undefined : readKey(inbound.key).unwrapOr(undefined)
-    const hasNotRun = key !== undefined && book(key)?.unrun(key, clock.wall()) === true
+    const hasNotRun = key !== undefined && book(key)?.hasNotRun(key, clock.wall()) === true
     if (hasNotRun || fault.code === 'key-in-future') inbound.response.setHeader(wireHeaders.judged, '1')
     answerFault(inbound.response, fault)
   }
@@ -107,7 +107,7 @@
       },
       failed: failure => {
         ticket.done()
-        if (failure.sent) slotBook.lose(key)
+        if (failure.sent) slotBook.markUnknown(key)
         else slotBook.abandon(key)
         answerFault(inbound.response, callFault(failure))
       }
