--- a/packages/trial/test/configuration.test.ts
+++ b/packages/trial/test/configuration.test.ts
@@ -4,7 +4,7 @@
 import { Fleet, modelName, trialKey, type FleetEntry } from '../src/index.js'
 
 /**
- * Maximum time from "accepted" until a change is in force at every entry, in ms. The users' first letter requires it.
+ * Maximum time from "accepted" until a change is in force at every entry, in ms. It is the required bound (docs/CAPACITY.md).
  */
 const maxPropagationMs = 6000
 
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -26,7 +26,7 @@
   {
     name: 'grant-after-restart',
     point: 1,
-    rule: 'a granter that has just started waits out the longest grant',
+    rule: 'a granter that has just started gives no grants until the longest possible grant of its predecessor has expired',
     file: 'packages/lease/dist/src/granter.js',
     find: 'now < this.#openAt',
     replace: 'false',
@@ -46,7 +46,7 @@
   {
     name: 'grant-two-holders',
     point: 2,
-    rule: 'a granter gives a resource to one holder and term at a time',
+    rule: 'a granter grants a resource to one holder and term at a time',
     file: 'packages/lease/dist/src/granter.js',
     find: '!free && !same',
     replace: 'false',
@@ -139,7 +139,7 @@
   {
     name: 'run-one-skew',
     point: 5,
-    rule: 'the floor is the take-over plus both skews, the callers\' and the workers\'',
+    rule: 'the floor is the time of the takeover plus two skews, one of the callers and one of the workers',
     file: 'packages/run/dist/src/book.js',
     find: 'openedAt + 2 * this.#skew',
     replace: 'openedAt + this.#skew',
@@ -149,7 +149,7 @@
   {
     name: 'run-fresh-late',
     point: 5,
-    rule: 'a key minted by the entry is taken as new only in the tenure of the home that it was minted for',
+    rule: 'a key minted by the entry counts as new only in the tenure for which it was minted',
     file: 'packages/run/dist/src/book.js',
     find: 'mintedFor === this.tenure ? this.#retentionFloor',
     replace: 'mintedFor !== undefined ? this.#retentionFloor',
@@ -159,7 +159,7 @@
   {
     name: 'run-without-lease',
     point: 5,
-    rule: 'a worker runs keyed requests only while its lease of the slot stands',
+    rule: 'a worker runs keyed requests only while its lease of the slot is valid',
     file: 'packages/run/dist/src/home.js',
     find: 'held?.lease.valid === true ? held.book : undefined',
     replace: 'held?.book',
@@ -169,7 +169,7 @@
   {
     name: 'run-forgets',
     point: 5,
-    rule: 'a forgotten key is refused also after the wall clock stepped back',
+    rule: 'a dropped key is refused even after the wall clock stepped back',
     file: 'packages/run/dist/src/book.js',
     find: 'this.#forgottenUpTo = Math.max(this.#forgottenUpTo, wall - this.#retention)',
     replace: 'this.#forgottenUpTo = wall - this.#retention',
@@ -202,7 +202,7 @@
   {
     name: 'head-without-check',
     point: 1,
-    rule: 'the head looks at its grants before each part that it passes on',
+    rule: 'the head checks its grants before it forwards each part of an answer',
     file: 'packages/worker/dist/src/head.js',
     find: 'tenure !== undefined && tenure.lease.valid && this.#ready(tenure)',
     replace: 'tenure !== undefined',
@@ -242,7 +242,7 @@
   {
     name: 'revision-falls',
     point: 8,
-    rule: 'a process takes newer configurations only',
+    rule: 'a process accepts newer configurations only',
     file: 'packages/config/dist/src/current.js',
     find: 'configuration.revision <= this.#configuration.revision',
     replace: 'false',
@@ -348,7 +348,7 @@
   {
     name: 'run-fresh-forgotten',
     point: 5,
-    rule: 'a key older than its home is remembered as long as any other',
+    rule: 'a key minted before the takeover floor is retained as long as any other key',
     file: 'packages/run/dist/src/book.js',
     find: 'const oldest = this.#retentionFloor(wall)',
     replace: 'const oldest = this.floor(wall)',
@@ -358,7 +358,7 @@
   {
     name: 'handover-running-forgotten',
     point: 5,
-    rule: 'what still runs when a book is handed over is unknown to the next home',
+    rule: 'a request that still runs when its book is handed over has the state `unknown` at the next home',
     file: 'packages/run/dist/src/book.js',
     find: "if (run.state === 'running')\n                return { key: key.text, request: run.request, state: 'unknown' }",
     replace: "if (run.state === 'running')\n                return { key: 'none', request: run.request, state: 'unknown' }",
@@ -368,7 +368,7 @@
   {
     name: 'handover-second-claim',
     point: 5,
-    rule: 'a claim for which a book waits goes on with its term',
+    rule: 'a claim for which a book waits continues with its term',
     file: 'packages/run/dist/src/home.js',
     find: 'if (this.#awaitsInheritance(slot, now))\n            return;',
     replace: '',
@@ -378,7 +378,7 @@
   {
     name: 'handover-unused',
     point: 5,
-    rule: 'a home that goes away as planned leaves its book to the next one',
+    rule: 'the next home uses the book that a home hands over at a planned stop',
     file: 'packages/run/dist/src/home.js',
     find: 'handover !== undefined && isDirectSuccessor(handover, held.lease.marks, this.#voters)',
     replace: 'false',
@@ -388,7 +388,7 @@
   {
     name: 'leaver-keeps-homes',
     point: 6,
-    rule: 'a plain worker that is told to leave hands its slots over',
+    rule: 'a plain worker that must leave hands its slots over',
     file: 'packages/worker/dist/src/homecontroller.js',
     find: "board.read('mustLeave')",
     replace: 'false',
@@ -401,7 +401,7 @@
   {
     name: 'vote-without-list',
     point: 5,
-    rule: 'a voter that has started gives no vote before it was told the list of voters',
+    rule: 'a voter that has just started gives no vote until it has received the list of voters',
     file: 'packages/worker/dist/src/calls.js',
     find: "if (assignment?.kind !== 'plain')\n            return true",
     replace: "if (assignment?.kind !== 'plain')\n            return false",
@@ -411,7 +411,7 @@
   {
     name: 'vote-by-old-list',
     point: 5,
-    rule: 'a voter gives no vote by an earlier list than it knows',
+    rule: 'a voter gives no vote under a list of voters older than the newest that it has received',
     file: 'packages/worker/dist/src/calls.js',
     find: 'return revision < this.#newestVotersRevision',
     replace: 'return false',
@@ -421,7 +421,7 @@
   {
     name: 'placement-unconditional',
     point: 2,
-    rule: 'a placement is written only over the version that it was planned on',
+    rule: 'a placement is written only if the stored version is the one that it was planned from',
     file: 'packages/entry/dist/src/planning.js',
     find: 'placement.revision - 1)',
     replace: "(await store.read('placement/' + domain)).unwrapOr({ version: 0 }).version)",
@@ -431,7 +431,7 @@
   {
     name: 'placement-falls',
     point: 2,
-    rule: 'an entry takes newer placements only',
+    rule: 'an entry accepts newer placements only',
     file: 'packages/entry/dist/src/facts.js',
     find: 'found.revision > known.revision',
     replace: 'true',
@@ -444,7 +444,7 @@
   {
     name: 'sessions-kept',
     point: 7,
-    rule: 'a replica that stops as planned hands its sessions on',
+    rule: 'a replica hands its sessions over at a planned stop',
     file: 'packages/worker/dist/src/head.js',
     find: 'await this.#options.handOverSessions(tenure.assignment)',
     replace: 'await undefined',
@@ -508,7 +508,7 @@
   {
     name: 'reset-is-whole',
     point: 3,
-    rule: 'an answer that was reset is not whole (MIXED)',
+    rule: 'an answer whose connection was reset is incomplete (MIXED)',
     file: 'packages/wire/dist/src/connections.js',
     find: 'ending === \'reset\' || ',
     replace: '',
