--- a/packages/entry/src/calls.ts
+++ b/packages/entry/src/calls.ts
@@ -2,10 +2,10 @@
  * Answers the calls of workers and other entries: reports of workers, exchanges between entries, and reads of the
  * configuration. Owns no state. It reads and writes the board.
  */
-import { type Current } from '@eiderwind/config'
+import { type CurrentConfiguration } from '@eiderwind/config'
 import { type Configuration, type Peer, type Report, type ReportAnswer } from '@eiderwind/schema'
-import { beatsOf, reportTargets, type Reports } from '@eiderwind/spread'
-import { EntryCalls, type Exchange, type ExchangeAnswer, type Known } from '@eiderwind/wire'
+import { fromColumns, reportTargets, type Reports } from '@eiderwind/spread'
+import { EntryCalls, type ExchangeMessage, type ExchangeAnswer, type KnownState } from '@eiderwind/wire'
 import { assignment } from './assignment.js'
 import { knownDigest, updateSender, type EntryBoard } from './facts.js'
 import { type Peers } from './peers.js'
@@ -13,15 +13,15 @@
 /** Dependencies of the calls of an entry. */
 export interface CallsOptions {
   readonly board: EntryBoard
-  readonly current: Current
+  readonly current: CurrentConfiguration
   readonly reports: Reports
   readonly peers: Peers
   /** Data centre of this entry. */
   readonly dataCentre: string
   /** The heads that serve a model service in this entry's region. */
   readonly heads: (service: string) => Peer[]
-  /** Fetches from another entry the state that this entry lacks. `known` is the digest of the other entry's state. */
-  readonly fetchMissing: (address: string, revision: number, known: number) => Promise<void>
+  /** Fetches from another entry the state that this entry lacks (`Spreader.fetchMissing`). */
+  readonly fetchMissing: (address: string, revision: number, peerDigest: number) => Promise<void>
 }
 
 /** Answers the calls of workers and other entries. */
@@ -48,13 +48,13 @@
     }
   }
 
-  async exchange ({ from, revision, known, reports, beats }: Exchange): Promise<ExchangeAnswer> {
+  async exchange ({ from, revision, known, reports, beats }: ExchangeMessage): Promise<ExchangeAnswer> {
     const { board, current, peers, fetchMissing } = this.#options
     updateSender(board, from)
     peers.recordContact(from.id)
     const source = from.dataCentre === this.#options.dataCentre ? 'near' : 'far'
     for (const aged of reports) this.#options.reports.accept(aged, source)
-    const lacking = beatsOf(beats).filter(beat => this.#options.reports.beat(beat, source) === 'lacking').map(each => each.worker)
+    const lacking = fromColumns(beats).filter(beat => this.#options.reports.beat(beat, source) === 'lacking').map(each => each.worker)
     const local = { revision: current.revision, known: knownDigest(board), lacking }
     // A failed fetch is not repeated here. The next exchange finds the same difference and fetches again.
     if (revision > local.revision || known !== local.known) fetchMissing(from.peer, revision, known).catch(() => {})
@@ -69,7 +69,7 @@
     return this.#options.heads(service)
   }
 
-  async known (): Promise<Known> {
+  async known (): Promise<KnownState> {
     const { board } = this.#options
     const nodes = board.read('nodes')
     return {
--- a/packages/entry/src/stream.ts
+++ b/packages/entry/src/stream.ts
@@ -3,7 +3,7 @@
  * has received (`transcript.ts`). A stream is complete only with its end mark.
  */
 import { Fault } from '@eiderwind/fault'
-import { answerFault, callerHeaders, endToEnd, send, wireHeaders, type AnswerHeaders } from '@eiderwind/wire'
+import { answerFault, callerHeaders, endToEndHeaders, send, wireHeaders, type AnswerHeaders } from '@eiderwind/wire'
 import { attemptCall } from './attempting.js'
 import { type Completion } from './completion.js'
 import { type Context } from './context.js'
@@ -17,7 +17,7 @@
 /** Pause before a stream that has begun searches for a replica again, in ms. */
 const resumePause = 200
 
-/** Time after its first failed attempt for which a stream that has begun may search for a replica, in ms. */
+/** A stream that has begun may search for a replica for this time after its first failed attempt, in ms. */
 const maxResumeWait = 60_000
 
 /**
@@ -48,13 +48,13 @@
     const { response } = this.#exchange
     let last = new Fault('no-replica')
     let mayHaveRun = false
-    let lostAt = Infinity
+    let firstFailureAt = Infinity
     budget.deposit()
     for (let tries = 0; timeLeft(this.#exchange, clock) > 0 && !response.destroyed; tries++) {
       const target = this.#choice.next()
       if (!this.#begun && (target === undefined || (tries > 0 && !budget.withdraw()))) break
       if (target === undefined) {
-        if (clock.now() - lostAt > maxResumeWait) break
+        if (clock.now() - firstFailureAt > maxResumeWait) break
         this.#choice.reset()
         await clock.wait(resumePause)
         continue
@@ -68,7 +68,7 @@
       this.#recordFailure(target, end.failure)
       if (end.failure.outcome !== 'not-run') mayHaveRun = true
       if (mayHaveRun && !this.#exchange.repeatable) break
-      lostAt = Math.min(lostAt, clock.now())
+      firstFailureAt = Math.min(firstFailureAt, clock.now())
     }
     this.#endFailed(accountForEarlierTries(finalFault(last, mayHaveRun), this.#exchange.key))
   }
@@ -125,7 +125,7 @@
     if (this.#begun) return
     this.#begun = true
     metric.timing('request.first_byte_ms', clock.now() - this.#exchange.startedAt, { service: this.#exchange.service })
-    const { [wireHeaders.attempt]: _attempt, ...kept } = endToEnd(headers)
+    const { [wireHeaders.attempt]: _attempt, ...kept } = endToEndHeaders(headers)
     this.#exchange.response.writeHead(200, kept)
     this.#exchange.response.flushHeaders()
   }
@@ -140,7 +140,7 @@
   #forwardAnswer (status: number, headers: AnswerHeaders, body: Buffer): PartEnd {
     const { response } = this.#exchange
     if (this.#begun) return { type: 'failed', failure: failure(new Fault('interrupted')) }
-    const { [wireHeaders.attempt]: _attempt, ...kept } = endToEnd(headers)
+    const { [wireHeaders.attempt]: _attempt, ...kept } = endToEndHeaders(headers)
     response.writeHead(status, { ...kept, 'content-length': body.length })
     response.end(body)
     return { type: 'done' }
--- a/packages/wire/src/calls.ts
+++ b/packages/wire/src/calls.ts
@@ -6,19 +6,23 @@
 import { initTRPC } from '@trpc/server'
 import { z } from 'zod'
 import { type Answer } from '@eiderwind/lease'
-import { Configuration, EntryAddress, Handover, Report, type Homes, type Node, type Peer, type Placement, type ReportAnswer } from '@eiderwind/schema'
+import { Configuration, EntryAddress, Handover, Report, type VoterList, type Node, type Peer, type Placement, type ReportAnswer } from '@eiderwind/schema'
 
 const Claim = z.object({
   resource: z.string(),
   holder: z.string(),
   term: z.string(),
+  /** Duration of the lease, in ms. */
   period: z.number(),
   /** Revision of the holder's list of granters. */
   revision: z.int()
 })
+/** `age` is the time since the attempt was sent, in ms. */
 const Settle = z.object({ attempt: z.string(), incarnation: z.string(), age: z.number() })
 const HeadsInput = z.object({ service: z.string() })
+/** A report with its age, in ms. */
 const AgedReport = z.object({ report: Report, age: z.number() })
+/** The counters of reports, one array for each column. Row `i` is the report of `workers[i]`. Ages are in ms. */
 const ReportCounters = z.object({
   workers: z.array(z.string()),
   stamps: z.array(z.number()),
@@ -50,7 +54,7 @@
 export type SettleAnswer = 'tombstoned' | 'started' | 'stranger'
 
 /** The message that an entry sends to another entry at intervals. */
-export const Exchange = z.object({
+export const ExchangeMessage = z.object({
   from: EntryAddress,
   /** The configuration revision in force at the sender. */
   revision: z.int(),
@@ -61,7 +65,7 @@
   /** Only the counters of reports that the receiver already has, one array for each column. */
   beats: ReportCounters
 })
-export type Exchange = z.infer<typeof Exchange>
+export type ExchangeMessage = z.infer<typeof ExchangeMessage>
 
 /** The state of the receiver of an exchange, from which the sender sees what it should fetch itself. */
 export interface ExchangeAnswer {
@@ -72,12 +76,12 @@
 }
 
 /** An entry's copies of placements, homes, entries and nodes. */
-export interface Known {
+export interface KnownState {
   readonly placements: readonly Placement[]
-  readonly homes: readonly Homes[]
+  readonly homes: readonly VoterList[]
   readonly entries: readonly EntryAddress[]
   readonly nodes: readonly Node[]
-  /** Wall time at which the present node list was first seen, in ms. */
+  /** When the current node list was first seen, in ms of the wall clock. */
   readonly nodesSeen: number
 }
 
@@ -86,17 +90,17 @@
   abstract claim (message: ClaimMessage): Promise<ClaimAnswer>
   abstract release (message: ClaimMessage): Promise<void>
   abstract settle (message: SettleMessage): Promise<SettleAnswer>
-  /** Offers the records of a slot of keys. Resolves to whether they were accepted. */
+  /** Offers this worker the records of a slot of idempotency keys. Resolves to whether it accepted them. */
   abstract inherit (handover: Handover): Promise<boolean>
 }
 
 /** The calls that an entry answers to workers and other entries. */
 export abstract class EntryCalls {
   abstract report (report: Report): Promise<ReportAnswer>
-  abstract exchange (message: Exchange): Promise<ExchangeAnswer>
+  abstract exchange (message: ExchangeMessage): Promise<ExchangeAnswer>
   abstract configuration (): Promise<Configuration>
-  abstract known (): Promise<Known>
-  /** The heads of the serving replicas of a model service in the entry's region. Each `id` is that of the replica. */
+  abstract known (): Promise<KnownState>
+  /** The heads of the serving replicas of a model service in the entry's region. Each `id` is the id of the replica. */
   abstract heads (message: { readonly service: string }): Promise<Peer[]>
   /** Sends a configuration that has just been accepted. Resolves to the revision in force afterwards. */
   abstract offer (configuration: Configuration): Promise<number>
@@ -120,7 +124,7 @@
 export function entryRouter (calls: EntryCalls) {
   return trpc.router({
     report: trpc.procedure.input(Report).mutation(({ input }) => calls.report(input)),
-    exchange: trpc.procedure.input(Exchange).mutation(({ input }) => calls.exchange(input)),
+    exchange: trpc.procedure.input(ExchangeMessage).mutation(({ input }) => calls.exchange(input)),
     configuration: trpc.procedure.query(() => calls.configuration()),
     heads: trpc.procedure.input(HeadsInput).mutation(({ input }) => calls.heads(input)),
     known: trpc.procedure.query(() => calls.known()),
--- a/packages/wire/src/relay.ts
+++ b/packages/wire/src/relay.ts
@@ -11,7 +11,7 @@
   readonly response: ServerResponse
   /** Headers added to those of the answer. */
   readonly headers?: Readonly<Record<string, string>>
-  /** Checked before each part is forwarded; false closes both connections. Default: always true. */
+  /** Called before each part is forwarded. If it returns false, both connections are closed. Default: always true. */
   readonly guard?: () => boolean
   /** Called once when an answer that had begun has ended. `whole` is false if the answer is incomplete. */
   readonly done: (whole: boolean) => void
@@ -35,7 +35,7 @@
     if (!this.#checkGuard()) return
     this.#begun = true
     const { response, headers: more } = this.#options
-    response.writeHead(status, { ...endToEnd(headers), ...more })
+    response.writeHead(status, { ...endToEndHeaders(headers), ...more })
     response.flushHeaders()
   }
 
@@ -76,7 +76,7 @@
 }
 
 /** The headers of an answer, without the headers that belong to one connection (RFC 9110, section 7.6.1). */
-export function endToEnd (headers: AnswerHeaders): Record<string, string | string[]> {
+export function endToEndHeaders (headers: AnswerHeaders): Record<string, string | string[]> {
   const forwarded: Record<string, string | string[]> = {}
   for (const [name, value] of Object.entries(headers)) {
     if (value !== undefined && !hopHeaders.has(name)) forwarded[name] = value
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -26,27 +26,27 @@
   {
     name: 'grant-after-restart',
     point: 1,
-    rule: 'a granter that has just started waits out the longest grant',
+    rule: 'a granter that has just started gives no grants until the longest possible grant of its predecessor has expired',
     file: 'packages/lease/dist/src/granter.js',
     find: 'now < this.#openAt',
     replace: 'false',
     test: 'packages/lease/dist/test/granter.test.js',
-    title: 'a granter that has started gives nothing*'
+    title: 'a granter that has started refuses claims*'
   },
   {
     name: 'grant-from-receipt',
     point: 1,
     rule: 'a holder counts a grant from when its request was sent',
     file: 'packages/lease/dist/src/lease.js',
-    find: 'this.#holding.granted(granter, sent)',
-    replace: 'this.#holding.granted(granter, clock.bootNow())',
+    find: 'this.#holding.withGrant(granter, sent)',
+    replace: 'this.#holding.withGrant(granter, clock.bootNow())',
     test: 'packages/lease/dist/test/exclusion.test.js',
-    title: 'a grant whose answer came late*'
+    title: 'a grant whose answer arrives late*'
   },
   {
     name: 'grant-two-holders',
     point: 2,
-    rule: 'a granter gives a resource to one holder and term at a time',
+    rule: 'a granter grants a resource to one holder and term at a time',
     file: 'packages/lease/dist/src/granter.js',
     find: '!free && !same',
     replace: 'false',
@@ -71,7 +71,7 @@
     find: "quorum === 'all' ? granters.length",
     replace: "quorum === 'all' ? granters.length - 1",
     test: 'packages/lease/dist/test/exclusion.test.js',
-    title: 'a holder whose member was lost*'
+    title: 'a holder whose granter is unreachable*'
   },
   {
     name: 'stand-beside-a-leader',
@@ -131,7 +131,7 @@
     point: 5,
     rule: 'a home refuses keys minted before it took its slot over',
     file: 'packages/run/dist/src/book.js',
-    find: 'const floor = fresh === this.tenure ? this.#oldest(wall) : this.floor(wall)',
+    find: 'const floor = mintedFor === this.tenure ? this.#retentionFloor(wall) : this.floor(wall)',
     replace: 'const floor = -Infinity',
     test: 'packages/run/dist/test/once.test.js',
     title: 'a key runs at most once*'
@@ -139,40 +139,40 @@
   {
     name: 'run-one-skew',
     point: 5,
-    rule: 'the floor is the take-over plus both skews, the callers\' and the workers\'',
+    rule: 'the floor is the time of the takeover plus two skews, one of the callers and one of the workers',
     file: 'packages/run/dist/src/book.js',
     find: 'openedAt + 2 * this.#skew',
     replace: 'openedAt + this.#skew',
     test: 'packages/run/dist/test/book.test.js',
-    title: 'a key minted at the take-over*'
+    title: 'a key minted exactly two skews after the takeover*'
   },
   {
     name: 'run-fresh-late',
     point: 5,
-    rule: 'a key minted by the entry is taken as new only in the tenure of the home that it was minted for',
+    rule: 'a key minted by the entry counts as new only in the tenure for which it was minted',
     file: 'packages/run/dist/src/book.js',
-    find: 'fresh === this.tenure ? this.#oldest',
-    replace: 'fresh !== undefined ? this.#oldest',
+    find: 'mintedFor === this.tenure ? this.#retentionFloor',
+    replace: 'mintedFor !== undefined ? this.#retentionFloor',
     test: 'packages/run/dist/test/book.test.js',
     title: 'a key minted by the entry for an earlier*'
   },
   {
     name: 'run-without-lease',
     point: 5,
-    rule: 'a worker runs keyed requests only while its lease of the slot stands',
+    rule: 'a worker runs keyed requests only while its lease of the slot is valid',
     file: 'packages/run/dist/src/home.js',
     find: 'held?.lease.valid === true ? held.book : undefined',
     replace: 'held?.book',
     test: 'packages/run/dist/test/home.test.js',
-    title: 'a home looks at its lease*'
+    title: 'a home checks its lease*'
   },
   {
     name: 'run-forgets',
     point: 5,
-    rule: 'a forgotten key is refused also after the wall clock stepped back',
+    rule: 'a dropped key is refused even after the wall clock stepped back',
     file: 'packages/run/dist/src/book.js',
-    find: 'this.#forgotten = Math.max(this.#forgotten, wall - this.#keep)',
-    replace: 'this.#forgotten = wall - this.#keep',
+    find: 'this.#forgottenUpTo = Math.max(this.#forgottenUpTo, wall - this.#retention)',
+    replace: 'this.#forgottenUpTo = wall - this.#retention',
     test: 'packages/run/dist/test/book.test.js',
     title: 'a full book*'
   },
@@ -202,7 +202,7 @@
   {
     name: 'head-without-check',
     point: 1,
-    rule: 'the head looks at its grants before each part that it passes on',
+    rule: 'the head checks its grants before it forwards each part of an answer',
     file: 'packages/worker/dist/src/head.js',
     find: 'tenure !== undefined && tenure.lease.valid && this.#ready(tenure)',
     replace: 'tenure !== undefined',
@@ -224,17 +224,17 @@
     point: 4,
     rule: 'a change whose write may have taken effect is never reported as not run',
     file: 'packages/config/dist/src/writer.js',
-    find: 'return Err(sent ? new Fault(\'store-unknown\') : read.error)',
+    find: 'return Err(mayBeApplied ? new Fault(\'store-unknown\') : read.error)',
     replace: 'return Err(read.error)',
     test: 'packages/config/dist/test/writer.test.js',
-    title: 'a change where the answer is lost and the store goes down*'
+    title: 'a change for which the answer is lost and the store stays down*'
   },
   {
     name: 'change-lost-answer',
     point: 8,
     rule: 'the writer recognises its own change by the operation id',
     file: 'packages/config/dist/src/writer.js',
-    find: 'configuration.audit.some(record => record.operation === order.operation)',
+    find: 'configuration.audit.some(record => record.operation === request.operation)',
     replace: 'false',
     test: 'packages/config/dist/test/writer.test.js',
     title: 'every accepted change stays*'
@@ -242,12 +242,12 @@
   {
     name: 'revision-falls',
     point: 8,
-    rule: 'a process takes newer configurations only',
+    rule: 'a process accepts newer configurations only',
     file: 'packages/config/dist/src/current.js',
     find: 'configuration.revision <= this.#configuration.revision',
     replace: 'false',
     test: 'packages/config/dist/test/writer.test.js',
-    title: 'the revision of a process only rises*'
+    title: 'the revision of a process never decreases*'
   }
 )
 
@@ -338,49 +338,49 @@
   {
     name: 'handover-unchecked',
     point: 5,
-    rule: 'a home goes by a book handed over only if the marks of a majority show that nobody held the slot in between',
+    rule: 'a home uses a book handed over only if the marks of a majority show that no other home held the slot in between',
     file: 'packages/run/dist/src/inheritance.js',
     find: 'following.length > voters.length / 2',
     replace: 'true',
     test: 'packages/run/dist/test/home.test.js',
-    title: 'a book is of no use*'
+    title: 'a book that was handed over is not used*'
   },
   {
     name: 'run-fresh-forgotten',
     point: 5,
-    rule: 'a key older than its home is remembered as long as any other',
+    rule: 'a key minted before the takeover floor is retained as long as any other key',
     file: 'packages/run/dist/src/book.js',
-    find: 'const oldest = this.#oldest(wall)',
+    find: 'const oldest = this.#retentionFloor(wall)',
     replace: 'const oldest = this.floor(wall)',
     test: 'packages/run/dist/test/book.test.js',
-    title: 'a key older than its home*'
+    title: 'a key minted before the takeover floor, for*'
   },
   {
     name: 'handover-running-forgotten',
     point: 5,
-    rule: 'what still runs when a book is handed over is unknown to the next home',
+    rule: 'a request that still runs when its book is handed over has the state `unknown` at the next home',
     file: 'packages/run/dist/src/book.js',
     find: "if (run.state === 'running')\n                return { key: key.text, request: run.request, state: 'unknown' }",
     replace: "if (run.state === 'running')\n                return { key: 'none', request: run.request, state: 'unknown' }",
     test: 'packages/run/dist/test/home.test.js',
-    title: 'a home that gives its slots up*'
+    title: 'after a planned handover*'
   },
   {
     name: 'handover-second-claim',
     point: 5,
-    rule: 'a claim for which a book waits goes on with its term',
+    rule: 'a claim for which a book waits continues with its term',
     file: 'packages/run/dist/src/home.js',
-    find: 'if (this.#awaits(slot, now))\n            return;',
+    find: 'if (this.#awaitsInheritance(slot, now))\n            return;',
     replace: '',
     test: 'packages/run/dist/test/home.test.js',
-    title: 'a book fits also*'
+    title: 'a book that was handed over is used even*'
   },
   {
     name: 'handover-unused',
     point: 5,
-    rule: 'a home that goes away as planned leaves its book to the next one',
+    rule: 'the next home uses the book that a home hands over at a planned stop',
     file: 'packages/run/dist/src/home.js',
-    find: 'handover !== undefined && follows(handover, held.lease.marks, this.#voters)',
+    find: 'handover !== undefined && isDirectSuccessor(handover, held.lease.marks, this.#voters)',
     replace: 'false',
     test: 'packages/trial/dist/test/handover.test.js',
     title: 'when a home is*'
@@ -388,9 +388,9 @@
   {
     name: 'leaver-keeps-homes',
     point: 6,
-    rule: 'a plain worker that is told to leave hands its slots over',
-    file: 'packages/worker/dist/src/homekeeper.js',
-    find: "board.read('told')",
+    rule: 'a plain worker that must leave hands its slots over',
+    file: 'packages/worker/dist/src/homecontroller.js',
+    find: "board.read('mustLeave')",
     replace: 'false',
     test: 'packages/trial/dist/test/leaving.test.js',
     title: 'the keys of a plain worker*'
@@ -401,7 +401,7 @@
   {
     name: 'vote-without-list',
     point: 5,
-    rule: 'a voter that has started gives no vote before it was told the list of voters',
+    rule: 'a voter that has just started gives no vote until it has received the list of voters',
     file: 'packages/worker/dist/src/calls.js',
     find: "if (assignment?.kind !== 'plain')\n            return true",
     replace: "if (assignment?.kind !== 'plain')\n            return false",
@@ -411,9 +411,9 @@
   {
     name: 'vote-by-old-list',
     point: 5,
-    rule: 'a voter gives no vote by an earlier list than it knows',
+    rule: 'a voter gives no vote under a list of voters older than the newest that it has received',
     file: 'packages/worker/dist/src/calls.js',
-    find: 'return revision < this.#votersSeen',
+    find: 'return revision < this.#newestVotersRevision',
     replace: 'return false',
     test: 'packages/worker/dist/test/calls.test.js',
     title: 'a voter that knows a later list*'
@@ -421,7 +421,7 @@
   {
     name: 'placement-unconditional',
     point: 2,
-    rule: 'a placement is written only over the version that it was planned on',
+    rule: 'a placement is written only if the stored version is the one that it was planned from',
     file: 'packages/entry/dist/src/planning.js',
     find: 'placement.revision - 1)',
     replace: "(await store.read('placement/' + domain)).unwrapOr({ version: 0 }).version)",
@@ -431,7 +431,7 @@
   {
     name: 'placement-falls',
     point: 2,
-    rule: 'an entry takes newer placements only',
+    rule: 'an entry accepts newer placements only',
     file: 'packages/entry/dist/src/facts.js',
     find: 'found.revision > known.revision',
     replace: 'true',
@@ -444,9 +444,9 @@
   {
     name: 'sessions-kept',
     point: 7,
-    rule: 'a replica that stops as planned hands its sessions on',
+    rule: 'a replica hands its sessions over at a planned stop',
     file: 'packages/worker/dist/src/head.js',
-    find: 'await this.#options.hand(tenure.assignment)',
+    find: 'await this.#options.handOverSessions(tenure.assignment)',
     replace: 'await undefined',
     test: 'packages/trial/dist/test/sessions.test.js',
     title: 'a replica whose node*'
@@ -508,12 +508,12 @@
   {
     name: 'reset-is-whole',
     point: 3,
-    rule: 'an answer that was reset is not whole (MIXED)',
+    rule: 'an answer whose connection was reset is incomplete (MIXED)',
     file: 'packages/wire/dist/src/connections.js',
     find: 'ending === \'reset\' || ',
     replace: '',
     test: 'packages/wire/dist/test/connections.test.js',
-    title: 'no length, reset: incomplete'
+    title: 'an answer with no length, reset: incomplete'
   },
   {
     name: 'foreign-answer',
@@ -523,7 +523,7 @@
     find: 'answerHeader(headers, names.request) === id',
     replace: 'true',
     test: 'platform/dist/test/path.test.js',
-    title: 'what a worker says that it did not run*'
+    title: 'a request that a worker refuses as not run*'
   },
   {
     name: 'repeat-after-loss',
@@ -533,7 +533,7 @@
     find: 'result.kind !== \'not-run\' && !repeatable',
     replace: 'false',
     test: 'platform/dist/test/path.test.js',
-    title: 'what a worker says that it did not run*'
+    title: 'a request that a worker refuses as not run*'
   },
   {
     name: 'keys-unconfirmed',
@@ -653,7 +653,7 @@
     find: 'includes(leavingValue)',
     replace: 'includes(leavingValue) && false',
     test: 'platform/dist/test/leaving.test.js',
-    title: 'a plain worker that says in an answer*'
+    title: 'a plain worker that announces in an answer*'
   },
   {
     name: 'written-though-resting',
