--- a/packages/crashes/src/crashes.ts
+++ b/packages/crashes/src/crashes.ts
@@ -102,13 +102,13 @@
   }
 
   /** Records that a request has completed. */
-  served (request: RequestIdentity): void {
+  recordCompleted (request: RequestIdentity): void {
     if (this.#history.isEmpty || !this.#history.clear(request.fingerprint)) return
     this.#reports.addClearance(request.fingerprint)
   }
 
   /** Records that the connection of a request to an upstream broke. */
-  broke ({ fingerprint }: RequestIdentity, upstream: UpstreamAddress): void {
+  recordBroken ({ fingerprint }: RequestIdentity, upstream: UpstreamAddress): void {
     const at = this.#options.clock.now()
     this.#history.suspect({ upstream: upstream.id, at, requests: [fingerprint] })
     const gathered = this.#unreported.get(upstream.id)
--- a/packages/crashes/test/fleet.ts
+++ b/packages/crashes/test/fleet.ts
@@ -12,8 +12,8 @@
   mayTry (request: RequestIdentity): boolean
   readonly underTrial: ReadonlySet<string>
   beginTrial (request: RequestIdentity, upstream: string): Trial | undefined
-  broke (request: RequestIdentity, upstream: { readonly id: string, readonly address: string }): void
-  served (request: RequestIdentity): void
+  recordBroken (request: RequestIdentity, upstream: { readonly id: string, readonly address: string }): void
+  recordCompleted (request: RequestIdentity): void
 }
 
 /**
@@ -34,11 +34,11 @@
 
   beginTrial (): undefined {}
 
-  broke ({ fingerprint }: RequestIdentity, { id }: { readonly id: string }): void {
+  recordBroken ({ fingerprint }: RequestIdentity, { id }: { readonly id: string }): void {
     this.#crashes.set(fingerprint, (this.#crashes.get(fingerprint) ?? new Set()).add(id))
   }
 
-  served ({ fingerprint }: RequestIdentity): void {
+  recordCompleted ({ fingerprint }: RequestIdentity): void {
     this.#crashes.delete(fingerprint)
   }
 }
@@ -249,7 +249,7 @@
     this.#running = this.#running.filter(each => now < each.endsAt)
     for (const { request, gateway, trial } of ended) {
       trial?.end()
-      gateway.served(request)
+      gateway.recordCompleted(request)
       this.#served++
     }
   }
@@ -264,7 +264,7 @@
     this.#running = this.#running.filter(each => each.head !== head)
     for (const { request, gateway, trial } of lost) {
       trial?.end()
-      gateway.broke(request, { id: head, address: head })
+      gateway.recordBroken(request, { id: head, address: head })
       this.#retry(request)
     }
   }
--- a/packages/detect/src/backoff.ts
+++ b/packages/detect/src/backoff.ts
@@ -44,7 +44,7 @@
    * pause from now on, in ms. Returns 0 for a tolerated refusal, and for a request that was sent before the last
    * counted refusal, which has already set the pause.
    */
-  refused (id: string, sentAt: number, now: number): number {
+  recordRefusal (id: string, sentAt: number, now: number): number {
     this.#forget(now)
     const before = this.#refusals.get(id)
     if (before !== undefined && sentAt < before.at) return 0
@@ -54,7 +54,7 @@
   }
 
   /** Resets the count of an upstream that has accepted a request. */
-  accepted (id: string): void {
+  recordAcceptance (id: string): void {
     this.#refusals.delete(id)
   }
 
--- a/packages/detect/src/rests.ts
+++ b/packages/detect/src/rests.ts
@@ -52,7 +52,7 @@
    * whatever order they arrive. Returns whether a requested rest begins. If the upstream asks again within a requested
    * rest, as in answers to requests that were on their way, that gives little new information and begins none.
    */
-  recordRequest (id: string, time: number): boolean {
+  recordRestRequest (id: string, time: number): boolean {
     const isNew = time > 0 && this.of(id)?.requested !== true
     this.#extend(id, time, true)
     return isNew
@@ -65,11 +65,11 @@
 
   /** Whether an upstream rests, so that nothing may be sent there. */
   has (id: string): boolean {
-    return this.left(id) > 0
+    return this.remaining(id) > 0
   }
 
   /** Remaining time of an upstream's rest, in ms; 0 if it does not rest. */
-  left (id: string): number {
+  remaining (id: string): number {
     const rest = this.of(id)
     return rest === undefined ? 0 : rest.end - this.#options.clock.now()
   }
@@ -102,7 +102,7 @@
    * early, as those of Node.js do.
    */
   #expire (id: string): void {
-    const left = this.left(id)
+    const left = this.remaining(id)
     if (left > 0) this.#options.clock.after(left, () => this.#expire(id))
     else if (this.#rests.delete(id)) this.#options.ended()
   }
--- a/packages/detect/src/suspects.ts
+++ b/packages/detect/src/suspects.ts
@@ -54,7 +54,7 @@
   }
 
   /** Records that a request was sent to an upstream. The next try is due one interval later. */
-  tried (id: string): void {
+  recordTry (id: string): void {
     const suspicion = this.#suspicions.get(id)
     if (suspicion !== undefined) suspicion.at = this.#clock.now()
   }
--- a/packages/detect/test/detect.test.ts
+++ b/packages/detect/test/detect.test.ts
@@ -36,7 +36,7 @@
   t.false(suspects.mayTry('a'))
   clock.advance(2500)
   t.true(suspects.mayTry('a'))
-  suspects.tried('a')
+  suspects.recordTry('a')
   t.false(suspects.mayTry('a'))
   suspects.received('a')
   t.true(suspects.mayTry('a'))
--- a/packages/dispatch/src/fairqueue.ts
+++ b/packages/dispatch/src/fairqueue.ts
@@ -24,7 +24,7 @@
   override wait<Value> (request: QueuedRequest, find: () => Value | undefined, handlers: WaitHandlers = {}): Promise<Value | undefined> {
     const now = this.clock.now()
     const room = this.#room(request.room)
-    if (!request.offered) room.usage.recordRequest(request.team, request.work, now)
+    if (!request.attempted) room.usage.recordRequest(request.team, request.work, now)
     const others = this.#waiting(request.room)
     const findAndRecord = (): Value | undefined => this.#recordServed(request, find())
     if (others.length === 0 || request.orderedElsewhere === true || request.until <= now) {
--- a/packages/dispatch/src/queue.ts
+++ b/packages/dispatch/src/queue.ts
@@ -11,7 +11,7 @@
   /** The key of the room that it competes for. Requests of different rooms do not compete. */
   readonly room: string
   /** Whether it was sent to an upstream before. */
-  readonly offered: boolean
+  readonly attempted: boolean
   /**
    * Whether the queue shared by all gateways decides when it is served. If so, the requests in this queue do not
    * determine its wait. Absent: no.
--- a/packages/dispatch/src/waiting.ts
+++ b/packages/dispatch/src/waiting.ts
@@ -26,7 +26,7 @@
 export interface WaitInputs {
   readonly path: 'plain' | 'stream'
   /** Whether an attempt was started before. */
-  readonly offered: boolean
+  readonly attempted: boolean
   /** Number of upstreams that serve the service or model, including full ones. */
   readonly upstreams: number
   /**
@@ -54,7 +54,7 @@
   return inputs.timeUntilAvailable > wait ? 0 : wait
 }
 
-function maxWait ({ path, offered, upstreams, objective, timeLeft, shared = false }: WaitInputs): number {
-  if (!offered) return upstreams === 0 ? 0 : Math.min((shared ? sharedWaitShare : firstWaitShare) * objective, timeLeft)
+function maxWait ({ path, attempted, upstreams, objective, timeLeft, shared = false }: WaitInputs): number {
+  if (!attempted) return upstreams === 0 ? 0 : Math.min((shared ? sharedWaitShare : firstWaitShare) * objective, timeLeft)
   return path === 'stream' ? Math.min(maxResumeWaitMs, timeLeft) : 0
 }
--- a/packages/dispatch/test/decisions.test.ts
+++ b/packages/dispatch/test/decisions.test.ts
@@ -4,29 +4,29 @@
 
 test('before its first attempt a request waits for at most 0.22 of its objective and never past its deadline', t => {
   for (const path of ['plain', 'stream'] as const) {
-    t.is(waitForRoom({ path, offered: false, upstreams: 2, timeUntilAvailable: 0, objective: 500, timeLeft: 6000 }), 110)
-    t.is(waitForRoom({ path, offered: false, upstreams: 2, timeUntilAvailable: 0, objective: 500, timeLeft: 30 }), 30)
+    t.is(waitForRoom({ path, attempted: false, upstreams: 2, timeUntilAvailable: 0, objective: 500, timeLeft: 6000 }), 110)
+    t.is(waitForRoom({ path, attempted: false, upstreams: 2, timeUntilAvailable: 0, objective: 500, timeLeft: 30 }), 30)
   }
 })
 
 test('without upstreams a request does not wait for its first attempt, and a stream that was sent before still waits', t => {
-  for (const path of ['plain', 'stream'] as const) t.is(waitForRoom({ path, offered: false, upstreams: 0, timeUntilAvailable: 0, objective: 500, timeLeft: 6000 }), 0)
-  t.is(waitForRoom({ path: 'stream', offered: true, upstreams: 0, timeUntilAvailable: 0, objective: 500, timeLeft: 6000 }), 1500)
+  for (const path of ['plain', 'stream'] as const) t.is(waitForRoom({ path, attempted: false, upstreams: 0, timeUntilAvailable: 0, objective: 500, timeLeft: 6000 }), 0)
+  t.is(waitForRoom({ path: 'stream', attempted: true, upstreams: 0, timeUntilAvailable: 0, objective: 500, timeLeft: 6000 }), 1500)
 })
 
 test('after an attempt a plain request does not wait, and a stream waits for at most 1500 ms and never past its deadline', t => {
-  t.is(waitForRoom({ path: 'plain', offered: true, upstreams: 2, timeUntilAvailable: 0, objective: 500, timeLeft: 6000 }), 0)
-  t.is(waitForRoom({ path: 'stream', offered: true, upstreams: 2, timeUntilAvailable: 0, objective: 500, timeLeft: 6000 }), 1500)
-  t.is(waitForRoom({ path: 'stream', offered: true, upstreams: 2, timeUntilAvailable: 0, objective: 500, timeLeft: 30 }), 30)
+  t.is(waitForRoom({ path: 'plain', attempted: true, upstreams: 2, timeUntilAvailable: 0, objective: 500, timeLeft: 6000 }), 0)
+  t.is(waitForRoom({ path: 'stream', attempted: true, upstreams: 2, timeUntilAvailable: 0, objective: 500, timeLeft: 6000 }), 1500)
+  t.is(waitForRoom({ path: 'stream', attempted: true, upstreams: 2, timeUntilAvailable: 0, objective: 500, timeLeft: 30 }), 30)
 })
 
 test('if all upstreams rest, a request waits only if the first rest ends within its maximum wait', t => {
-  const first = { path: 'plain', offered: false, upstreams: 2, objective: 500, timeLeft: 6000 } as const
+  const first = { path: 'plain', attempted: false, upstreams: 2, objective: 500, timeLeft: 6000 } as const
   t.is(waitForRoom({ ...first, timeUntilAvailable: 100 }), 110)
   t.is(waitForRoom({ ...first, timeUntilAvailable: 111 }), 0)
   t.is(waitForRoom({ ...first, timeUntilAvailable: 100, timeLeft: 90 }), 0)
-  t.is(waitForRoom({ ...first, path: 'stream', offered: true, timeUntilAvailable: 1500 }), 1500)
-  t.is(waitForRoom({ ...first, path: 'stream', offered: true, timeUntilAvailable: 1501 }), 0)
+  t.is(waitForRoom({ ...first, path: 'stream', attempted: true, timeUntilAvailable: 1500 }), 1500)
+  t.is(waitForRoom({ ...first, path: 'stream', attempted: true, timeUntilAvailable: 1501 }), 0)
 })
 
 test('if all upstreams rest or are limited, Retry-After is spread over half a second from the end of the first rest or limit on', t => {
--- a/packages/dispatch/test/dispatch.test.ts
+++ b/packages/dispatch/test/dispatch.test.ts
@@ -54,7 +54,7 @@
   const find = (): string | undefined => free.shift()
   const order: string[] = []
   const wait = async (name: string, priority: number, time: number): Promise<void> => {
-    const found = await queue.wait({ room: 's', offered: false, priority, team: '', work: 1, arrivedAt: clock.now(), inTimeUntil: Infinity, until: clock.now() + time }, find)
+    const found = await queue.wait({ room: 's', attempted: false, priority, team: '', work: 1, arrivedAt: clock.now(), inTimeUntil: Infinity, until: clock.now() + time }, find)
     order.push(`${name} ${found ?? 'nothing'}`)
   }
   const all = [wait('late', 2, 1000), wait('first', 1, 1000), wait('second', 1, 1000), wait('brief', 0, 10)]
--- a/packages/dispatch/test/fairqueue.test.ts
+++ b/packages/dispatch/test/fairqueue.test.ts
@@ -18,7 +18,7 @@
 
   wait (name: string, change: Partial<QueuedRequest> = {}): Promise<void> {
     const now = this.clock.now()
-    const request = { room: 's', offered: false, priority: 1, team: 'a', work: 1, arrivedAt: now, inTimeUntil: now + 500, until: now + 110, ...change }
+    const request = { room: 's', attempted: false, priority: 1, team: 'a', work: 1, arrivedAt: now, inTimeUntil: now + 500, until: now + 110, ...change }
     return this.queue.wait(request, () => this.free.shift(), { onShortage: shortage => this.shortages.push(shortage) }).then(found => {
       this.ended.push(`${name} ${found === undefined ? 'nothing' : 'place'}`)
     })
@@ -96,7 +96,7 @@
 test('a request whose caller leaves is removed from the queue and takes no place', async t => {
   const fixture = new Fixture()
   let cancel = (): void => {}
-  const request = { room: 's', offered: false, priority: 1, team: 'a', work: 1, arrivedAt: 0, inTimeUntil: 500, until: 110 }
+  const request = { room: 's', attempted: false, priority: 1, team: 'a', work: 1, arrivedAt: 0, inTimeUntil: 500, until: 110 }
   const cancelled = fixture.queue.wait(request, () => fixture.free.shift(), { onWait: stop => { cancel = stop } })
   cancel()
   t.is(await cancelled, undefined)
--- a/packages/fairness/src/order.ts
+++ b/packages/fairness/src/order.ts
@@ -120,6 +120,7 @@
   })
 }
 
+/** Computes the sort key of one request from the current usage of its team. For many requests use `sortKeys`. */
 export function sortKey<Each extends WaitingRequest> (request: Each, usage: TeamUsage, now: number): SortKey<Each> {
   const { team, early } = request
   return { request, early: early === true, aboveShare: usage.isAboveShare(team, now), late: isLate(request, now), weightedUsage: usage.weightedUsage(team, now) }
--- a/packages/forward/src/attempt.ts
+++ b/packages/forward/src/attempt.ts
@@ -96,7 +96,7 @@
   start (): void {
     const { context, request, upstream, model, lastEvent, newConnection, onMove } = this.#options
     request.beginAttempt(upstream.id)
-    context.suspects.tried(upstream.id)
+    context.suspects.recordTry(upstream.id)
     this.#inFlight = context.inFlight.begin(upstream.id, model, {
       stalled: () => { onMove?.('the upstream stalled') },
       moved: onMove,
@@ -212,8 +212,8 @@
    */
   #reportToCrashes (result: AttemptResult): void {
     const { context: { crashes }, request, upstream } = this.#options
-    if (result.kind === 'lost' && result.broken === true) crashes.broke(request, upstream)
-    else if (isSuccess(result)) crashes.served(request)
+    if (result.kind === 'lost' && result.broken === true) crashes.recordBroken(request, upstream)
+    else if (isSuccess(result)) crashes.recordCompleted(request)
   }
 }
 
--- a/packages/forward/src/path.ts
+++ b/packages/forward/src/path.ts
@@ -136,15 +136,15 @@
 
   /** The request as an entry of the local queue. @param until the end of its wait on `Clock.now`, in ms */
   #queuedRequest (until: number): QueuedRequest {
-    const { room, request: { service, offered } } = this
-    return { ...this.#orderingInputs(until), room: room?.key ?? service, offered, orderedElsewhere: this.#placeSearch !== undefined }
+    const { room, request: { service, attempted } } = this
+    return { ...this.#orderingInputs(until), room: room?.key ?? service, attempted, orderedElsewhere: this.#placeSearch !== undefined }
   }
 
   /** The inputs that determine the order of waiting requests. @param until the end of the wait on `Clock.now`, in ms */
   #orderingInputs (until: number): WaitingRequest {
-    const { work, request: { priority, team, arrivedAt, spent, offered } } = this
+    const { work, request: { priority, team, arrivedAt, spent, attempted } } = this
     const early = spent > 0 && spent < minRetryDelayMs
-    return { priority, team: team?.name ?? '', work, arrivedAt, inTimeUntil: offered ? until : this.latestStart, until, again: spent > 0, early }
+    return { priority, team: team?.name ?? '', work, arrivedAt, inTimeUntil: attempted ? until : this.latestStart, until, again: spent > 0, early }
   }
 
   get #waitHandlers (): WaitHandlers {
@@ -162,8 +162,8 @@
   #computeMaxWait (shared: boolean): number {
     const { request, kind, upstreams, context: { crashes } } = this
     const { timeLeft, route: { objective } } = request
-    const offered = request.offered || crashes.standing(request) !== 'trusted'
-    return waitForRoom({ path: kind, offered, upstreams: upstreams.length, timeUntilAvailable: this.#timeUntilAvailable, objective, timeLeft, shared })
+    const attempted = request.attempted || crashes.standing(request) !== 'trusted'
+    return waitForRoom({ path: kind, attempted, upstreams: upstreams.length, timeUntilAvailable: this.#timeUntilAvailable, objective, timeLeft, shared })
   }
 
   /**
--- a/packages/forward/src/request.ts
+++ b/packages/forward/src/request.ts
@@ -104,7 +104,7 @@
   }
 
   /** Whether an attempt was started. An upstream may then have begun to run the request. */
-  get offered (): boolean {
+  get attempted (): boolean {
     return this.#tried.size > 0
   }
 
@@ -202,7 +202,7 @@
   }
 
   #expire (): void {
-    this.refuse(refusals.deadline(this.offered))
+    this.refuse(refusals.deadline(this.attempted))
   }
 
   #close (): void {
--- a/packages/forward/src/streampath.ts
+++ b/packages/forward/src/streampath.ts
@@ -78,7 +78,7 @@
   protected attempt (upstream: Upstream): Promise<AttemptResult> {
     const { context, request, lastEvent, trial } = this
     const { model } = this.#target
-    const isFirst = !request.offered
+    const isFirst = !request.attempted
     const markPromptRead = this.#recordExpectation(upstream)
     return new Promise(resolve => {
       const attempt = new StreamAttempt({
@@ -118,7 +118,7 @@
     if (forecast === undefined || engine === undefined) return undefined
     const subject = { service: request.service, model, prompt: this.#tokens(engine).prompt }
     const head = { inFlight: Math.max(0, choice.load(id) - 1), unread: forecast.unread.of(id) }
-    if (!request.offered) request.timing.expect({ ...subject, ...head, ...forecast.expect(subject, head, engine), limited: availability.isLimited(id), remote: dataCentre !== own })
+    if (!request.attempted) request.timing.expect({ ...subject, ...head, ...forecast.expect(subject, head, engine), limited: availability.isLimited(id), remote: dataCentre !== own })
     return forecast.unread.add(id, subject.prompt)
   }
 
--- a/packages/gateway/src/conditions.ts
+++ b/packages/gateway/src/conditions.ts
@@ -61,8 +61,8 @@
   answered ({ id, membership }: Upstream, { refused, sentAt }: AnswerHead, condition: Condition): void {
     this.take(id, condition)
     if (membership === undefined) return
-    if (!refused) this.#backoff.accepted(id)
-    else if (condition.rest === 0) this.rests.pause(id, this.#backoff.refused(id, sentAt, this.#options.clock.now()))
+    if (!refused) this.#backoff.recordAcceptance(id)
+    else if (condition.rest === 0) this.rests.pause(id, this.#backoff.recordRefusal(id, sentAt, this.#options.clock.now()))
   }
 
   /** This module's fields of the heartbeats to other gateways. */
@@ -83,7 +83,7 @@
 
   #startRest (id: string, rest: number): void {
     const { log, rested } = this.#options
-    if (!this.rests.recordRequest(id, rest)) return
+    if (!this.rests.recordRestRequest(id, rest)) return
     rested()
     log.write('upstream-resting', { upstream: id, rest: Math.round(rest) })
   }
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -208,7 +208,7 @@
     single('eiderwind_callers_stalled_total', 'Callers whose connections were closed since they read nothing of what was kept for them.', () => deliveries.closed)
     single('eiderwind_connections_opened_total', 'Connections opened to upstreams.', () => connections.opened)
     single('eiderwind_resting', 'Upstreams that rest now, or are left out for a moment since they refuse.', () => rests.count)
-    single('eiderwind_limited', 'Upstreams that name the requests a second that they take from all gateways together.', () => limits.limited.length)
+    single('eiderwind_limited', 'Upstreams that name the requests a second that they take from all gateways together.', () => limits.namedIds.length)
     single('eiderwind_cold', 'Upstreams that are cold now, each with a limit for all gateways together.', () => cold.ids.length)
     single('eiderwind_limit_tokens_received_total', 'Tokens for limited upstreams that requests of this gateway asked for and got.', () => tokens.received)
     single('eiderwind_limit_tokens_used_total', 'Of those, tokens with which a request was sent; the others lapsed.', () => tokens.used)
--- a/packages/gateway/src/rooms.ts
+++ b/packages/gateway/src/rooms.ts
@@ -129,7 +129,7 @@
   answered (upstream: Upstream, { refused }: AnswerHead): void {
     if (!refused || upstream.membership === undefined) return
     // A head that is merely full refuses one request and accepts the next.
-    const left = this.#options.rests.left(upstream.id)
+    const left = this.#options.rests.remaining(upstream.id)
     this.#coordinator.recordRefusal(roomOfHead(upstream), upstream.id, left > 0 ? left : undefined)
   }
 
@@ -147,7 +147,7 @@
     const openHeads = new Set(choice.heads(service, model).map(({ id }) => id))
     return roster.heads(service, model)
       .filter(({ id }) => !availability.isLimited(id) && (openHeads.has(id) || rests.has(id)))
-      .map(({ id, dataCentre }) => ({ id, dataCentre, capacity: engine.slots + queuedPerHead, closedFor: rests.left(id) }))
+      .map(({ id, dataCentre }) => ({ id, dataCentre, capacity: engine.slots + queuedPerHead, closedFor: rests.remaining(id) }))
   }
 
   #fullness ({ service, model }: Room, others: (upstream: string) => number): number {
--- a/packages/gateway/test/conditions.test.ts
+++ b/packages/gateway/test/conditions.test.ts
@@ -76,7 +76,7 @@
   const refuse = (): number => {
     clock.advance(1)
     fixture.answer('a', true)
-    return rests.left('a')
+    return rests.remaining('a')
   }
   t.is(refuse(), 0)
   t.is(refuse(), 100)
@@ -98,13 +98,13 @@
   }
   t.false(fixture.conditions.rests.has('a'))
   fixture.answer('a', true, { leaving: false, rest: 500 }, plain)
-  t.is(fixture.conditions.rests.left('a'), 500)
+  t.is(fixture.conditions.rests.remaining('a'), 500)
 })
 
 test('a refusal with a time does not count as a refusal without one', t => {
   const fixture = new Fixture()
   fixture.answer('a', true, { leaving: false, rest: 50 })
-  t.is(fixture.conditions.rests.left('a'), 50)
+  t.is(fixture.conditions.rests.remaining('a'), 50)
   t.is(fixture.restCount, 1)
 })
 
@@ -112,7 +112,7 @@
   const fixture = new Fixture()
   fixture.answer('a', true, { leaving: false, rest: 500 })
   fixture.answer('a', false)
-  t.is(fixture.conditions.rests.left('a'), 500)
+  t.is(fixture.conditions.rests.remaining('a'), 500)
 })
 
 test('the gateway to which an upstream announces that it is leaving notifies the others, and these do not forward it', t => {
--- a/packages/gateway/test/digest.test.ts
+++ b/packages/gateway/test/digest.test.ts
@@ -57,7 +57,7 @@
     const found = draw < 0.3 ? choice.head('chat', 'large', engine, tried) : draw < 0.6 ? choice.head('chat', 'small', engine, tried) : draw < 0.8 ? choice.plain('plain', tried) : undefined
     lines.push(found?.id ?? '-')
     if (found !== undefined) {
-      suspects.tried(found.id)
+      suspects.recordTry(found.id)
       running.push(flights.begin(found.id, 'm'))
     }
     if (draw > 0.8 || running.length > 20) {
@@ -127,7 +127,7 @@
   const all: Array<Promise<void>> = []
   for (let step = 0; step < 600; step++) {
     clock.advance(Math.floor(random() * 30))
-    const found = waiting.wait({ room: 's', offered: false, priority: Math.floor(random() * 4), team: '', work: 1, arrivedAt: clock.now(), inTimeUntil: Infinity, until: clock.now() + random() * 200 }, () => free.shift())
+    const found = waiting.wait({ room: 's', attempted: false, priority: Math.floor(random() * 4), team: '', work: 1, arrivedAt: clock.now(), inTimeUntil: Infinity, until: clock.now() + random() * 200 }, () => free.shift())
     all.push(found.then(value => { lines.push(`${step} ${value ?? '-'} ${waiting.count}`) }))
     if (random() < 0.4) free.push(step)
     if (random() < 0.4) waiting.wake()
@@ -157,7 +157,7 @@
     const id = `u${Math.floor(random() * 10)}`
     if (random() < 0.1) {
       lines.push(`${id} ${String(suspects.mayTry(id))}`)
-      suspects.tried(id)
+      suspects.recordTry(id)
       running.push(flights.begin(id, 'm', { stalled: () => lines.push(`stalled ${id}`) }))
     }
     for (const flight of running) {
--- a/packages/gateway/test/queuedrequest.ts
+++ b/packages/gateway/test/queuedrequest.ts
@@ -3,5 +3,5 @@
 
 /** @param until time at which the request stops waiting, on `Clock.now` */
 export function queuedRequest (now: number, until: number): QueuedRequest {
-  return { room: 's', offered: false, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: Infinity, until }
+  return { room: 's', attempted: false, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: Infinity, until }
 }
--- a/packages/gateway/test/rooms.test.ts
+++ b/packages/gateway/test/rooms.test.ts
@@ -97,7 +97,7 @@
   fixture.rooms.answered(head('a'), { status: 503, headers: {}, refused: true, sentAt: 0 })
   t.deepEqual(fixture.newMessages, [`${issuer} {"place":"count","service":"s","model":"m","upstream":"a","count":0,"seen":0}`])
   t.deepEqual(fixture.rooms.heartbeatFields.contended, [room.key])
-  fixture.rests.recordRequest('a', 700)
+  fixture.rests.recordRestRequest('a', 700)
   fixture.rooms.answered(head('a'), { status: 503, headers: {}, refused: true, sentAt: 0 })
   t.true(fixture.newMessages[0].endsWith('"shut":700}'))
   const second = new Fixture(issuer)
--- a/packages/limits/src/limits.ts
+++ b/packages/limits/src/limits.ts
@@ -77,7 +77,7 @@
   }
 
   /** Ids of the upstreams that name a limit. */
-  get limited (): string[] {
+  get namedIds (): string[] {
     return [...this.#known.keys()].filter(id => Number.isFinite(this.namedRate(id)))
   }
 
--- a/packages/limits/test/limits.test.ts
+++ b/packages/limits/test/limits.test.ts
@@ -14,11 +14,11 @@
   t.true(limits.recordAnswer('a', 1.6))
   clock.advance(1_000_000)
   t.is(limits.rate('a'), 1.6)
-  t.deepEqual(limits.limited, ['a'])
+  t.deepEqual(limits.namedIds, ['a'])
   t.true(limits.recordAnswer('a', Infinity))
   t.false(limits.isLimited('a'))
   t.false(limits.recordAnswer('b', Infinity))
-  t.deepEqual(limits.limited, [])
+  t.deepEqual(limits.namedIds, [])
 })
 
 test('an upstream that names 0 gets a request every ten seconds', t => {
@@ -112,5 +112,5 @@
   limits.recordAnswer('a', 3)
   limits.recordAnswer('b', 3)
   limits.keepOnly(id => id === 'b')
-  t.deepEqual(limits.limited, ['b'])
+  t.deepEqual(limits.namedIds, ['b'])
 })
--- a/packages/places/src/room.ts
+++ b/packages/places/src/room.ts
@@ -9,6 +9,7 @@
   readonly key: string
 }
 
+/** The room of a model of a service. Only this function builds `key`, so that all gateways use the same one. */
 export function roomOf (service: string, model: string): Room {
   return { service, model, key: `${service}/${model}` }
 }
--- a/prove/breakages.js
+++ b/prove/breakages.js
@@ -640,7 +640,7 @@
     point: 3,
     rule: 'an upstream that asked for rest gets no request until its end (BUDGET)',
     file: 'packages/detect/dist/src/rests.js',
-    find: 'return this.left(id) > 0',
+    find: 'return this.remaining(id) > 0',
     replace: 'return false',
     test: 'platform/dist/test/rest.test.js',
     title: 'heads that ask for rest*'
