--- a/packages/forward/src/placesearch.ts
+++ b/packages/forward/src/placesearch.ts
@@ -38,9 +38,9 @@
    */
   refusal: { readonly due: number, readonly by: string } | undefined
 
-  constructor (options: PlaceSearchOptions, requirements: Omit<PlaceRequirements, 'besides'>) {
+  constructor (options: PlaceSearchOptions, requirements: Omit<PlaceRequirements, 'excluded'>) {
     this.#options = options
-    this.#claim = options.placeClient.claim({ ...requirements, besides: () => this.#unusable })
+    this.#claim = options.placeClient.claim({ ...requirements, excluded: () => this.#unusable })
   }
 
   /** Finds an upstream. Returns undefined if the request has to wait, and 'closed' if waiting is pointless. */
--- a/packages/gateway/test/rooms.test.ts
+++ b/packages/gateway/test/rooms.test.ts
@@ -56,7 +56,7 @@
 
   requirements (): PlaceRequirements {
     const now = this.clock.now()
-    return { room, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, aloneUntil: now + 110, objective: 500, besides: () => [] }
+    return { room, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, aloneUntil: now + 110, objective: 500, excluded: () => [] }
   }
 
   /** Messages sent since the last access. */
--- a/packages/places/src/claim.ts
+++ b/packages/places/src/claim.ts
@@ -13,7 +13,7 @@
   /** The time within which the caller should have an answer, in ms. */
   readonly objective: number
   /** The upstreams that the request cannot be sent to. */
-  readonly besides: () => readonly string[]
+  readonly excluded: () => readonly string[]
 }
 
 /**
--- a/packages/places/src/freeplaces.ts
+++ b/packages/places/src/freeplaces.ts
@@ -69,12 +69,12 @@
   }
 
   /** Returns the least loaded head to which a request may be sent. */
-  best (heads: readonly Head[], { besides, near }: PlaceRequest): Head | undefined {
+  best (heads: readonly Head[], { excluded, near }: PlaceRequest): Head | undefined {
     const { random } = this.#options
     let best: Head | undefined
     let lowestCost = Infinity
     for (const head of heads) {
-      if (besides.includes(head.id)) continue
+      if (excluded.includes(head.id)) continue
       const cost = this.#load(head.id) + (head.dataCentre === near ? 0 : distanceCost) + random() * maxTieBreak
       if (cost >= lowestCost) continue
       best = head
--- a/packages/places/src/messages.ts
+++ b/packages/places/src/messages.ts
@@ -47,7 +47,7 @@
  * The message that carries a place request to another gateway.
  * @param now on `Clock.now`, in ms
  */
-export function requestMessage ({ service, model }: Room, { number, priority, team, work, arrivedAt, inTimeUntil, until, reviewAt, besides, near, again, early }: PlaceRequest, now: number): RequestMessage {
+export function requestMessage ({ service, model }: Room, { number, priority, team, work, arrivedAt, inTimeUntil, until, reviewAt, excluded: besides, near, again, early }: PlaceRequest, now: number): RequestMessage {
   return { place: 'ask', service, model, number, priority, team, work, age: Math.max(0, now - arrivedAt), timely: inTimeUntil - now, patience: Math.max(0, until - now), review: reviewAt === undefined ? undefined : Math.max(0, reviewAt - now), besides: [...besides], near, again, early }
 }
 
@@ -56,7 +56,7 @@
  * @param now on `Clock.now`, in ms
  */
 export function receivedRequest ({ number, priority, team, work, age, timely, patience, review, besides, near, again, early }: RequestMessage, from: string, now: number): PlaceRequest {
-  return { from, number, priority, team, work, arrivedAt: now - age, inTimeUntil: now + timely, until: now + patience, reviewAt: review === undefined ? undefined : now + review, besides, near, again, early }
+  return { from, number, priority, team, work, arrivedAt: now - age, inTimeUntil: now + timely, until: now + patience, reviewAt: review === undefined ? undefined : now + review, excluded: besides, near, again, early }
 }
 
 /** The first bytes of each of these datagrams. Datagrams that begin differently are not parsed. */
--- a/packages/places/src/placeclient.ts
+++ b/packages/places/src/placeclient.ts
@@ -198,8 +198,8 @@
     else this.#post(pending, owner)
   }
 
-  #requestOf ({ number, requirements: { priority, team, work, arrivedAt, inTimeUntil, until, aloneUntil, besides, again, early } }: Claim): PlaceRequest {
-    return { from: localSender, number, priority, team, work, arrivedAt, inTimeUntil, until, reviewAt: aloneUntil, besides: besides(), near: this.#options.dataCentre, again, early }
+  #requestOf ({ number, requirements: { priority, team, work, arrivedAt, inTimeUntil, until, aloneUntil, excluded, again, early } }: Claim): PlaceRequest {
+    return { from: localSender, number, priority, team, work, arrivedAt, inTimeUntil, until, reviewAt: aloneUntil, excluded: excluded(), near: this.#options.dataCentre, again, early }
   }
 
   /** Sends a place request to another gateway, and sends it once more if there is no reply. */
--- a/packages/places/src/request.ts
+++ b/packages/places/src/request.ts
@@ -13,7 +13,7 @@
    */
   readonly reviewAt?: number
   /** Upstreams that the request must not be sent to. */
-  readonly besides: readonly string[]
+  readonly excluded: readonly string[]
   /** The data centre of the gateway that sends the request. */
   readonly near: string
 }
--- a/packages/places/test/issuer.test.ts
+++ b/packages/places/test/issuer.test.ts
@@ -22,7 +22,7 @@
 
   request (from: string, number: number, fields: Partial<PlaceRequest> = {}): void {
     const now = this.clock.now()
-    this.issuer.request(room, { from, number, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, besides: [], near: 'dc', ...fields })
+    this.issuer.request(room, { from, number, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, excluded: [], near: 'dc', ...fields })
   }
 
   /** The replies since the last call. */
@@ -67,7 +67,7 @@
   const fixture = new Fixture()
   fixture.counts.set('y', 'a', 1)
   fixture.counts.set('y', 'b', 1)
-  fixture.request('x', 1, { besides: ['a'] })
+  fixture.request('x', 1, { excluded: ['a'] })
   fixture.request('z', 2)
   fixture.issuer.receiveCount(room, 'y', { upstream: 'a', count: 0, seen: 0 })
   fixture.issuer.receiveCount(room, 'y', { upstream: 'b', count: 0, seen: 0 })
@@ -126,7 +126,7 @@
   fixture.heads = [head('a', 1)]
   let order = 0
   const issuer = new Issuer({ clock: fixture.clock, heads: () => fixture.heads, inFlight: () => 0, counts: fixture.counts, deliver: (_to, reply) => { if (reply.place === 'grant') order = reply.order }, random: () => 0 })
-  const request = { from: '', number: 1, priority: 1, team: '', work: 1, arrivedAt: 0, inTimeUntil: 400, until: 400, besides: [], near: 'dc' }
+  const request = { from: '', number: 1, priority: 1, team: '', work: 1, arrivedAt: 0, inTimeUntil: 400, until: 400, excluded: [], near: 'dc' }
   issuer.request(room, request)
   issuer.request(room, { ...request, number: 2 })
   t.is(issuer.granted, 1)
@@ -152,7 +152,7 @@
   fixture.heads = [head('a', 1, 'dc', 2000), head('b', 1)]
   const issuer = new Issuer({ clock: fixture.clock, heads: () => fixture.heads, inFlight: () => 0, counts: fixture.counts, deliver: (_to, reply) => { if (reply.place === 'later') dues.push(reply.due) }, random: () => 0 })
   issuer.receiveCount(room, 'x', { upstream: 'b', count: 0, seen: 0, shut: 1500 })
-  issuer.request(room, { from: 'x', number: 1, priority: 1, team: '', work: 1, arrivedAt: 0, inTimeUntil: 400, until: 400, besides: [], near: 'dc' })
+  issuer.request(room, { from: 'x', number: 1, priority: 1, team: '', work: 1, arrivedAt: 0, inTimeUntil: 400, until: 400, excluded: [], near: 'dc' })
   t.deepEqual(dues, [1500])
   t.is(issuer.waiting, 0)
 })
@@ -182,7 +182,7 @@
   let patience = 400
   fixture.heads = [head('a', 1)]
   const issuer = new Issuer({ clock: fixture.clock, heads: () => fixture.heads, inFlight: () => 0, counts: fixture.counts, deliver: (_to, reply) => { if (reply.place === 'later') dues.push(reply.due) }, random: () => 0 })
-  const request = (number: number): void => issuer.request(room, { from: 'x', number, priority: 1, team: '', work: 1, arrivedAt: 0, inTimeUntil: 10_000, until: fixture.clock.now() + patience, besides: [], near: 'dc' })
+  const request = (number: number): void => issuer.request(room, { from: 'x', number, priority: 1, team: '', work: 1, arrivedAt: 0, inTimeUntil: 10_000, until: fixture.clock.now() + patience, excluded: [], near: 'dc' })
   // A place becomes free every 100 ms for a while, and a request always waits.
   for (const number of [1000, 1001]) request(number)
   for (let number = 0; number < 30; number++) {
@@ -222,7 +222,7 @@
   fixture.heads = [head('a', 1)]
   let later = 0
   const issuer = new Issuer({ clock, heads: () => fixture.heads, inFlight: () => 0, counts: fixture.counts, deliver: (_to, reply) => { if (reply.place === 'later') later++ }, random: () => 0 })
-  const request = (number: number, priority: number): void => issuer.request(room, { from: 'x', number, priority, team: '', work: 1, arrivedAt: clock.now(), inTimeUntil: clock.now() + 400, until: clock.now() + 400, besides: [], near: 'dc' })
+  const request = (number: number, priority: number): void => issuer.request(room, { from: 'x', number, priority, team: '', work: 1, arrivedAt: clock.now(), inTimeUntil: clock.now() + 400, until: clock.now() + 400, excluded: [], near: 'dc' })
   // A request always waits.
   for (const number of [1000, 1001]) request(number, 0)
   for (let number = 0; number < 20; number++) {
@@ -308,7 +308,7 @@
   const request = (number: number, team: string): void => {
     const at = clock.now()
     arrivals.set(number, { team, at })
-    issuer.request(room, { from: 'x', number, priority: 1, team, work: 1, arrivedAt: at, inTimeUntil: at + 450, until: at + 400, reviewAt: at + 110, besides: [], near: 'dc' })
+    issuer.request(room, { from: 'x', number, priority: 1, team, work: 1, arrivedAt: at, inTimeUntil: at + 450, until: at + 400, reviewAt: at + 110, excluded: [], near: 'dc' })
   }
   // 40 places a second. Six teams send 5 requests a second each, and one team sends 40.
   for (let number = 0; clock.now() < 6000; number++) {
--- a/packages/places/test/simulation.ts
+++ b/packages/places/test/simulation.ts
@@ -148,7 +148,7 @@
   /** Starts a request at a gateway. */
   async request (gateway: Gateway, requirements: Partial<PlaceRequirements> = {}): Promise<Request> {
     const now = this.now
-    const claim = gateway.placeClient.claim({ room, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, aloneUntil: now + 110, objective: 500, besides: () => [], ...requirements })
+    const claim = gateway.placeClient.claim({ room, priority: 1, team: '', work: 1, arrivedAt: now, inTimeUntil: now + 400, until: now + 400, aloneUntil: now + 110, objective: 500, excluded: () => [], ...requirements })
     const request: Request = { gateway, claim, outcome: undefined, endedAt: 0, upstream: undefined }
     this.requests.push(request)
     this.#search(request)
