--- a/packages/detect/src/liveness.ts
+++ b/packages/detect/src/liveness.ts
@@ -58,9 +58,9 @@
 const stoppedIntervals = 1.4
 
 /**
- * Readings of a heartbeat count within the time after which it has stopped, not counting the first one. Each is a paid
- * call to the store. A head that dies has written its last heartbeat before its silence is noticed, so the first and
- * the last reading decide. A reading between them saves time if a heartbeat came late.
+ * Number of readings of a heartbeat count, after the first one, within the time after which an unchanged count has
+ * stopped. Each reading is a paid call to the store. A head that dies has written its last heartbeat before its silence
+ * is noticed, so the first and the last reading decide. A reading between them saves time if a heartbeat came late.
  */
 const readingsPerTimeout = 2
 
@@ -79,8 +79,8 @@
   readonly #unreachable = new Set<string>()
   readonly #dead = new Set<string>()
   /**
-   * Heads that were declared dead while they were not listed. A head that is listed again has only left the replica
-   * that it led then.
+   * Heads that were declared dead while they were not listed. A head that is listed again has not died: it only left
+   * the replica that it led.
    */
   readonly #deadUnlisted = new Set<string>()
   /** Consecutive orders to close that a head left unanswered, by head id. */
@@ -104,7 +104,7 @@
     return new Set([...this.#dead, ...this.#deadUnlisted])
   }
 
-  /** Probes the members in doubt of the given replicas, and decides which of their heads are dead. */
+  /** Probes those members of the given replicas that are in doubt, and decides which of their heads are dead. */
   check (replicas: readonly ReplicaNodes[]): void {
     const suspects = this.#options.suspects()
     for (const id of this.#deadUnlisted) if (this.#options.roster.find(id) !== undefined) this.#deadUnlisted.delete(id)
@@ -118,8 +118,8 @@
   }
 
   /**
-   * Records that a head has left its replica, or that nothing listens at its address any more. A head that is also not
-   * listed is dead then.
+   * Records that a head has left its replica, or that nothing listens at its address any more. If the head is not
+   * listed either, it is dead.
    */
   recordLeft (head: string): void {
     if (this.#options.roster.find(head) === undefined) this.#deadUnlisted.add(head)
--- a/packages/detect/src/rests.ts
+++ b/packages/detect/src/rests.ts
@@ -1,7 +1,7 @@
 /**
  * Owns the rests of upstreams. A rest is a time in which this gateway sends an upstream no requests: either the
- * upstream refused a request and asked for it, or the gateway decided it by itself (`backoff.ts`). Rests are stored in
- * memory only, and each gateway has its own.
+ * upstream refused a request and asked for a rest, or the gateway decided it by itself (`backoff.ts`). Rests are stored
+ * in memory only, and each gateway has its own.
  *
  * Relies on `Availability` to check `has` before each send. Relies also on ids that differ between two incarnations of
  * an upstream, so that a rest ends with the incarnation that asked for it.
@@ -28,7 +28,10 @@
 /** Dependencies of `Rests`. */
 export interface RestsOptions {
   readonly clock: Clock
-  /** Called when a rest begins, not when one is extended. Requests that have not been sent yet must not be sent. */
+  /**
+   * Called when a rest begins, not when one is extended. Requests that are assigned to the upstream but have not been
+   * sent yet must then be withdrawn.
+   */
   readonly begun: (id: string) => void
   /** Called when a rest has ended and the upstream takes requests again. */
   readonly ended: () => void
@@ -49,8 +52,9 @@
 
   /**
    * Records that an upstream asks for a rest of `time` ms from now. If rests overlap, the one that ends last holds, in
-   * whatever order they arrive. Returns whether a requested rest begins. If the upstream asks again within a requested
-   * rest, as in answers to requests that were on their way, that gives little new information and begins none.
+   * whatever order they arrive. Returns whether a requested rest begins. No rest begins if the upstream asks again
+   * during a requested rest, for example in answers to requests that were on their way: that gives little new
+   * information.
    */
   recordRestRequest (id: string, time: number): boolean {
     const isNew = time > 0 && this.of(id)?.requested !== true
--- a/packages/detect/src/unlisted.ts
+++ b/packages/detect/src/unlisted.ts
@@ -26,7 +26,7 @@
   readonly isUnreachable: (id: string) => boolean
   /** Called with an engine that is no longer retained because it left `missed` consecutive probes unanswered. */
   readonly silent: (id: string, missed: number) => void
-  /** Called after a report or a missed probe has changed what is known of an engine. */
+  /** Called after a report or a missed probe has changed what is known about an engine. */
   readonly changed: () => void
   /** Called when an engine begins to be retained, and when it is no longer retained, with the cause. */
   readonly retained: (upstream: Upstream) => void
--- a/packages/dispatch/src/queue.ts
+++ b/packages/dispatch/src/queue.ts
@@ -33,7 +33,7 @@
 /** An entry of the queue. */
 interface Waiter {
   readonly request: QueuedRequest
-  /** Searches for room again and ends the wait if there is some. Returns whether the wait has ended. */
+  /** Searches for room again, and ends the wait if room is found. Returns whether the wait has ended. */
   readonly retry: () => boolean
 }
 
--- a/packages/emulator/src/day.ts
+++ b/packages/emulator/src/day.ts
@@ -3,8 +3,8 @@
  * engines are added, orders stay unanswered, and callers request models. Owns the schema of a day, which an operator
  * can fill in from the data of a deployment, and the measurement of what callers lost because replicas were missing.
  *
- * Network, requests and gateways are not emulated. A replica serves as many requests at once as it has slots. Requests
- * of a model beyond the slots of all its replicas are not served.
+ * The network, the gateways and the course of a request are not emulated: requests are only counted. A replica serves
+ * as many requests at once as it has slots. Requests of a model beyond the slots of all its replicas are not served.
  */
 import { ManualClock, seeded, type Random } from '@eiderwind/clock'
 import { MemoryPlacements, type Demand } from '@eiderwind/forming'
--- a/packages/emulator/test/schedules.ts
+++ b/packages/emulator/test/schedules.ts
@@ -181,7 +181,7 @@
   world.orderDelay = () => undefined
   await settle(world, seed % fullSettleEvery === 0 ? settleTime : calmTime)
   for (const each of planners) each.stop()
-  // Planners that act at once keep the rate limit of loads each by itself. Together they may exceed it.
+  // Planners that run at the same time each enforce the rate limit of loads on their own. Together they may exceed it.
   const smallest = Math.min(...engine.models.map(each => each.size))
   const staying = world.roster.upstreams.filter(each => !each.leaving)
   const servable = staying.some(({ domain }) => staying.filter(each => each.domain === domain).length >= smallest)
--- a/packages/entry/src/facts.ts
+++ b/packages/entry/src/facts.ts
@@ -94,8 +94,8 @@
 }
 
 /**
- * Stores the address that a known entry sends for itself. An unknown entry is skipped here. It is added when this entry
- * fetches the state of the sender.
+ * Stores the address that a known entry sends for itself. An unknown sender is skipped here, and added when this entry
+ * fetches the sender's state.
  */
 export function updateSender (board: EntryBoard, sender: EntryAddress): void {
   if (!board.read('entries').some(each => each.id === sender.id)) return
--- a/packages/entry/src/health.ts
+++ b/packages/entry/src/health.ts
@@ -26,8 +26,8 @@
 const maxFarDelay = 12_000
 
 /**
- * The health of each node. A node of another data centre without a report counts as live, or as leaving if the
- * platform's node list or the configuration says so.
+ * The health of each node. If there is no report of a node in another data centre, the node counts as live, or as
+ * leaving if the platform's node list or the configuration says so.
  */
 export function nodeFacts (facts: HealthFacts): NodeFact[] {
   const leaving = new Set(facts.configuration.leaving)
--- a/packages/entry/src/plainpath.ts
+++ b/packages/entry/src/plainpath.ts
@@ -124,9 +124,9 @@
 }
 
 /**
- * Finds out whether an attempt has run after its connection broke before an answer. Only the incarnation of the worker
- * that received the attempt can tell. If it has not started the attempt, it records a tombstone, so the attempt never
- * starts and "not run" is true.
+ * Determines whether an attempt has run. Called when its connection broke before an answer arrived. Only the
+ * incarnation of the worker that received the attempt can tell. If it has not started the attempt, it records a
+ * tombstone, so the attempt never starts and "not run" is true.
  */
 async function settle ({ clients, clock }: Context, attempt: Attempt, sent: boolean): Promise<Failure> {
   if (!sent) return failure(new Fault('upstream-down'))
--- a/packages/forming/src/activity.ts
+++ b/packages/forming/src/activity.ts
@@ -12,7 +12,10 @@
  */
 const quietInterval = 500
 
-/** The domains by key, and whether they are quiet. */
+/**
+ * Records which domains are quiet, by domain key. A domain is quiet if its last plan left nothing to be done and
+ * nothing has changed since.
+ */
 export class Activity {
   readonly #clock: Clock
   /** When each quiet domain was last planned, on `Clock.now`. A domain without an entry is due. */
--- a/packages/forming/src/history.ts
+++ b/packages/forming/src/history.ts
@@ -32,15 +32,18 @@
   readonly #clock: Clock
   readonly #entries = new Map<string, Entry>()
   /**
-   * Until when a head that accepted an order to open may serve without being listed as open, on `Clock.now`, by node
-   * and replica.
+   * Time until which a head that accepted an order to open may serve without being listed as open, on `Clock.now`, by
+   * node and replica.
    */
   readonly #mayServeUntil = new Map<string, number>()
-  /** When heads have left a replica, by node and replica. No earlier order can make them open it. */
+  /**
+   * Times at which heads left a replica, by node and replica. An order from before that time cannot make the head open
+   * it.
+   */
   readonly #left = new Map<string, number>()
   /**
-   * When heads were ordered to leave a replica, by node and replica. A later order to join or open the replica removes
-   * the entry.
+   * Times at which heads were ordered to leave a replica, by node and replica. A later order to join or open the
+   * replica removes the entry.
    */
   readonly #leaveOrderedAt = new Map<string, number>()
 
--- a/packages/forming/src/permits.ts
+++ b/packages/forming/src/permits.ts
@@ -7,7 +7,7 @@
 import { type LoadLimit } from './loadlimit.js'
 import { type Order } from './orders.js'
 
-/** Share of the concurrent loads that is reserved for repairs when a load starts that nothing waits for. */
+/** Share of the concurrent loads that must stay free for repairs when a load that nothing waits for starts. */
 const repairShare = 0.5
 
 /** Whether an order may be sent now. If not, it is planned and checked again in the next pass. */
@@ -20,8 +20,8 @@
 }
 
 /**
- * Acquires a permit for a load. A load that nothing waits for leaves room for repairs. Before traffic, when loads slow
- * no request, such a load waits until the targets are met.
+ * Acquires a permit for a load. A load that nothing waits for (`spare`) gets one only if enough permits stay free for
+ * repairs. Before traffic, when loads slow no request, such a load only waits until the targets are met.
  */
 function acquireLoad ({ node, model = '', spare = false }: Order, facts: DomainFacts, loads: LoadLimit): boolean {
   const { engine, beforeTraffic, targetsMet } = facts
--- a/packages/forming/src/warming.ts
+++ b/packages/forming/src/warming.ts
@@ -1,16 +1,16 @@
 /**
- * Decides which spares load weights from their host's memory into their own before a replica needs them. Pure. A
+ * Decides which spares load weights from their host's memory into their own memory before a replica needs them. Pure. A
  * replica opens when its slowest member is ready, so a spare that still has to load from its host would delay all other
  * members. To load, a spare joins a replica of its own that is never opened; this module owns its name. The spare stays
- * in it until another replica takes it, so that every gateway reads from its record which weights it has in use. Relies
- * on the pool for which engines are free.
+ * in it until another replica takes it, so that every gateway can read in the spare's record which weights it has in
+ * use. Relies on the pool to know which engines are free.
  */
 import { joinOrder, type UnfencedOrder } from './orders.js'
 import { type Pool } from './pool.js'
 
 /**
- * The orders that have spares load the weights that their hosts hold. Empty while a replica is lacking: its engines
- * wait for others to form it, and are left unchanged.
+ * Returns orders that make spares load the weights that their hosts hold. Empty while a replica is lacking: the free
+ * engines wait until there are enough to form it, and are left unchanged.
  */
 export function warmingFor (pool: Pool): UnfencedOrder[] {
   const { placement: { domain, epoch }, lacking, snapshot } = pool.draft
--- a/packages/forward/src/backlog.ts
+++ b/packages/forward/src/backlog.ts
@@ -13,7 +13,7 @@
   readonly perCaller: number
   /** Unread bytes of all callers at which the upstreams of all slow callers are paused. */
   readonly total: number
-  /** Maximum time that a caller with unread bytes may read nothing, in ms. */
+  /** Time after which a caller with unread bytes is closed if it reads none of them, in ms. */
   readonly patience: number
 }
 
--- a/packages/forward/src/request.ts
+++ b/packages/forward/src/request.ts
@@ -54,7 +54,7 @@
   readonly timing: Timing
   /** Sends the answer to the caller. */
   readonly delivery: Delivery
-  /** Whether it is no longer sent to any upstream because it crashes them. */
+  /** Whether the request is blocked: it is not sent to any further upstream, because it crashes them. */
   blocked = false
   /** Why it found no room. Undefined if it did, or if the queue gave no reason. */
   shortage: Shortage | undefined
--- a/packages/forward/test/timing.test.ts
+++ b/packages/forward/test/timing.test.ts
@@ -29,7 +29,7 @@
   t.deepEqual([waited, first, pause], [20, 90, 60])
 })
 
-test('the forecast error compares the forecast with the first part, unless a later attempt delivered that part', t => {
+test('the forecast error is the time from sending to the first part minus the forecast, and undefined if a later attempt delivered that part', t => {
   const error = (...steps: Parameters<typeof timing>): number | undefined => {
     const made = timing(...steps)
     made.expect({ service: 's', model: 'm', time: 60, lag: 0, prompt: 700, inFlight: 3, unread: 0, limited: false, remote: false })
--- a/packages/gateway/src/budgets.ts
+++ b/packages/gateway/src/budgets.ts
@@ -1,6 +1,6 @@
 /**
  * The retry budgets of all services. The budget of a service is created when it is first needed. Owns the budgets.
- * Relies on the list of gateways for the number that share the slack (`retrySlack`).
+ * Relies on the list of gateways to know how many gateways share the slack (`retrySlack`).
  */
 import { type Clock } from '@eiderwind/clock'
 import { RetryBudget } from '@eiderwind/dispatch'
@@ -10,7 +10,7 @@
 
 /**
  * Number of gateways that is assumed until their list is known, so that a fleet whose gateways start together stays
- * within the slack. It is more than small sites have.
+ * within the slack. Small sites have fewer.
  */
 const assumedGateways = 8
 
--- a/packages/gateway/src/coldstarts.ts
+++ b/packages/gateway/src/coldstarts.ts
@@ -1,8 +1,9 @@
 /**
- * Determines from an upstream's own data whether it is cold: from its record, each time the record gives a new time;
- * from an answer; and from its first listing. An upstream that starts during traffic is cold whether or not its record
- * says so yet. A record that no longer gives a time ends the cold state.
- * Owns the time that each upstream's record gave last, by the id of the upstream's incarnation.
+ * Determines which upstreams are cold. An upstream reports its remaining cold time in its record and in its answers.
+ * The record is read again each time it changes. A record that no longer gives a remaining cold time ends the cold
+ * state. An upstream that this gateway lists for the first time after its first list has started during traffic. It is
+ * cold for at least `startTime`, even if its record does not say so yet.
+ * Owns the remaining cold time in the last record of each upstream, by the id of the upstream's incarnation.
  */
 import { type ColdUpstreams } from '@eiderwind/limits'
 import { type Roster, type RosterChange, type Upstream } from '@eiderwind/roster'
--- a/packages/gateway/src/orderrelay.ts
+++ b/packages/gateway/src/orderrelay.ts
@@ -1,7 +1,7 @@
 /**
  * Relays an order to close through other gateways if the engine does not answer this one. The link may be cut for this
  * gateway only, and the members of a replica are not free until its head is known not to serve. Owns nothing. Relies on
- * heartbeats for which gateways are live.
+ * heartbeats to know which gateways are live.
  */
 import { type Clock } from '@eiderwind/clock'
 import { Orders, type Order, type OrderResult } from '@eiderwind/forming'
--- a/packages/gateway/src/upstreamlimits.ts
+++ b/packages/gateway/src/upstreamlimits.ts
@@ -1,8 +1,8 @@
 /**
  * Keeps the request limits of upstreams together with the other gateways: limits that upstreams name, and limits of
  * cold upstreams. A limit that one gateway reads goes to all others by heartbeat, at once if it is new. The tokens of
- * each limited upstream are issued by one gateway, its owner, and the others request them by datagram.
- * Owns the limits, the issuer and the tokens. Relies on `Peers` for which gateways are live.
+ * each limited upstream are issued by one gateway, its owner, and the others request them by datagram. Owns the limits,
+ * the issuer and the tokens. Relies on `Peers` to know which gateways are live.
  */
 import { type Clock, type Random } from '@eiderwind/clock'
 import { type InFlight } from '@eiderwind/detect'
@@ -25,7 +25,7 @@
   readonly inFlight: InFlight
   readonly queue: Queue
   readonly random: Random
-  /** Undefined if upstreams do not count as cold. */
+  /** Undefined if no upstream is ever cold. */
   readonly coldBound?: ColdBound | undefined
   /** Finds a service of the configuration in force. Absent: there are no services. */
   readonly service?: (name: string) => Service | undefined
@@ -64,7 +64,7 @@
   readonly #options: UpstreamLimitsOptions
   readonly #issuer: Issuer
   readonly #owners: Owners
-  /** Undefined if upstreams do not count as cold. */
+  /** Undefined if no upstream is ever cold. */
   readonly #coldStarts: ColdStarts | undefined
   /** The limit that was logged last, and when, by upstream. */
   readonly #logged = new Map<string, { readonly rate: number, readonly at: number }>()
--- a/packages/gateway/test/upstreamfeed.test.ts
+++ b/packages/gateway/test/upstreamfeed.test.ts
@@ -96,7 +96,7 @@
   })
 })
 
-test('a list without an age is followed only while the store cannot be reached', async t => {
+test('a source that gives no age of its list is followed only while the store cannot be reached', async t => {
   await withFeed(async feed => {
     feed.source.age = () => undefined
     await new Promise(resolve => setTimeout(resolve, 2 * maxAge))
--- a/packages/limits/src/tokenclient.ts
+++ b/packages/limits/src/tokenclient.ts
@@ -11,7 +11,7 @@
 import { type Limits } from './limits.js'
 import { type TokenMessage } from './messages.js'
 
-/** A request that waits for a token of any of several upstreams. */
+/** A request that waits for one token, from any of several upstreams. */
 export interface Claim {
   /** 0 is the most urgent. */
   readonly priority: number
@@ -184,8 +184,8 @@
   }
 
   /**
-   * Handles the reply to a token request. Returns whether waiting requests should search again, because a token has
-   * come or none will come for the request that asked.
+   * Handles the reply to a token request. Returns whether waiting requests should search again. They should if a token
+   * has arrived, or if the upstream has none in time for the request that needs it.
    */
   handleReply (reply: Reply): boolean {
     const pending = this.#pending.get(reply.number)
--- a/packages/peers/src/peers.ts
+++ b/packages/peers/src/peers.ts
@@ -1,7 +1,8 @@
 /**
  * Membership of the gateways by heartbeats over UDP, without acknowledgements or retries. `Peers` owns the newest
  * heartbeat of each peer and the list of addresses. It relies on the caller for that list, which comes from the store,
- * and for the fields of the heartbeat. Heartbeats only steer choices: no decision that must be safe depends on them.
+ * and for the fields of the heartbeat. Heartbeats serve only for choices that may be wrong: no decision that must be
+ * safe depends on them.
  *
  * Each gateway sends to all others, so that all have the same view except for short differences. The gateways in this
  * view are ranked to choose the one that watches the store. In large fleets each gateway sends less often, so that the
--- a/packages/places/test/fleet.test.ts
+++ b/packages/places/test/fleet.test.ts
@@ -121,7 +121,7 @@
   t.is(simulation.maxExcess, 0)
 })
 
-test('another issuer takes over with the load that the heartbeats show', async t => {
+test('an issuer that takes over from a dead one counts the requests in flight from the heartbeats, and overloads no head', async t => {
   const simulation = new Simulation({ gateways: 3, heads: 1, capacity: 2 })
   const [issuer, second, third] = simulation.gateways
   for (const each of [second, third]) await simulation.request(each)
--- a/packages/settings/src/shapes.ts
+++ b/packages/settings/src/shapes.ts
@@ -197,7 +197,7 @@
     caller: Bytes.default(32 * 2 ** 10),
     /** Maximum number of unread bytes of all callers together. */
     total: Bytes.default(32 * 2 ** 20),
-    /** How long a caller may read nothing of its unread bytes before its connection is closed. */
+    /** Time after which the connection of a caller is closed if it has unread bytes and reads none of them. */
     patience: Duration.default(10_000)
   }).prefault({}),
   readiness: z.strictObject({
--- a/packages/wire/src/call.ts
+++ b/packages/wire/src/call.ts
@@ -1,7 +1,7 @@
 /**
- * One HTTP call to another process, and the receiver of its answer. `send` uses the events of the client library
- * directly and creates no stream object for each answer. It also decides whether a failed call may have reached the
- * other side. Retries rely on that decision: a call that was reported as not sent is never sent later.
+ * One HTTP call to another process, and the receiver of its answer. `send` handles the events of the client library
+ * directly, without a stream object per answer. It also decides whether a failed call may have reached the other side.
+ * Retries rely on that decision: a call that was reported as not sent is never sent later.
  */
 import { type Dispatcher } from 'undici'
 
--- a/packages/wire/src/calls.ts
+++ b/packages/wire/src/calls.ts
@@ -100,7 +100,10 @@
   abstract exchange (message: ExchangeMessage): Promise<ExchangeAnswer>
   abstract configuration (): Promise<Configuration>
   abstract known (): Promise<KnownState>
-  /** The heads of the serving replicas of a model service in the entry's region. Each `id` is the id of the replica. */
+  /**
+   * The heads of the serving replicas of a model service in the entry's region. The `id` of each returned peer is the
+   * id of its replica.
+   */
   abstract heads (message: { readonly service: string }): Promise<Peer[]>
   /** Sends a configuration that has just been accepted. Resolves to the revision in force afterwards. */
   abstract offer (configuration: Configuration): Promise<number>
